--- a/src/config.c
+++ b/src/config.c
@@ -21,7 +21,7 @@
 static gboolean
 text (const json_t *map, const char *where, const char *name, char **out, GError **error)
 {
-  return ft_field_text (map, name, FT_TEXT_MOST, out) || complain (error, where, name, "a text is needed");
+  return ft_field_text (map, name, FT_TEXT_MAX, out) || complain (error, where, name, "a text is needed");
 }
 
 static gboolean
@@ -128,18 +128,18 @@
 static gboolean
 read_state_limits (const json_t *state, FtSettings *s, GError **error)
 {
-  if (!amount (state, "settings.state", "rps", FT_STATE_RPS_LEAST, &s->state_rps, error)
-      || !amount (state, "settings.state", "write_rps", FT_STATE_RPS_LEAST, &s->state_write_rps, error)
-      || !amount (state, "settings.state", "value_kb", FT_VALUE_KB_LEAST, &s->value_kb, error)
-      || !whole (state, "settings.state", "txn_ops", FT_TXN_OPS_LEAST, &s->txn_ops, error))
+  if (!amount (state, "settings.state", "rps", FT_STATE_RPS_MIN, &s->state_rps, error)
+      || !amount (state, "settings.state", "write_rps", FT_STATE_RPS_MIN, &s->state_write_rps, error)
+      || !amount (state, "settings.state", "value_kb", FT_VALUE_KB_MIN, &s->value_kb, error)
+      || !whole (state, "settings.state", "txn_ops", FT_TXN_OPS_MIN, &s->txn_ops, error))
     return FALSE;
   if (ft_field_is_null (state, "next"))
     return TRUE;
   const json_t *next = section (state, "settings.state", "next", FALSE, error);
-  return next != NULL && lower_amount (next, "rps", FT_STATE_RPS_LEAST, &s->state_rps, error)
-         && lower_amount (next, "write_rps", FT_STATE_RPS_LEAST, &s->state_write_rps, error)
-         && lower_amount (next, "value_kb", FT_VALUE_KB_LEAST, &s->value_kb, error)
-         && lower_whole (next, "txn_ops", FT_TXN_OPS_LEAST, &s->txn_ops, error);
+  return next != NULL && lower_amount (next, "rps", FT_STATE_RPS_MIN, &s->state_rps, error)
+         && lower_amount (next, "write_rps", FT_STATE_RPS_MIN, &s->state_write_rps, error)
+         && lower_amount (next, "value_kb", FT_VALUE_KB_MIN, &s->value_kb, error)
+         && lower_whole (next, "txn_ops", FT_TXN_OPS_MIN, &s->txn_ops, error);
 }
 
 static gboolean
--- a/src/core/commands.c
+++ b/src/core/commands.c
@@ -11,8 +11,8 @@
 static gboolean
 wants_start (const FtScheduler *s, const FtMachine *machine, const FtAttempt *a)
 {
-  return s->may_start && machine->in_roster && a->bound && a->index < a->job->spec->sent && !a->shown && !a->exited
-         && !a->stop_wanted && machine->state != FT_MACHINE_RETURNING && a->job->state == FT_JOB_OPEN;
+  return s->may_start && machine->registered && a->bound && a->index < a->job->spec->dispatch_watermark && !a->shown
+         && !a->exited && !a->stop_wanted && machine->state != FT_MACHINE_RETURNING && a->job->state == FT_JOB_OPEN;
 }
 
 /* A copy of a direct start may come late. While the worker knows the attempt it
@@ -42,7 +42,7 @@
     return commands;
   machine->last_answer = now;
   /* It shows our token in its next report, in half a second. */
-  if (!machine->accounted)
+  if (!machine->reconciled)
     machine->probe_at = MAX (machine->probe_at, now + ft_seconds (FT_PROBE_FIRST_S));
   if (report->session != machine->session || report->sequence != machine->sequence || report->token < s->token
       || machine->session <= machine->lapsed_session) {
@@ -103,7 +103,7 @@
 gint64
 ft_machine_silent_since (const FtScheduler *s, const FtMachine *machine)
 {
-  return MAX (machine->last_report, s->hearing_since);
+  return MAX (machine->last_report, s->on_time_since);
 }
 
 gboolean
@@ -115,7 +115,7 @@
 gboolean
 ft_machine_wants_probe (const FtScheduler *s, const FtMachine *machine)
 {
-  gboolean ask = !machine->accounted || ft_machine_deaf (machine)
+  gboolean ask = !machine->reconciled || ft_machine_not_receiving (machine)
                  || (machine->state == FT_MACHINE_UP && ft_machine_report_overdue (s, machine));
   return ask && s->now >= machine->probe_at && machine->addr != NULL && !machine->command_in_flight
          && machine->state != FT_MACHINE_GONE;
@@ -135,7 +135,7 @@
 {
   if (machine->command_in_flight || machine->addr == NULL)
     return NULL;
-  if (machine->state != FT_MACHINE_UP || !machine->accounted || machine->session <= machine->lapsed_session)
+  if (machine->state != FT_MACHINE_UP || !machine->reconciled || machine->session <= machine->lapsed_session)
     return NULL;
   GArray *commands = ft_commands_new ();
   GHashTableIter it;
@@ -172,7 +172,7 @@
   }
   /* Those that do not answer keep their place for long: commands go first, and
    * only so many are asked at a time. */
-  while (s->probes_in_flight < FT_PROBES_MOST && (machine = g_queue_pop_head (&s->probes)) != NULL) {
+  while (s->probes_in_flight < FT_PROBES_MAX && (machine = g_queue_pop_head (&s->probes)) != NULL) {
     machine->probe_queued = FALSE;
     s->looked_at++;
     if (ft_machine_wants_probe (s, machine))
@@ -213,15 +213,15 @@
   machine->command_in_flight = FALSE;
   ft_machine_queue_direct (machine); /* what has come up meanwhile */
   if (result == FT_DIRECT_UNANSWERED
-      && (ft_machine_report_overdue (s, machine) || !machine->accounted || ft_machine_deaf (machine)))
+      && (ft_machine_report_overdue (s, machine) || !machine->reconciled || ft_machine_not_receiving (machine)))
     machine->probe_fails++;
   settle_direct (s, machine, direct, result);
   if (report == NULL || g_strcmp0 (report->machine, machine->name) != 0)
     return TRUE;
-  if (machine->state != FT_MACHINE_RETURNING || !machine->accounted)
+  if (machine->state != FT_MACHINE_RETURNING || !machine->reconciled)
     ft_machine_apply_report (s, machine, report, FALSE);
   /* Refused for its session: ask again at once with the right one. */
-  if (result == FT_DIRECT_CONFLICT && !machine->accounted) {
+  if (result == FT_DIRECT_CONFLICT && !machine->reconciled) {
     machine->probe_at = now;
     ft_machine_queue_probe (machine);
   }
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -16,11 +16,11 @@
 /* Share by which a sweep is jittered, so that followers do not look in step. */
 #define FT_SWEEP_JITTER 0.25
 /* Seconds until a sweep that failed is repeated. */
-#define FT_BLIND_AGAIN_S 0.7
+#define FT_SWEEP_RETRY_S 0.7
 /* Seconds that a renewal of a suspected leader may be overdue; and seconds for which the
  * fence must have stood for a sure hint to be taken at once. */
 #define FT_SUSPECT_MARGIN_S 1.0
-#define FT_SUSPECT_CALM_S 15.0
+#define FT_SUSPECT_STABLE_S 15.0
 /* Renewals go out every lease time divided by this. */
 #define FT_RENEW_FRACTION 3.0
 /* Share by which two steady clocks may differ (protocol: 0.05 % each way, so
@@ -28,11 +28,11 @@
 #define FT_CLOCK_DRIFT 0.0011
 /* Seconds taken off every lease, for timers that fire late. */
 #define FT_LEASE_MARGIN_S 0.3
-/* Seconds for which a leader starts work after it has last seen all withdrawals: a watch
+/* Seconds for which a leader starts work after it has last seen all cancellations: a watch
  * that is lost costs four. */
-#define FT_KNOWN_FRESH_S 6.0
+#define FT_CANCELLATIONS_FRESH_S 6.0
 /* Seconds kept off the longest hold, for timers that fire late. */
-#define FT_HOLD_MARGIN_S 2.0
+#define FT_ANSWER_GRACE_MARGIN_S 2.0
 
 /* Seconds without any report, beyond the longest ordinary gap, after which a
  * leader takes itself for cut off from the workers and gives the lease up. */
@@ -42,13 +42,13 @@
  * quicker; and seconds for which it tells its peers that it has given up. */
 #define FT_OVERRUN_S 4.0
 #define FT_OVERRUN_LED_S 45.0
-#define FT_YIELD_TOLD_S 3.0
+#define FT_YIELD_ADVERTISED_S 3.0
 /* Seconds a controller that gave the lease up leaves it to others. */
 #define FT_ABSTAIN_S 20.0
 
 /* Range in seconds of the pause before a renewal that failed is sent again. */
-#define FT_RENEW_AGAIN_LEAST_S 0.2
-#define FT_RENEW_AGAIN_MOST_S 0.5
+#define FT_RENEW_AGAIN_MIN_S 0.2
+#define FT_RENEW_AGAIN_MAX_S 0.5
 
 /* ---- operators' settings ---- */
 /* name, field, unit, least, most, default, what it does. They live in the state
@@ -91,7 +91,7 @@
 #define FT_SILENCE_MARGIN_S 2.0
 /* Seconds between two probes of a machine not heard since the takeover. */
 #define FT_PROBE_EVERY_S 1.0
-/* Seconds after a takeover, or after an answer, until a machine that is not accounted for
+/* Seconds after a takeover, or after an answer, until a machine that is not reconciled
  * is probed: most report by themselves meanwhile, at a third of the cost. */
 #define FT_PROBE_FIRST_S 1.5
 /* Seconds beyond the longest ordinary gap after which a report is overdue. */
@@ -99,12 +99,12 @@
 /* Longest pause between probes of a machine that does not answer, in doublings of the
  * first; probes under way at once: a cut zone's must not keep out the others. */
 #define FT_PROBE_DOUBLINGS 3
-#define FT_PROBES_MOST 48
+#define FT_PROBES_MAX 48
 /* Reports in a row that show nothing of our answers, after which a machine counts as
- * deaf: a lost packet may explain one. */
-#define FT_UNHEARD_MOST 3
-/* Seconds a deaf machine is probed before it is returned. */
-#define FT_DEAF_RETURN_S 10.0
+ * not receiving: a lost packet may explain one. */
+#define FT_UNACKNOWLEDGED_MAX 3
+/* Seconds a not receiving machine is probed before it is returned. */
+#define FT_NOT_RECEIVING_SCALE_IN_S 10.0
 /* Worker leases for which a copy of a direct start may come late, and an attempt without
  * a result stays known to its worker. */
 #define FT_COPY_LEASES 2.0
@@ -121,10 +121,10 @@
 #define FT_SILENT_RETURN_MIN 2
 /* Window in seconds in which the returns for silence are bounded. */
 #define FT_SILENT_RETURN_WINDOW_S 20.0
-/* Seconds after which a withdrawn start without an answer keeps its machine from
+/* Seconds after which a cancelled start without an answer keeps its machine from
  * new work, and share of cancel_s after which the machine is returned as it is. */
 #define FT_DOUBT_S 5.0
-#define FT_DOUBT_MOST 0.5
+#define FT_DOUBT_MAX 0.5
 /* Machines of a zone that must all be unheard for the zone to count as unreachable: of
  * fewer, each may have failed for itself. */
 #define FT_ZONE_MEMBERS 3
@@ -133,10 +133,10 @@
 /* Seconds since the store was last seen after which a leader gives up no machine for its
  * silence: it may be cut off itself. A watch tells, when it ends, what was known when it was
  * sent: on a quiet site the sight is two watches old before the next one ends. */
-#define FT_GIVE_UP_SIGHT_S (2 * FT_WATCH_S + 0.5)
+#define FT_GIVE_UP_STORE_SEEN_S (2 * FT_WATCH_S + 0.5)
 /* Seconds by which the store must have been seen after a zone was heard last, for the zone
  * to be given up: what cut off the zone has not cut off this leader as well. */
-#define FT_ZONE_SIGHT_S 1.0
+#define FT_ZONE_STORE_SEEN_S 1.0
 /* Failures in a row that count against a machine, to shun it: one may be chance. */
 #define FT_FAULTS 2
 /* Machines on which a job must have failed, and done well on none, to count as mistaken. */
@@ -147,7 +147,7 @@
 /* Attempts of a job looked at to see whether one does well: bounds the cost of a failure. */
 #define FT_FAULT_ATTEMPTS 256
 /* Machines that may be shunned at once: at least, and as a share of all. */
-#define FT_FAULTY_LEAST 2
+#define FT_FAULTY_MIN 2
 #define FT_FAULTY_SHARE 0.25
 /* Bits of an attempt number below the token, so that attempts rise with it. */
 #define FT_ATTEMPT_BITS 24
@@ -169,12 +169,12 @@
  * left until its deadline, to be stopped for another. */
 #define FT_PREEMPT_RAN_SHARE 0.25
 #define FT_PREEMPT_SLACK 1.3
-/* Share of cancel_s after which a machine that cannot be asked, and may hold a withdrawn
+/* Share of cancel_s after which a machine that cannot be asked, and may hold a cancelled
  * task, is returned whatever the bound on returns: the rest is for the cloud. */
-#define FT_WITHDRAWN_MOST 0.5
+#define FT_CANCELLED_SCALE_IN_SHARE 0.5
 /* Machines heard for each one that is not, for a leader without the store to conclude
  * that the machine, not itself, is cut off. */
-#define FT_BLIND_HEARD 2
+#define FT_STORE_UNREACHABLE_HEARD_RATIO 2
 /* Seconds since the cloud last answered after which it may not be reached any more: it is
  * asked every four, and given five to answer. */
 #define FT_CLOUD_SEEN_S 12.0
@@ -211,7 +211,7 @@
 #define FT_FULL_SHAPES 16
 /* Seconds a job may wait to begin before it goes ahead of all: half of the four
  * minutes that the users give even the largest. */
-#define FT_BEGIN_WITHIN_S 120.0
+#define FT_STARVED_AFTER_S 120.0
 /* Most tasks placed in one pass, so that a pass stays short. */
 #define FT_PASS_TASKS 256
 
@@ -251,23 +251,23 @@
 #define FT_NOTICE_MARGIN_S 0.5
 /* Seconds before a return that failed is tried again. */
 #define FT_RETURN_RETRY_S 1.0
-#define FT_RENT_MOST 50
+#define FT_RENT_MAX 50
 /* Machines named in one return request (protocol: at most 100). */
-#define FT_RETURN_MOST 100
+#define FT_RETURN_MAX 100
 
 /* What a machine of a type not in the catalog may hold, in CPUs or GPUs: above any
  * team's limit, so that what it may run unseen counts in full. */
 #define FT_CAPACITY_UNKNOWN 1e9
 
 /* Tasks by which a job's mark is raised at least, once some have been sent. */
-#define FT_MARK_STEP 16
+#define FT_WATERMARK_STEP 16
 
 /* ---- limits of the state service ---- */
 /* Least limits that the settings may name: changes that an acquisition and the end of a job
  * need in one transaction, KiB for a job's row with ordinary texts, and requests a second. */
-#define FT_TXN_OPS_LEAST 4
-#define FT_VALUE_KB_LEAST 1
-#define FT_STATE_RPS_LEAST 1
+#define FT_TXN_OPS_MIN 4
+#define FT_VALUE_KB_MIN 1
+#define FT_STATE_RPS_MIN 1
 /* Seconds until a batch that the state service refused as invalid is tried again, smaller. */
 #define FT_BATCH_INVALID_PAUSE_S 1.0
 
@@ -276,22 +276,22 @@
  * has not come by the watch. */
 #define FT_NEED_READ_EVERY_S 1.0
 /* Such readings under way at once. */
-#define FT_NEED_READS_MOST 8
+#define FT_NEED_READS_MAX 8
 /* Share of cancel_s for which a controller tells that a job is open without looking again
  * whether something that it needs was cancelled. */
 #define FT_LINEAGE_FRESH 0.5
 /* Jobs that one request looks at at once. */
-#define FT_LINEAGE_READS_MOST 16
+#define FT_LINEAGE_READS_MAX 16
 
-/* ---- roster ---- */
-/* Bytes of a machine's entry in a roster row beside its texts, as JSON with spaces. */
-#define FT_ROSTER_ENTRY_BYTES 68
+/* ---- registry ---- */
+/* Bytes of a machine's entry in a registry row beside its texts, as JSON with spaces. */
+#define FT_REGISTRY_ENTRY_BYTES 68
 /* Share of the largest value that a row may take: the rest is for what encloses the entries. */
-#define FT_ROSTER_ROW_SHARE 0.9
+#define FT_REGISTRY_ROW_SHARE 0.9
 /* Rows in one transaction: together they stay below the largest body. */
-#define FT_ROSTER_ROWS_AT_ONCE 3
+#define FT_REGISTRY_ROWS_AT_ONCE 3
 /* Seconds until a removal is written: many go in one change. */
-#define FT_ROSTER_DROP_AFTER_S 1.0
+#define FT_REGISTRY_DELETE_AFTER_S 1.0
 
 /* ---- jobs ---- */
 /* Least seconds between two writes of a job's done-set, and share of the state service's
@@ -303,21 +303,21 @@
 #define FT_CHUNKS_WITHOUT_SPARE 1
 #define FT_SPARE_WRITES_SHARE 0.6
 /* Tasks of one job (protocol). */
-#define FT_JOB_TASKS_MOST 100000
+#define FT_JOB_TASKS_MAX 100000
 /* Unfinished tasks held in memory before submissions are put off. */
-#define FT_OPEN_TASKS_MOST 1000000
+#define FT_OPEN_TASKS_MAX 1000000
 /* Tasks in one chunk of a done-set: 4096 bits are 684 characters. */
 #define FT_DONE_CHUNK 4096
 /* Longest text accepted in any field, in bytes. */
-#define FT_TEXT_MOST 128
+#define FT_TEXT_MAX 128
 
 /* ---- wire and net ---- */
 /* Largest amount accepted, far above any machine or run time. */
-#define FT_AMOUNT_MOST 1e9
+#define FT_AMOUNT_MAX 1e9
 /* Largest request body in bytes (protocol). */
-#define FT_BODY_MOST 65536
+#define FT_BODY_MAX 65536
 /* Deepest nesting accepted in a message. */
-#define FT_NESTING_MOST 16
+#define FT_NESTING_MAX 16
 /* Seconds a state request may take before it counts as unanswered. */
 #define FT_STATE_TIMEOUT_S 1.5
 /* Seconds a watch waits on the server, and we on it beyond that. */
@@ -335,30 +335,30 @@
 /* Share of a budget that comes back in a second after a refusal for the rate, and the least
  * that is left of it. */
 #define FT_BUDGET_RECOVERY 0.1
-#define FT_BUDGET_LEAST 0.05
+#define FT_BUDGET_MIN 0.05
 /* Times that a request is sent again by itself after such refusals. */
 #define FT_STATE_RESENDS 3
 /* Share of the cloud limit the leader allows itself. */
 #define FT_CLOUD_SHARE 0.8
 /* Requests waiting for the state service before new user requests get 503. */
-#define FT_STATE_QUEUE_MOST 64
+#define FT_STATE_QUEUE_MAX 64
 /* Seconds for which a submission may have to wait for the changes before it; beyond that its
  * user is told at once to come back. */
-#define FT_SUBMIT_WAIT_MOST_S 2.0
+#define FT_SUBMIT_WAIT_MAX_S 2.0
 /* Milliseconds until a used-up budget is looked at again. */
 #define FT_BUDGET_WAIT_MS 20
 /* Seconds a user's request may wait for the state service in all. */
 #define FT_USER_DEADLINE_S 3.0
 /* Refs of jobs shown in one field of a list for operators. */
-#define FT_ADMIN_REFS_MOST 8
+#define FT_ADMIN_REFS_MAX 8
 /* Seconds between two reads of the operators' settings. */
 #define FT_SETTINGS_EVERY_S 5.0
 /* Seconds flintctl waits for one controller. */
 #define FT_CTL_TIMEOUT_S 3.0
 /* Latency histograms: bucket count, and their range in milliseconds. */
 #define FT_HISTOGRAM_BUCKETS 48
-#define FT_HISTOGRAM_LEAST_MS 0.1
-#define FT_HISTOGRAM_MOST_MS 100000.0
+#define FT_HISTOGRAM_MIN_MS 0.1
+#define FT_HISTOGRAM_MAX_MS 100000.0
 /* Seconds between mesh heartbeats, and their time limit. */
 #define FT_MESH_EVERY_S 1.0
 #define FT_MESH_TIMEOUT_S 1.0
@@ -366,10 +366,10 @@
  * the next one then; and refusals in a row after which a leader is suspected. */
 #define FT_MESH_REFUSED_S 0.3
 #define FT_MESH_AGAIN_S 0.3
-/* Seconds for which heartbeats name a withdrawal, so that one that is lost does not
- * matter, and withdrawals in one heartbeat, whose body is bounded. */
-#define FT_MESH_WITHDRAWN_S 5.0
-#define FT_MESH_WITHDRAWN_MOST 200
+/* Seconds for which heartbeats name a cancellation, so that one that is lost does not
+ * matter, and cancellations in one heartbeat, whose body is bounded. */
+#define FT_PEER_CANCELLATIONS_S 5.0
+#define FT_PEER_CANCELLATIONS_MAX 200
 #define FT_MESH_REFUSALS 2
 /* Seconds for which a peer's answer shows that the mesh works. */
 #define FT_MESH_WITNESS_S 1.5
@@ -382,15 +382,15 @@
 /* Seconds named in Retry-After. */
 #define FT_RETRY_AFTER_S 1
 /* Open jobs whose revision is kept for polls; polls that wait at once. */
-#define FT_KNOWN_OPEN_MOST 16384
-#define FT_POLLS_MOST 4096
+#define FT_KNOWN_OPEN_MAX 16384
+#define FT_POLLS_MAX 4096
 /* Conditions that a transaction may have for each change it may have (protocol). */
 #define FT_CONDITIONS_PER_CHANGE 4
 /* Seconds between two log lines on malformed messages of the same source: one broken worker
  * must not fill the log. */
 #define FT_MALFORMED_LOG_S 10.0
 /* Open jobs in one heartbeat: its body stays well within the largest. */
-#define FT_MESH_JOBS_MOST 1000
+#define FT_MESH_JOBS_MAX 1000
 /* Final states kept in memory. */
 #define FT_FINAL_CACHE 4096
 /* Connections that are still taken in beyond the share below, to be told to close. */
@@ -408,9 +408,9 @@
 #define FT_REPORTS_AT_ONCE 32
 #define FT_REPORT_LATE_S 2.0
 /* Direct commands under way at once. */
-#define FT_DIRECT_MOST 96
+#define FT_DIRECT_MAX 96
 /* Cloud calls under way at once. */
-#define FT_CLOUD_CALLS_MOST 3
+#define FT_CLOUD_CALLS_MAX 3
 /* Events of the client's sockets taken at once. */
 #define FT_EVENTS_AT_ONCE 64
 /* Connections kept to one host by the client. */
@@ -419,14 +419,14 @@
 #define FT_CLIENT_IDLE_S 30
 /* Largest answer taken in, in bytes: a page of the store has 512 KiB, a watch that
  * fell behind more. */
-#define FT_ANSWER_MOST (32u << 20)
+#define FT_ANSWER_MAX (32u << 20)
 /* Bytes of a body beyond which the connection is closed unread. */
-#define FT_BODY_CUT (4UL * FT_BODY_MOST)
+#define FT_BODY_CUT (4UL * FT_BODY_MAX)
 /* Longest pause in seconds between tries at a service that fails. */
 #define FT_BACKOFF_FIRST_S 0.15
 #define FT_BACKOFF_LONGEST_S 1.0
-/* Tries of a withdrawal that races with other changes. */
-#define FT_WITHDRAW_TRIES 3
+/* Tries of a cancellation that races with other changes. */
+#define FT_CANCEL_TRIES 3
 /* Rows asked for in one list (protocol: at most 1,000). */
 #define FT_LIST_LIMIT 1000
 /* Machines asked for in one list (protocol: at most 500). */
--- a/src/core/explain.c
+++ b/src/core/explain.c
@@ -14,7 +14,7 @@
     return "";
   if (job->team != NULL && !ft_quota_allows (s, job->team, job->spec))
     return "the team's limit is reached";
-  if (job->pass_blocked == s->pass)
+  if (job->no_room_pass == s->pass)
     return "no allowed machine has room";
   return "paused after failures, or waiting for the next pass";
 }
@@ -59,7 +59,7 @@
   g_hash_table_iter_init (&it, s->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtJobState state = ((const FtJob *) value)->state;
-    *open += state < FT_JOB_WITHDRAWN;
+    *open += state < FT_JOB_CANCELLING;
     *waiting += state == FT_JOB_WAITING;
   }
 }
@@ -73,9 +73,9 @@
     return "tasks failed on it that were not to blame";
   if (m->notice_until > 0)
     return "the cloud takes it back";
-  if (!m->accounted)
+  if (!m->reconciled)
     return "not heard from since the takeover";
-  if (m->state == FT_MACHINE_UP && !m->in_roster)
+  if (m->state == FT_MACHINE_UP && !m->registered)
     return "not yet in the roster";
   return ft_machine_usable (s, m) ? "" : "not up";
 }
@@ -112,7 +112,7 @@
   if (machine == NULL)
     return FALSE;
   machine->drained = drain;
-  s->dirty = TRUE;
+  s->placement_due = TRUE;
   return TRUE;
 }
 
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -47,7 +47,7 @@
     return TRUE;
   if (job->n_failed_on >= FT_MISTAKEN_MACHINES)
     return FALSE; /* the mistake is in the job, for all that is known */
-  return machine->last_failed != job->stamp;
+  return machine->last_failed != job->revision;
 }
 
 /* Whatever goes wrong, most machines stay in use. */
@@ -60,7 +60,7 @@
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
     shunned += ((const FtMachine *) value)->faulty;
-  return shunned < MAX (FT_FAULTY_LEAST, FT_FAULTY_SHARE * g_hash_table_size (s->machines));
+  return shunned < MAX (FT_FAULTY_MIN, FT_FAULTY_SHARE * g_hash_table_size (s->machines));
 }
 
 void
@@ -72,7 +72,7 @@
   note_machine (job, machine);
   if (counts_against (s, job, machine))
     machine->faults++;
-  machine->last_failed = job->stamp;
+  machine->last_failed = job->revision;
   if (machine->faulty || !ft_fault_proven (machine) || !may_shun_one_more (s))
     return;
   machine->faulty = TRUE;
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -134,7 +134,7 @@
       continue;
     room[t] -= tasks * job->spec->cpus;
     add_need (needs, type, job->spec->zone, job->spec->spot,
-              tasks / per_machine (type, job->spec) / waves (s, job, type), job->pass_blocked == s->pass);
+              tasks / per_machine (type, job->spec) / waves (s, job, type), job->no_room_pass == s->pass);
   }
   // NOLINTNEXTLINE(clang-analyzer-unix.Malloc): freed by g_auto cleanup, which the analyzer does not follow
   return needs;
@@ -268,7 +268,7 @@
   if (pool == NULL || count == 0)
     return;
   FtZone *zone = ft_zone_get (s->zones, pool->zone);
-  pool->asked = MIN (MIN (count, FT_RENT_MOST), ft_zone_rentable (zone, s->now));
+  pool->asked = MIN (MIN (count, FT_RENT_MAX), ft_zone_rentable (zone, s->now));
   ft_zone_rented (zone, s->now);
   if (pool->spot && s->tuning.spot_share < 1)
     pool->asked = 1; /* one at a time, to keep within the share */
@@ -284,7 +284,7 @@
 {
   for (guint i = 0; i < s->order->len; i++) {
     const FtJob *job = g_ptr_array_index (s->order, i);
-    if (job->pass_blocked == s->pass && job->spec->spot == need->spot && g_strcmp0 (job->spec->zone, need->zone) == 0
+    if (job->no_room_pass == s->pass && job->spec->spot == need->spot && g_strcmp0 (job->spec->zone, need->zone) == 0
         && s->now - job->ready_at > (gint64) (need->type->boot_s * FT_SECOND))
       return TRUE;
   }
@@ -332,13 +332,13 @@
 zone_alone_lost (const FtScheduler *s, const FtZone *zone)
 {
   gint64 silent_since = MAX (zone->last_heard, s->loaded_at);
-  return s->known_until > silent_since + (gint64) (FT_ZONE_SIGHT_S * FT_SECOND);
+  return s->cancellations_known_until > silent_since + (gint64) (FT_ZONE_STORE_SEEN_S * FT_SECOND);
 }
 
 /* A controller that is itself cut off must not return a healthy fleet: silence
  * counts against a machine only while the store and most others are heard, and only
  * a few machines are given up within a window, unless their whole zone is
- * unreachable. Deaf ones count like silent ones. */
+ * unreachable. Machines that do not receive count like silent ones. */
 static gboolean
 may_give_up (FtScheduler *s, const FtMachine *machine, guint up, guint lost)
 {
@@ -348,7 +348,7 @@
   }
   guint most = MAX (FT_SILENT_RETURN_MIN, (guint) (FT_SILENT_RETURN_SHARE * (up + lost)));
   gint64 long_silent = (gint64) (2 * s->settings->lease_s * FT_SECOND);
-  if (s->now - s->known_until > (gint64) (FT_GIVE_UP_SIGHT_S * FT_SECOND))
+  if (s->now - s->cancellations_known_until > (gint64) (FT_GIVE_UP_STORE_SEEN_S * FT_SECOND))
     return FALSE;
   if (lost > up && s->now - ft_machine_unreported_since (s, machine) <= long_silent)
     return FALSE;
@@ -358,18 +358,19 @@
 }
 
 static gboolean
-deaf_long (const FtScheduler *s, const FtMachine *m)
+not_receiving_long (const FtScheduler *s, const FtMachine *m)
 {
   /* A controller that is late itself answers too late: that is not the machine's. */
-  return m->state == FT_MACHINE_UP && ft_machine_deaf (m)
-         && s->now - MAX (m->deaf_since, s->hearing_since) > (gint64) (FT_DEAF_RETURN_S * FT_SECOND);
+  return m->state == FT_MACHINE_UP && ft_machine_not_receiving (m)
+         && s->now - MAX (m->not_receiving_since, s->on_time_since)
+                > (gint64) (FT_NOT_RECEIVING_SCALE_IN_S * FT_SECOND);
 }
 
 /* Its lease has run out, and so will the next. */
 static gboolean
-mute_long (const FtScheduler *s, const FtMachine *m)
+not_reporting_long (const FtScheduler *s, const FtMachine *m)
 {
-  return ft_machine_mute (s, m) && s->now - ft_machine_unreported_since (s, m) > ft_machine_lease_us (s);
+  return ft_machine_not_reporting (s, m) && s->now - ft_machine_unreported_since (s, m) > ft_machine_lease_us (s);
 }
 
 /* Why a machine is of no use, and may be given up; NULL: it is of use. */
@@ -378,9 +379,9 @@
 {
   if (m->state == FT_MACHINE_SILENT)
     return "silent";
-  if (deaf_long (s, m))
+  if (not_receiving_long (s, m))
     return "does not hear us";
-  return mute_long (s, m) ? "reaches no controller" : NULL;
+  return not_reporting_long (s, m) ? "reaches no controller" : NULL;
 }
 
 static void
@@ -392,30 +393,30 @@
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *m = value;
-    gboolean heard = m->state == FT_MACHINE_UP && !ft_machine_deaf (m) && !ft_machine_mute (s, m);
+    gboolean heard = m->state == FT_MACHINE_UP && !ft_machine_not_receiving (m) && !ft_machine_not_reporting (s, m);
     *up += heard;
     *lost += !heard && (m->state == FT_MACHINE_UP || m->state == FT_MACHINE_SILENT);
   }
 }
 
-/* What a user has withdrawn must be gone in time, on a silent machine too. */
+/* What a user has cancelled must be gone in time, on a silent machine too. */
 static gboolean
-holds_withdrawn (const FtMachine *machine)
+holds_cancelled (const FtMachine *machine)
 {
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *a = value;
-    if (a->holds && a->job != NULL && a->job->state == FT_JOB_WITHDRAWN)
+    if (a->reserved && a->job != NULL && a->job->state == FT_JOB_CANCELLING)
       return TRUE;
   }
   return FALSE;
 }
 
-/* The age of the oldest withdrawal of which tasks may run unseen; 0: none. */
+/* The age of the oldest cancellation of which tasks may run unseen; 0: none. */
 static gint64
-unseen_withdrawal_age (const FtScheduler *s)
+unseen_cancellation_age (const FtScheduler *s)
 {
   gint64 age = 0;
   GHashTableIter it;
@@ -425,27 +426,27 @@
   g_hash_table_iter_init (&it, s->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtJob *job = value;
-    if (job->state == FT_JOB_WITHDRAWN && job->counts[FT_TASK_UNKNOWN] > 0)
-      age = MAX (age, s->now - job->withdrawn_at);
+    if (job->state == FT_JOB_CANCELLING && job->counts[FT_TASK_UNKNOWN] > 0)
+      age = MAX (age, s->now - job->cancelled_at);
   }
   return age;
 }
 
-/* A withdrawal as old as that leaves no time to wait for the machine. */
+/* A cancellation as old as that leaves no time to wait for the machine. */
 static gboolean
 pressing (const FtScheduler *s, gint64 age)
 {
-  return age > (gint64) (FT_WITHDRAWN_MOST * s->settings->cancel_s * FT_SECOND);
+  return age > (gint64) (FT_CANCELLED_SCALE_IN_SHARE * s->settings->cancel_s * FT_SECOND);
 }
 
-/* What an unaccounted machine holds nobody knows, and without the store nobody knows what
- * was withdrawn. Given back for that alone, a cut zone would go with each cancellation:
+/* What an unreconciled machine holds nobody knows, and without the store nobody knows what
+ * was cancelled. Given back for that alone, a cut zone would go with each cancellation:
  * not before half of the time is over. */
 static gboolean
-may_hold_withdrawn (const FtScheduler *s, const FtMachine *machine)
+may_hold_cancelled (const FtScheduler *s, const FtMachine *machine)
 {
-  return holds_withdrawn (machine) || (!machine->accounted && pressing (s, s->unseen_withdrawal))
-         || (s->blind && !ft_machine_idle (machine));
+  return holds_cancelled (machine) || (!machine->reconciled && pressing (s, s->unseen_cancellation_us))
+         || (s->store_unreachable && !ft_machine_idle (machine));
 }
 
 static gboolean
@@ -454,16 +455,17 @@
   return s->cloud_answered_at > 0 && s->now - s->cloud_answered_at < (gint64) (FT_CLOUD_SEEN_S * FT_SECOND);
 }
 
-/* Any task may have been withdrawn since the store was seen last, and one on a machine
+/* Any task may have been cancelled since the store was seen last, and one on a machine
  * that hangs outlives its lease. A leader that is cut off itself hears few machines and
  * no cloud, and must not give back, late, what its successor uses. */
 static gboolean
-is_blind (const FtScheduler *s, guint up, guint lost)
+is_store_unreachable (const FtScheduler *s, guint up, guint lost)
 {
-  return pressing (s, s->now - s->known_until) && (FT_BLIND_HEARD * lost <= up || cloud_answers (s));
+  return pressing (s, s->now - s->cancellations_known_until)
+         && (FT_STORE_UNREACHABLE_HEARD_RATIO * lost <= up || cloud_answers (s));
 }
 
-/* A withdrawn task whose direct start got no answer may still start, late, as
+/* A cancelled task whose direct start got no answer may still start, late, as
  * long as the machine's session lasts: such a machine is emptied and returned. */
 static double
 doubt_age (const FtScheduler *s, const FtMachine *machine, gboolean *others)
@@ -493,7 +495,7 @@
   double age = doubt_age (s, machine, &others);
   if (age > FT_DOUBT_S)
     machine->faulty = TRUE; /* no more starts */
-  return age > FT_DOUBT_S && (!others || age > FT_DOUBT_MOST * s->settings->cancel_s);
+  return age > FT_DOUBT_S && (!others || age > FT_DOUBT_MAX * s->settings->cancel_s);
 }
 
 static void
@@ -503,8 +505,8 @@
   GHashTableIter it;
   gpointer value;
   count_heard (s, &up, &lost);
-  s->unseen_withdrawal = unseen_withdrawal_age (s);
-  s->blind = is_blind (s, up, lost);
+  s->unseen_cancellation_us = unseen_cancellation_age (s);
+  s->store_unreachable = is_store_unreachable (s, up, lost);
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *m = value;
@@ -514,14 +516,14 @@
     gint64 taken = m->notice_until + (gint64) (FT_NOTICE_MARGIN_S * FT_SECOND);
     if (m->notice_until > 0 && s->now > taken && m->last_report < m->notice_until) {
       return_machine (s, m, "taken by the cloud");
-    } else if (lost_why != NULL && (may_hold_withdrawn (s, m) || may_give_up (s, m, up, lost))) {
+    } else if (lost_why != NULL && (may_hold_cancelled (s, m) || may_give_up (s, m, up, lost))) {
       s->silent_returned += !m->zone_view->unreachable;
       return_machine (s, m, lost_why);
     } else if (boot_failed (s, m)) {
       return_machine (s, m, "did not come up");
     } else if (in_doubt (s, m)) {
       return_machine (s, m, "a withdrawn start in doubt");
-    } else if (m->faulty && m->accounted && ft_fault_proven (m) && ft_machine_idle (m)) {
+    } else if (m->faulty && m->reconciled && ft_fault_proven (m) && ft_machine_idle (m)) {
       /* What ran before it became faulty may well complete. */
       return_machine (s, m, "faulty");
     }
@@ -630,7 +632,7 @@
   return call;
 }
 
-/* A leader that has lost the store gives back only what holds withdrawn tasks: they
+/* A leader that has lost the store gives back only what holds cancelled tasks: they
  * must be gone in time, and a machine that hangs cannot drop them. That is no placing,
  * and a successor that returns the same machines again changes nothing. */
 static FtCloudCall *
@@ -640,11 +642,11 @@
   for (GList *l = s->returning.head; l != NULL; l = l->next) {
     FtMachine *m = l->data;
     s->looked_at++;
-    if (m->return_in_flight || m->return_at > s->now || (!s->may_start && !may_hold_withdrawn (s, m)))
+    if (m->return_in_flight || m->return_at > s->now || (!s->may_start && !may_hold_cancelled (s, m)))
       continue;
     if (call == NULL)
       call = call_new (FT_CLOUD_RETURN);
-    if (call->names->len == FT_RETURN_MOST)
+    if (call->names->len == FT_RETURN_MAX)
       break;
     m->return_in_flight = TRUE;
     g_ptr_array_add (call->names, g_strdup (m->name));
@@ -686,7 +688,7 @@
     if (g_hash_table_contains (s->machines, name) || g_hash_table_contains (s->gone, name))
       continue;
     FtMachine *m = ft_machine_new (s, name, NULL, pool->type, pool->zone, pool->spot);
-    ft_machine_account (m); /* it has never been sent a command */
+    ft_machine_set_reconciled (m); /* it has never been sent a command */
     g_hash_table_insert (s->machines, m->name, m);
     g_message ("machine %s: rented by %s", name, call->booking);
   }
@@ -750,7 +752,7 @@
     return;
   FtMachine *m = ft_machine_new (s, entry->name, entry->addr, entry->type, entry->zone, entry->spot);
   m->rented_at = s->now - (gint64) (entry->age_s * FT_SECOND);
-  ft_machine_account (m); /* in no roster: never sent a command */
+  ft_machine_set_reconciled (m); /* in no registry: never sent a command */
   m->listed_running = entry->state == FT_LISTED_RUNNING;
   g_hash_table_insert (s->machines, m->name, m);
   g_message ("machine %s: found in the list", m->name);
@@ -764,9 +766,9 @@
     if (m->state != FT_MACHINE_RETURNING)
       return_machine (s, m, "failed");
     ft_machine_end_session (s, m);
-    ft_machine_account (m);
+    ft_machine_set_reconciled (m);
   }
-  /* A machine known from the roster or a report is older than this leadership. */
+  /* A machine known from the registry or a report is older than this leadership. */
   m->rented_at = MIN (m->rented_at, s->now - (gint64) (entry->age_s * FT_SECOND));
   if (m->addr == NULL && entry->addr != NULL)
     m->addr = g_strdup (entry->addr);
@@ -777,7 +779,7 @@
 {
   s->now = s->cloud_answered_at = now;
   if (!s->loaded)
-    return; /* the roster is not read: a listed machine may hold tasks */
+    return; /* the registry is not read: a listed machine may hold tasks */
   /* The list lags and may go back: it adds machines and tells of failed ones;
    * that a machine is missing from it proves nothing. */
   for (guint i = 0; i < list->len; i++) {
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -1,12 +1,12 @@
 #include "core/model.h"
 
 FtJob *
-ft_job_new (FtJobSpec *spec, FtTeam *team, guint64 stamp, FtTaskState initial)
+ft_job_new (FtJobSpec *spec, FtTeam *team, guint64 revision, FtTaskState initial)
 {
   FtJob *job = g_new0 (FtJob, 1);
   job->spec = spec;
   job->team = team;
-  job->stamp = stamp;
+  job->revision = revision;
   job->priority = spec->priority;
   job->state = spec->awaits != NULL ? FT_JOB_WAITING : FT_JOB_OPEN;
   job->tasks = g_new0 (FtTask, spec->tasks);
@@ -18,7 +18,7 @@
     team->unknown_gpus += spec->gpus * spec->tasks;
   }
   job->written = g_hash_table_new (g_direct_hash, g_direct_equal);
-  job->dirty = g_hash_table_new (g_direct_hash, g_direct_equal);
+  job->dirty_chunks = g_hash_table_new (g_direct_hash, g_direct_equal);
   job->attempts = g_hash_table_new (g_direct_hash, g_direct_equal);
   return job;
 }
@@ -29,7 +29,7 @@
   if (job == NULL)
     return;
   g_hash_table_unref (job->written);
-  g_hash_table_unref (job->dirty);
+  g_hash_table_unref (job->dirty_chunks);
   g_hash_table_unref (job->attempts);
   g_free (job->tasks);
   ft_job_spec_free (job->spec);
@@ -56,17 +56,17 @@
   }
   g_message ("job %s: %s -> %s", job->spec->ref, ft_job_state_name (job->state), ft_job_state_name (to));
   job->state = to;
-  ft_job_touch (job);
+  ft_job_queue_write (job);
   return TRUE;
 }
 
 void
-ft_job_touch (FtJob *job)
+ft_job_queue_write (FtJob *job)
 {
-  if (job->touched || job->scheduler == NULL || job->state == FT_JOB_CLOSED)
+  if (job->write_queued || job->scheduler == NULL || job->state == FT_JOB_CLOSED)
     return;
-  job->touched = TRUE;
-  g_queue_push_tail (&job->scheduler->touched, job);
+  job->write_queued = TRUE;
+  g_queue_push_tail (&job->scheduler->pending_jobs, job);
 }
 
 guint
@@ -83,9 +83,9 @@
 }
 
 void
-ft_job_mark_dirty (FtJob *job, guint index)
+ft_job_mark_chunk_dirty (FtJob *job, guint index)
 {
-  g_hash_table_add (job->dirty, GUINT_TO_POINTER (index / FT_DONE_CHUNK));
+  g_hash_table_add (job->dirty_chunks, GUINT_TO_POINTER (index / FT_DONE_CHUNK));
 }
 
 guint
--- a/src/core/journal.c
+++ b/src/core/journal.c
@@ -1,4 +1,4 @@
-/* What the leader writes to the store: ends of jobs, marks, chunks of done-sets and roster
+/* What the leader writes to the store: ends of jobs, marks, chunks of done-sets and registry
  * rows, in batches; and what becomes of them once a batch is committed or refused. */
 #include "core/model.h"
 
@@ -20,7 +20,7 @@
   case FT_WRITE_JOB_DONE:
   case FT_WRITE_JOB_GONE:
   case FT_WRITE_JOB_CANCELLED:
-    return 2; /* the job's own row or the mark of its withdrawal, and the row of an open job */
+    return 2; /* the job's own row or the dispatch watermark of its cancellation, and the row of an open job */
   default:
     return 1;
   }
@@ -53,25 +53,26 @@
   return TRUE;
 }
 
-/* Where a transaction holds few changes the roster takes every other one, so that ends of
+/* Where a transaction holds few changes the registry takes every other one, so that ends of
  * jobs and marks do not wait for a growing fleet. */
 static guint
-roster_rows_most (FtScheduler *s, const Batch *batch)
+max_registry_rows (FtScheduler *s, const Batch *batch)
 {
-  gboolean others_turn = s->wrote_roster && batch->left <= FT_ROSTER_ROWS_AT_ONCE && !g_queue_is_empty (&s->touched);
-  return others_turn ? 0 : MIN (batch->left, FT_ROSTER_ROWS_AT_ONCE);
+  gboolean others_turn
+      = s->wrote_registry && batch->left <= FT_REGISTRY_ROWS_AT_ONCE && !g_queue_is_empty (&s->pending_jobs);
+  return others_turn ? 0 : MIN (batch->left, FT_REGISTRY_ROWS_AT_ONCE);
 }
 
 static void
-add_roster (FtScheduler *s, Batch *batch)
+add_registry_rows (FtScheduler *s, Batch *batch)
 {
   guint before = batch->writes->len;
-  ft_roster_writes (s, batch->writes, roster_rows_most (s, batch));
+  ft_registry_writes (s, batch->writes, max_registry_rows (s, batch));
   batch->left -= batch->writes->len - before;
-  s->wrote_roster = batch->writes->len > before;
-  while (batch->left > 0 && !g_queue_is_empty (&s->marks_drop)) {
-    g_autofree char *name = g_queue_pop_head (&s->marks_drop);
-    batch_add (batch, ft_write_new (FT_WRITE_MARK_DROP, name));
+  s->wrote_registry = batch->writes->len > before;
+  while (batch->left > 0 && !g_queue_is_empty (&s->drain_deletions)) {
+    g_autofree char *name = g_queue_pop_head (&s->drain_deletions);
+    batch_add (batch, ft_write_new (FT_WRITE_DRAIN_DELETE, name));
   }
 }
 
@@ -81,41 +82,42 @@
   return job->state == FT_JOB_OPEN && ft_job_finished (job) == job->spec->tasks;
 }
 
-/* Rows go only after the watch has shown the withdrawal: a wrong hint must not drop an
+/* Rows go only after the watch has shown the cancellation: a wrong hint must not drop an
  * open job, and an older event of the job that comes later must not bring it back. */
 static gboolean
 job_all_gone (const FtJob *job)
 {
-  if (job->state != FT_JOB_WITHDRAWN || !job->withdrawal_read)
+  if (job->state != FT_JOB_CANCELLING || !job->cancellation_read)
     return FALSE;
   return ft_job_live (job) == 0 && job->counts[FT_TASK_UNKNOWN] == 0 && job->counts[FT_TASK_QUEUED] == 0;
 }
 
 static gboolean
-wants_mark (const FtJob *job)
+wants_watermark (const FtJob *job)
 {
-  return job->state == FT_JOB_OPEN && job->sent_wanted > job->spec->sent && !job->sent_in_flight;
+  return job->state == FT_JOB_OPEN && job->wanted_watermark > job->spec->dispatch_watermark
+         && !job->watermark_in_flight;
 }
 
 static void
-add_mark (FtJob *job, Batch *batch)
+add_watermark (FtJob *job, Batch *batch)
 {
-  FtWrite *write = ft_write_new (FT_WRITE_SENT, job->spec->ref);
-  write->sent = job->sent_wanted;
+  FtWrite *write = ft_write_new (FT_WRITE_WATERMARK, job->spec->ref);
+  write->watermark = job->wanted_watermark;
   write->spec = job->spec;
-  write->stamp = job->stamp;
-  job->sent_in_flight = batch_add (batch, write);
+  write->revision = job->revision;
+  job->watermark_in_flight = batch_add (batch, write);
 }
 
-/* The tasks that waited for the mark can be sent. */
+/* The tasks that waited for the dispatch watermark can be sent. */
 static void
-mark_written (FtJob *job, guint sent)
+watermark_written (FtJob *job, guint watermark)
 {
-  job->sent_in_flight = FALSE;
-  for (guint i = job->spec->sent; i < sent; i++)
+  job->watermark_in_flight = FALSE;
+  for (guint i = job->spec->dispatch_watermark; i < watermark; i++)
     if (job->tasks[i].attempt != NULL)
       ft_machine_queue_direct (job->tasks[i].attempt->machine);
-  job->spec->sent = MAX (job->spec->sent, sent);
+  job->spec->dispatch_watermark = MAX (job->spec->dispatch_watermark, watermark);
 }
 
 /* Jobs that have something to write share what done-sets may take of the state service. */
@@ -123,7 +125,7 @@
 chunk_every_s (const FtScheduler *s)
 {
   double rate = s->settings->state_write_rps * FT_CHUNK_WRITE_SHARE;
-  return MAX (FT_CHUNK_EVERY_S, rate > 0 ? g_queue_get_length ((GQueue *) &s->touched) / rate : 0);
+  return MAX (FT_CHUNK_EVERY_S, rate > 0 ? g_queue_get_length ((GQueue *) &s->pending_jobs) / rate : 0);
 }
 
 /* Adds at most that many; how many are left to add. */
@@ -132,16 +134,16 @@
 {
   /* A result stays with its worker until it is committed: a chunk that waits a
    * little covers many, and the end of the job covers all. */
-  if (job->state != FT_JOB_OPEN || s->now < job->chunk_at || g_hash_table_size (job->dirty) == 0)
+  if (job->state != FT_JOB_OPEN || s->now < job->chunk_at || g_hash_table_size (job->dirty_chunks) == 0)
     return most;
   GHashTableIter it;
   gpointer key;
-  g_hash_table_iter_init (&it, job->dirty);
+  g_hash_table_iter_init (&it, job->dirty_chunks);
   while (batch->left > 0 && most > 0 && g_hash_table_iter_next (&it, &key, NULL)) {
     FtWrite *write = ft_write_new (FT_WRITE_CHUNK, job->spec->ref);
     write->chunk = GPOINTER_TO_UINT (key);
     write->bits = ft_job_chunk_bits (job, write->chunk);
-    write->stamp = job->stamp;
+    write->revision = job->revision;
     if (batch_add (batch, write))
       g_hash_table_iter_remove (&it);
     most--;
@@ -176,21 +178,22 @@
 add_end (FtJob *job, Batch *batch)
 {
   FtWrite *write = ft_write_new (end_kind (job), job->spec->ref);
-  write->stamp = job->stamp;
+  write->revision = job->revision;
   write->tasks = job->spec->tasks;
   job->final_in_flight = batch_add (batch, write);
 }
 
 /* Jobs stay in the queue while they have something to write. */
 static void
-keep_touched (FtScheduler *s)
+requeue_pending_jobs (FtScheduler *s)
 {
-  guint n = g_queue_get_length (&s->touched);
+  guint n = g_queue_get_length (&s->pending_jobs);
   for (guint i = 0; i < n; i++) {
-    FtJob *job = g_queue_pop_head (&s->touched);
-    job->touched = FALSE;
-    if (job_ends (job) || wants_mark (job) || (job->state == FT_JOB_OPEN && g_hash_table_size (job->dirty) > 0))
-      ft_job_touch (job);
+    FtJob *job = g_queue_pop_head (&s->pending_jobs);
+    job->write_queued = FALSE;
+    if (job_ends (job) || wants_watermark (job)
+        || (job->state == FT_JOB_OPEN && g_hash_table_size (job->dirty_chunks) > 0))
+      ft_job_queue_write (job);
   }
 }
 
@@ -201,26 +204,26 @@
   Batch batch = { g_ptr_array_new_with_free_func ((GDestroyNotify) ft_write_free), ops };
   if (!s->loaded)
     return batch.writes;
-  add_roster (s, &batch);
+  add_registry_rows (s, &batch);
   /* Ends of jobs first: somebody waits for them. */
-  for (GList *l = s->touched.head; l != NULL && batch.left > 0; l = l->next)
+  for (GList *l = s->pending_jobs.head; l != NULL && batch.left > 0; l = l->next)
     if (job_ends (l->data))
       add_end (l->data, &batch);
-  for (GList *l = s->touched.head; l != NULL && batch.left > 0; l = l->next)
-    if (wants_mark (l->data))
-      add_mark (l->data, &batch);
+  for (GList *l = s->pending_jobs.head; l != NULL && batch.left > 0; l = l->next)
+    if (wants_watermark (l->data))
+      add_watermark (l->data, &batch);
   /* Without spare changes each further one would hold up the ends and marks of the next batch. */
   guint chunks = spare ? G_MAXUINT : FT_CHUNKS_WITHOUT_SPARE;
   guint drops = chunks;
-  for (GList *l = s->touched.head; l != NULL && batch.left > 0 && chunks > 0; l = l->next) {
+  for (GList *l = s->pending_jobs.head; l != NULL && batch.left > 0 && chunks > 0; l = l->next) {
     const FtJob *job = l->data;
     if (!job->final_in_flight && !job->conflicted && !job_ends (job))
       chunks = add_chunks (s, l->data, &batch, chunks);
   }
-  s->looked_at += g_queue_get_length (&s->touched);
-  keep_touched (s);
-  for (; batch.left > 0 && drops > 0 && !g_queue_is_empty (&s->closing); drops--)
-    batch_add (&batch, g_queue_pop_head (&s->closing));
+  s->looked_at += g_queue_get_length (&s->pending_jobs);
+  requeue_pending_jobs (s);
+  for (; batch.left > 0 && drops > 0 && !g_queue_is_empty (&s->chunk_deletions); drops--)
+    batch_add (&batch, g_queue_pop_head (&s->chunk_deletions));
   return batch.writes;
 }
 
@@ -254,9 +257,9 @@
   gpointer key;
   g_hash_table_iter_init (&it, job->written);
   while (g_hash_table_iter_next (&it, &key, NULL)) {
-    FtWrite *drop = ft_write_new (FT_WRITE_CHUNK_DROP, job->spec->ref);
+    FtWrite *drop = ft_write_new (FT_WRITE_CHUNK_DELETE, job->spec->ref);
     drop->chunk = GPOINTER_TO_UINT (key);
-    g_queue_push_tail (&s->closing, drop);
+    g_queue_push_tail (&s->chunk_deletions, drop);
   }
 }
 
@@ -277,13 +280,13 @@
 {
   FtJob *job = g_hash_table_lookup (s->jobs, write->name);
   switch (write->kind) {
-  case FT_WRITE_ROSTER:
-  case FT_WRITE_ROSTER_DROP:
-    ft_roster_written (s, write, TRUE);
+  case FT_WRITE_REGISTRY_ROW:
+  case FT_WRITE_REGISTRY_ROW_DELETE:
+    ft_registry_written (s, write, TRUE);
     break;
-  case FT_WRITE_SENT:
+  case FT_WRITE_WATERMARK:
     if (job != NULL)
-      mark_written (job, write->sent);
+      watermark_written (job, write->watermark);
     break;
   case FT_WRITE_CHUNK:
     chunk_written (s, write);
@@ -312,30 +315,30 @@
 {
   FtJob *job = g_hash_table_lookup (s->jobs, write->name);
   switch (write->kind) {
-  case FT_WRITE_ROSTER:
-  case FT_WRITE_ROSTER_DROP:
-    ft_roster_written (s, write, FALSE);
+  case FT_WRITE_REGISTRY_ROW:
+  case FT_WRITE_REGISTRY_ROW_DELETE:
+    ft_registry_written (s, write, FALSE);
     break;
-  case FT_WRITE_MARK_DROP:
-    g_queue_push_tail (&s->marks_drop, g_strdup (write->name));
+  case FT_WRITE_DRAIN_DELETE:
+    g_queue_push_tail (&s->drain_deletions, g_strdup (write->name));
     break;
-  case FT_WRITE_SENT:
+  case FT_WRITE_WATERMARK:
     if (job == NULL)
       break;
-    job->sent_in_flight = FALSE;
-    ft_job_touch (job);
+    job->watermark_in_flight = FALSE;
+    ft_job_queue_write (job);
     break;
   case FT_WRITE_CHUNK:
     if (job == NULL)
       break;
-    g_hash_table_add (job->dirty, GUINT_TO_POINTER (write->chunk));
+    g_hash_table_add (job->dirty_chunks, GUINT_TO_POINTER (write->chunk));
     job->chunk_at = s->now;
-    ft_job_touch (job);
+    ft_job_queue_write (job);
     break;
-  case FT_WRITE_CHUNK_DROP: {
-    FtWrite *again = ft_write_new (FT_WRITE_CHUNK_DROP, write->name);
+  case FT_WRITE_CHUNK_DELETE: {
+    FtWrite *again = ft_write_new (FT_WRITE_CHUNK_DELETE, write->name);
     again->chunk = write->chunk;
-    g_queue_push_tail (&s->closing, again);
+    g_queue_push_tail (&s->chunk_deletions, again);
     break;
   }
   case FT_WRITE_JOB_DONE:
@@ -344,7 +347,7 @@
     if (job == NULL)
       break;
     job->final_in_flight = FALSE;
-    ft_job_touch (job);
+    ft_job_queue_write (job);
     break;
   }
 }
@@ -369,18 +372,18 @@
   if (job == NULL)
     return NULL;
   job->conflicted = FALSE;
-  ft_job_touch (job);
+  ft_job_queue_write (job);
   return job;
 }
 
 void
-ft_scheduler_job_stands (FtScheduler *s, const char *ref, guint64 stamp, gint64 now)
+ft_scheduler_job_stands (FtScheduler *s, const char *ref, guint64 revision, gint64 now)
 {
   FtJob *job = conflict_over (s, ref, now);
   if (job == NULL)
     return;
   g_warning ("job %s: open at another revision than was known", ref);
-  job->stamp = stamp;
+  job->revision = revision;
 }
 
 void
@@ -390,7 +393,7 @@
   if (job == NULL)
     return;
   if (!done) {
-    ft_job_withdraw (s, job, s->now);
+    ft_job_cancel (s, job, s->now);
     return;
   }
   leave_chunks (s, job);
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -5,7 +5,7 @@
 struct _FtLease {
   char *member;
   guint64 incarnation;
-  gint64 lease_us, sweep_us, hold_us;
+  gint64 lease_us, sweep_us, answer_grace_us;
   gint64 sent_lease_us; /* written by the claim or renewal sent last */
   double jitter, renew_fraction;
   GRand *random;
@@ -13,19 +13,19 @@
 
   FtLeaseRows seen;
   gint64 unrenewed_since; /* when the present rows were first seen */
-  gboolean sighted;
+  gboolean rows_known;
   gint64 next_sweep;
   gint64 abstain_until;
   gint64 fence_since;                    /* when the present fence was first seen */
   gboolean suspected, suspicion_checked; /* the rows were read after the hint */
-  gboolean suspicion_sure;
+  gboolean suspicion_confirmed;
 
-  guint64 token;       /* ours, while acquiring or holding */
-  guint64 fence_stamp; /* of our acquisition */
+  guint64 token;          /* ours, while acquiring or holding */
+  guint64 fence_revision; /* of our acquisition */
   gint64 valid_until;
-  gint64 last_contact; /* when the last renewal that succeeded was sent */
-  gboolean informed;   /* all withdrawals before `known_until` are known */
-  gint64 known_until;
+  gint64 last_contact;          /* when the last renewal that succeeded was sent */
+  gboolean cancellations_known; /* all cancellations before `cancellations_known_until` are known */
+  gint64 cancellations_known_until;
   gint64 next_renewal;
 };
 
@@ -38,14 +38,15 @@
 }
 
 FtLease *
-ft_lease_new (const char *member, guint64 incarnation, gint64 lease_us, gint64 sweep_us, gint64 hold_us, guint32 seed)
+ft_lease_new (const char *member, guint64 incarnation, gint64 lease_us, gint64 sweep_us, gint64 answer_grace_us,
+              guint32 seed)
 {
   FtLease *lease = g_new0 (FtLease, 1);
   lease->member = g_strdup (member);
   lease->incarnation = incarnation;
   lease->lease_us = lease_us;
   lease->sweep_us = sweep_us;
-  lease->hold_us = hold_us;
+  lease->answer_grace_us = answer_grace_us;
   lease->jitter = FT_SWEEP_JITTER;
   lease->renew_fraction = FT_RENEW_FRACTION;
   lease->random = g_rand_new_with_seed (seed);
@@ -99,8 +100,8 @@
   case FT_LEASE_ACQUIRING:
     return from == FT_LEASE_FOLLOWING;
   case FT_LEASE_HOLDING:
-    return from == FT_LEASE_ACQUIRING || from == FT_LEASE_LAPSED;
-  case FT_LEASE_LAPSED:
+    return from == FT_LEASE_ACQUIRING || from == FT_LEASE_EXPIRED;
+  case FT_LEASE_EXPIRED:
     return from == FT_LEASE_HOLDING;
   }
   return FALSE;
@@ -132,16 +133,16 @@
 static void
 sweep_again_soon (FtLease *lease, gint64 now)
 {
-  lease->next_sweep = now + MIN (lease->next_sweep - now, (gint64) (FT_BLIND_AGAIN_S * FT_SECOND));
+  lease->next_sweep = now + MIN (lease->next_sweep - now, (gint64) (FT_SWEEP_RETRY_S * FT_SECOND));
 }
 
 void
 ft_lease_observe (FtLease *lease, gint64 now, const FtLeaseRows *rows)
 {
-  gboolean same = lease->sighted && rows->fence_stamp == lease->seen.fence_stamp
-                  && rows->renewal_stamp == lease->seen.renewal_stamp;
+  gboolean same = lease->rows_known && rows->fence_revision == lease->seen.fence_revision
+                  && rows->renewal_revision == lease->seen.renewal_revision;
   lease->suspicion_checked = lease->suspected && same;
-  if (!lease->sighted || rows->fence_stamp != lease->seen.fence_stamp)
+  if (!lease->rows_known || rows->fence_revision != lease->seen.fence_revision)
     lease->fence_since = now;
   if (!same) {
     lease->suspected = FALSE; /* it has renewed, or another leads */
@@ -150,17 +151,17 @@
     lease->seen = *rows;
     lease->seen.holder = g_strdup (rows->holder);
   }
-  lease->sighted = TRUE;
+  lease->rows_known = TRUE;
   plan_sweep (lease, now);
   if (lease->suspected)
     sweep_again_soon (lease, now);
-  gboolean leading = lease->state == FT_LEASE_HOLDING || lease->state == FT_LEASE_LAPSED;
-  if (leading && rows->fence_stamp != lease->fence_stamp && rows->token > lease->token)
+  gboolean leading = lease->state == FT_LEASE_HOLDING || lease->state == FT_LEASE_EXPIRED;
+  if (leading && rows->fence_revision != lease->fence_revision && rows->token > lease->token)
     ft_lease_lost (lease, now);
 }
 
 void
-ft_lease_blind (FtLease *lease, gint64 now)
+ft_lease_sweep_failed (FtLease *lease, gint64 now)
 {
   /* While we cannot see the rows, the holder may be unable to renew them. */
   lease->unrenewed_since = now;
@@ -173,14 +174,14 @@
  * one from all sides, and claims at first sight made a new leader twice a second:
  * only a witness for the mesh, and a leader that is not new, allow that. */
 void
-ft_lease_suspect (FtLease *lease, const char *holder, gboolean sure, gint64 now)
+ft_lease_suspect (FtLease *lease, const char *holder, gboolean confirmed, gint64 now)
 {
-  if (lease->state != FT_LEASE_FOLLOWING || lease->suspected || !lease->sighted
+  if (lease->state != FT_LEASE_FOLLOWING || lease->suspected || !lease->rows_known
       || g_strcmp0 (lease->seen.holder, holder) != 0)
     return;
   g_message ("lease %s: holder %s is suspected to be gone", lease->member, holder);
   lease->suspected = TRUE;
-  lease->suspicion_sure = sure && now - lease->fence_since > (gint64) (FT_SUSPECT_CALM_S * FT_SECOND);
+  lease->suspicion_confirmed = confirmed && now - lease->fence_since > (gint64) (FT_SUSPECT_STABLE_S * FT_SECOND);
   lease->suspicion_checked = FALSE;
   lease->next_sweep = now;
 }
@@ -210,15 +211,15 @@
 gboolean
 ft_lease_acquire_due (const FtLease *lease, gint64 now)
 {
-  if (lease->state != FT_LEASE_FOLLOWING || !lease->sighted)
+  if (lease->state != FT_LEASE_FOLLOWING || !lease->rows_known)
     return FALSE;
   if (now < lease->abstain_until)
     return FALSE;
-  if (lease->seen.fence_stamp == 0 || holder_is_self (lease) || lease->seen.released)
+  if (lease->seen.fence_revision == 0 || holder_is_self (lease) || lease->seen.released)
     return TRUE;
   gint64 longest = MAX (lease->lease_us, lease->seen.lease_us), quiet = now - lease->unrenewed_since;
   if (lease->suspected && lease->suspicion_checked)
-    return lease->suspicion_sure || quiet > renewal_overdue (lease, longest);
+    return lease->suspicion_confirmed || quiet > renewal_overdue (lease, longest);
   return quiet > (gint64) (longest * (1 + FT_CLOCK_DRIFT));
 }
 
@@ -226,8 +227,8 @@
 ft_lease_claim (FtLease *lease, gint64 now)
 {
   FtLeaseClaim claim = { .token = lease->seen.token + 1,
-                         .fence_stamp = lease->seen.fence_stamp,
-                         .renewal_stamp = lease->seen.renewal_stamp,
+                         .fence_revision = lease->seen.fence_revision,
+                         .renewal_revision = lease->seen.renewal_revision,
                          .check_renewal = !holder_is_self (lease) };
   lease->suspected = lease->suspicion_checked = FALSE;
   lease->token = claim.token;
@@ -248,20 +249,20 @@
 }
 
 void
-ft_lease_acquired (FtLease *lease, gint64 sent_at, guint64 stamp)
+ft_lease_acquired (FtLease *lease, gint64 sent_at, guint64 revision)
 {
   if (!set_state (lease, FT_LEASE_HOLDING))
     return;
-  lease->fence_stamp = stamp;
+  lease->fence_revision = revision;
   lease->last_contact = 0;
-  lease->informed = FALSE;
+  lease->cancellations_known = FALSE;
   extend (lease, sent_at);
 }
 
 void
 ft_lease_claim_failed (FtLease *lease, gint64 now)
 {
-  lease->sighted = FALSE;
+  lease->rows_known = FALSE;
   lease->next_sweep = now;
   lease->token = 0;
   set_state (lease, FT_LEASE_FOLLOWING);
@@ -270,7 +271,7 @@
 gboolean
 ft_lease_renew_due (const FtLease *lease, gint64 now)
 {
-  return (lease->state == FT_LEASE_HOLDING || lease->state == FT_LEASE_LAPSED) && now >= lease->next_renewal;
+  return (lease->state == FT_LEASE_HOLDING || lease->state == FT_LEASE_EXPIRED) && now >= lease->next_renewal;
 }
 
 void
@@ -283,12 +284,12 @@
 void
 ft_lease_renewed (FtLease *lease, gint64 sent_at)
 {
-  if (lease->state != FT_LEASE_HOLDING && lease->state != FT_LEASE_LAPSED)
+  if (lease->state != FT_LEASE_HOLDING && lease->state != FT_LEASE_EXPIRED)
     return;
   /* The renewal was conditional on our fence: nobody acquired in between, so a
-   * lapsed holder may go on where it stopped. */
+   * expired holder may go on where it stopped. */
   extend (lease, sent_at);
-  if (lease->state == FT_LEASE_LAPSED)
+  if (lease->state == FT_LEASE_EXPIRED)
     set_state (lease, FT_LEASE_HOLDING);
 }
 
@@ -296,16 +297,16 @@
 ft_lease_renew_failed (FtLease *lease, gint64 now)
 {
   lease->next_renewal
-      = now + (gint64) (g_rand_double_range (lease->random, FT_RENEW_AGAIN_LEAST_S, FT_RENEW_AGAIN_MOST_S) * FT_SECOND);
+      = now + (gint64) (g_rand_double_range (lease->random, FT_RENEW_AGAIN_MIN_S, FT_RENEW_AGAIN_MAX_S) * FT_SECOND);
 }
 
 void
 ft_lease_lost (FtLease *lease, gint64 now)
 {
   lease->token = 0;
-  lease->fence_stamp = 0;
+  lease->fence_revision = 0;
   lease->valid_until = 0;
-  lease->sighted = FALSE;
+  lease->rows_known = FALSE;
   lease->next_sweep = now;
   set_state (lease, FT_LEASE_FOLLOWING);
 }
@@ -321,42 +322,43 @@
 ft_lease_tick (FtLease *lease, gint64 now)
 {
   if (lease->state == FT_LEASE_HOLDING && now >= lease->valid_until)
-    set_state (lease, FT_LEASE_LAPSED);
+    set_state (lease, FT_LEASE_EXPIRED);
 }
 
 void
-ft_lease_knows (FtLease *lease, gint64 at)
+ft_lease_cancellations_known (FtLease *lease, gint64 at)
 {
-  lease->known_until = lease->informed ? MAX (lease->known_until, at) : at;
-  lease->informed = TRUE;
+  lease->cancellations_known_until = lease->cancellations_known ? MAX (lease->cancellations_known_until, at) : at;
+  lease->cancellations_known = TRUE;
 }
 
 void
-ft_lease_cede (FtLease *lease, gint64 now)
+ft_lease_yield (FtLease *lease, gint64 now)
 {
   lease->valid_until = MIN (lease->valid_until, now);
   ft_lease_tick (lease, now);
 }
 
-/* A renewal that succeeds after an outage says nothing of what was withdrawn
+/* A renewal that succeeds after an outage says nothing of what was cancelled
  * meanwhile: no start before that has been seen too. */
 gboolean
 ft_lease_may_start (const FtLease *lease, gint64 now)
 {
-  return lease->state == FT_LEASE_HOLDING && now < lease->valid_until && lease->informed
-         && now < lease->known_until + (gint64) (FT_KNOWN_FRESH_S * FT_SECOND);
+  return lease->state == FT_LEASE_HOLDING && now < lease->valid_until && lease->cancellations_known
+         && now < lease->cancellations_known_until + (gint64) (FT_CANCELLATIONS_FRESH_S * FT_SECOND);
 }
 
 /* An answer prolongs the lease of a worker, and with it whatever runs there: also what
- * was withdrawn after the last sight of withdrawals, or, of a new holder, before its
+ * was cancelled after the last sight of cancellations, or, of a new holder, before its
  * first one, however long ago that was. Hence no answer before the rows are read, and
  * the hold counts from the older of the last renewal and that sight. */
 gboolean
 ft_lease_may_answer (const FtLease *lease, gint64 now)
 {
-  if (lease->state != FT_LEASE_HOLDING && lease->state != FT_LEASE_LAPSED)
+  if (lease->state != FT_LEASE_HOLDING && lease->state != FT_LEASE_EXPIRED)
     return FALSE;
-  return lease->informed && now < MIN (lease->last_contact, lease->known_until) + lease->hold_us;
+  return lease->cancellations_known
+         && now < MIN (lease->last_contact, lease->cancellations_known_until) + lease->answer_grace_us;
 }
 
 guint64
@@ -366,9 +368,9 @@
 }
 
 guint64
-ft_lease_fence_stamp (const FtLease *lease)
+ft_lease_fence_revision (const FtLease *lease)
 {
-  return lease->fence_stamp;
+  return lease->fence_revision;
 }
 
 const char *
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -10,29 +10,29 @@
 typedef enum {
   FT_LEASE_FOLLOWING, /* somebody else may hold the lease, or nobody */
   FT_LEASE_ACQUIRING, /* our acquisition is in flight or unanswered */
-  FT_LEASE_HOLDING,   /* we hold it and may place until it lapses */
-  FT_LEASE_LAPSED,    /* not renewed in time: no starts, answers only (hold) */
+  FT_LEASE_HOLDING,   /* we hold it and may place until it expires */
+  FT_LEASE_EXPIRED,   /* not renewed in time: no starts, answers only (hold) */
 } FtLeaseState;
 
 typedef struct _FtLease FtLease;
 
-/* What was read of the two rows; a stamp of 0 means the row does not exist. */
+/* What was read of the two rows; a revision of 0 means the row does not exist. */
 typedef struct {
   guint64 token;
   char *holder;
   guint64 incarnation;
-  guint64 fence_stamp;
-  guint64 renewal_stamp;
+  guint64 fence_revision;
+  guint64 renewal_revision;
   gint64 lease_us;   /* the lease time its holder counts with; 0: unknown */
   gboolean released; /* the holder has given the lease up */
 } FtLeaseRows;
 
 void ft_lease_rows_clear (FtLeaseRows *rows);
 
-/* `hold_us` is the longest time after the last contact with the state service
- * during which a lapsed holder may still answer reports. */
-FtLease *ft_lease_new (const char *member, guint64 incarnation, gint64 lease_us, gint64 sweep_us, gint64 hold_us,
-                       guint32 seed);
+/* `answer_grace_us` is the longest time after the last contact with the state service
+ * during which a expired holder may still answer reports. */
+FtLease *ft_lease_new (const char *member, guint64 incarnation, gint64 lease_us, gint64 sweep_us,
+                       gint64 answer_grace_us, guint32 seed);
 void ft_lease_free (FtLease *lease);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtLease, ft_lease_free)
 
@@ -48,14 +48,14 @@
 /* The rows as read by an answer that came at `now`. */
 void ft_lease_observe (FtLease *lease, gint64 now, const FtLeaseRows *rows);
 /* A sweep failed: time without sight of the rows does not count against the holder. */
-void ft_lease_blind (FtLease *lease, gint64 now);
+void ft_lease_sweep_failed (FtLease *lease, gint64 now);
 
 /* Peers find this holder gone. A hint only: it makes us look at the rows at once
- * and claim before the lease time is over: if `sure` (another peer answers us) and the
+ * and claim before the lease time is over: if `confirmed` (another peer answers us) and the
  * fence is not new, when they stand still, else when a renewal is overdue. The claim is
  * fenced like any other, but the holder may live: it can start nothing beyond the
- * jobs' committed marks, and what lies below them waits for the machines. */
-void ft_lease_suspect (FtLease *lease, const char *holder, gboolean sure, gint64 now);
+ * jobs' committed dispatch watermark, and what lies below them waits for the machines. */
+void ft_lease_suspect (FtLease *lease, const char *holder, gboolean confirmed, gint64 now);
 
 gboolean ft_lease_sweep_due (const FtLease *lease, gint64 now);
 gboolean ft_lease_acquire_due (const FtLease *lease, gint64 now);
@@ -64,12 +64,12 @@
 /* Starts an acquisition; fills what it must be conditional on and write. */
 typedef struct {
   guint64 token;
-  guint64 fence_stamp;
-  guint64 renewal_stamp;
+  guint64 fence_revision;
+  guint64 renewal_revision;
   gboolean check_renewal; /* the holder may live: conditional on its renewal row too */
 } FtLeaseClaim;
 FtLeaseClaim ft_lease_claim (FtLease *lease, gint64 now);
-void ft_lease_acquired (FtLease *lease, gint64 sent_at, guint64 stamp);
+void ft_lease_acquired (FtLease *lease, gint64 sent_at, guint64 revision);
 void ft_lease_claim_failed (FtLease *lease, gint64 now);
 
 void ft_lease_renew_sent (FtLease *lease, gint64 now);
@@ -83,17 +83,17 @@
 /* Moves HOLDING to LAPSED when its time is over. */
 void ft_lease_tick (FtLease *lease, gint64 now);
 
-/* The holder knows every withdrawal that was committed before `at`: the time at which
+/* The holder knows every cancellation that was committed before `at`: the time at which
  * the request was sent whose answer completes its knowledge. Never known right after an
  * acquisition, until the rows have been read. */
-void ft_lease_knows (FtLease *lease, gint64 at);
+void ft_lease_cancellations_known (FtLease *lease, gint64 at);
 /* Somebody else should lead: the holder starts nothing more, and goes on answering
  * until it is succeeded, its hold is over or a renewal succeeds after all. */
-void ft_lease_cede (FtLease *lease, gint64 now);
+void ft_lease_yield (FtLease *lease, gint64 now);
 
 gboolean ft_lease_may_start (const FtLease *lease, gint64 now);
 gboolean ft_lease_may_answer (const FtLease *lease, gint64 now);
 guint64 ft_lease_token (const FtLease *lease);
-guint64 ft_lease_fence_stamp (const FtLease *lease);
+guint64 ft_lease_fence_revision (const FtLease *lease);
 /* The holder last seen, or NULL; borrowed. */
 const char *ft_lease_holder (const FtLease *lease);
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -54,13 +54,13 @@
 }
 
 void
-ft_machine_account (FtMachine *machine)
+ft_machine_set_reconciled (FtMachine *machine)
 {
   FtScheduler *s = machine->scheduler;
-  if (machine->accounted)
+  if (machine->reconciled)
     return;
-  machine->accounted = TRUE;
-  s->dirty = TRUE;
+  machine->reconciled = TRUE;
+  s->placement_due = TRUE;
   ft_recovery_uncount (machine);
 }
 
@@ -126,18 +126,19 @@
 gboolean
 ft_machine_usable (const FtScheduler *s, const FtMachine *machine)
 {
-  return machine->state == FT_MACHINE_UP && machine->in_roster && machine->accounted && machine->knows_us
-         && !ft_machine_deaf (machine) && !ft_machine_mute (s, machine) && machine->type != NULL && !machine->drained
-         && !machine->faulty && machine->notice_until == 0 && machine->session > machine->lapsed_session
+  return machine->state == FT_MACHINE_UP && machine->registered && machine->reconciled && machine->acknowledged_token
+         && !ft_machine_not_receiving (machine) && !ft_machine_not_reporting (s, machine) && machine->type != NULL
+         && !machine->drained && !machine->faulty && machine->notice_until == 0
+         && machine->session > machine->lapsed_session
          && s->now - machine->last_report
                 < (gint64) ((s->settings->report_s * FT_REPORT_GAP + FT_USABLE_MARGIN_S) * FT_SECOND);
 }
 
 /* Its reports come, but neither answers nor commands seem to reach it. */
 gboolean
-ft_machine_deaf (const FtMachine *machine)
+ft_machine_not_receiving (const FtMachine *machine)
 {
-  return machine->deaf_since > 0;
+  return machine->not_receiving_since > 0;
 }
 
 gint64
@@ -161,13 +162,13 @@
 gint64
 ft_machine_unreported_since (const FtScheduler *s, const FtMachine *machine)
 {
-  return MAX (machine->last_checkin, MAX (s->hearing_since, s->answering_since));
+  return MAX (machine->last_checkin, MAX (s->on_time_since, s->answering_since));
 }
 
 /* Commands reach it, but its reports reach nobody: whatever is started there dies with
  * its lease. Counted from its own reports alone, while we were there to answer them. */
 gboolean
-ft_machine_mute (const FtScheduler *s, const FtMachine *machine)
+ft_machine_not_reporting (const FtScheduler *s, const FtMachine *machine)
 {
   return machine->state == FT_MACHINE_UP
          && s->now - ft_machine_unreported_since (s, machine) > ft_machine_silence_us (s);
@@ -254,19 +255,19 @@
 }
 
 void
-ft_attempt_hold (FtAttempt *attempt)
+ft_attempt_reserve (FtAttempt *attempt)
 {
-  if (!attempt->holds)
+  if (!attempt->reserved)
     count (attempt, 1);
-  attempt->holds = TRUE;
+  attempt->reserved = TRUE;
 }
 
 void
 ft_attempt_release (FtAttempt *attempt)
 {
-  if (attempt->holds)
+  if (attempt->reserved)
     count (attempt, -1);
-  attempt->holds = FALSE;
+  attempt->reserved = FALSE;
 }
 
 void
@@ -291,7 +292,7 @@
   task->attempt = NULL;
   if (task->state == FT_TASK_FINISHED || task->state == FT_TASK_DONE)
     return;
-  ft_task_set_state (job, attempt->index, job->state < FT_JOB_WITHDRAWN ? FT_TASK_QUEUED : FT_TASK_DROPPED);
+  ft_task_set_state (job, attempt->index, job->state < FT_JOB_CANCELLING ? FT_TASK_QUEUED : FT_TASK_DROPPED);
 }
 
 void
@@ -311,7 +312,7 @@
   FtMachine *machine = attempt->machine;
   ft_attempt_release (attempt);
   unbind (attempt);
-  s->dirty = TRUE;
+  s->placement_due = TRUE;
   if (ft_machine_idle (machine))
     machine->idle_since = s->now;
   if (!(attempt->exited && attempt->listed))
@@ -336,10 +337,10 @@
 {
   g_message ("machine %s: gone (%s)", machine->name, why);
   ft_machine_end_session (s, machine);
-  ft_machine_account (machine);
+  ft_machine_set_reconciled (machine);
   g_queue_remove (&s->returning, machine);
   ft_machine_set_state (machine, FT_MACHINE_GONE);
   g_hash_table_add (s->gone, g_strdup (machine->name));
-  ft_roster_remove (s, machine);
-  s->dirty = TRUE;
+  ft_registry_remove (s, machine);
+  s->placement_due = TRUE;
 }
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -14,7 +14,7 @@
 typedef struct _FtTeam FtTeam;
 typedef struct _FtMachine FtMachine;
 typedef struct _FtAttempt FtAttempt;
-typedef struct _FtRosterRow FtRosterRow;
+typedef struct _FtRegistryRow FtRegistryRow;
 
 typedef enum {
   FT_TASK_UNKNOWN,  /* after a takeover: may be on a machine not yet heard from */
@@ -25,7 +25,7 @@
   FT_TASK_SAVING,
   FT_TASK_FINISHED, /* reported done, not committed yet */
   FT_TASK_DONE,     /* done and committed */
-  FT_TASK_DROPPED,  /* its job was withdrawn and it is on no machine */
+  FT_TASK_DROPPED,  /* its job was cancelled and it is on no machine */
 } FtTaskState;
 
 typedef struct {
@@ -39,42 +39,42 @@
 typedef enum {
   FT_JOB_WAITING, /* for jobs that it needs: nothing of it is placed, and it counts nowhere */
   FT_JOB_OPEN,
-  FT_JOB_WITHDRAWN, /* tasks are being stopped */
-  FT_JOB_CLOSED,    /* final state committed; about to be freed */
+  FT_JOB_CANCELLING, /* tasks are being stopped */
+  FT_JOB_CLOSED,     /* final state committed; about to be freed */
 } FtJobState;
 
 struct _FtJob {
   FtScheduler *scheduler; /* borrowed; NULL in tests of the job alone */
   FtJobSpec *spec;
   FtJobState state;
-  guint64 stamp; /* revision of the job's row while it is open */
+  guint64 revision; /* revision of the job's row while it is open */
   FtTeam *team;
   FtTask *tasks;
   guint counts[FT_TASK_DROPPED + 1];
-  guint scan_from;      /* no queued task has a lower index */
-  GHashTable *written;  /* chunks of the done-set that are in the store */
-  GHashTable *dirty;    /* chunks with finished, uncommitted tasks */
-  GHashTable *attempts; /* set of FtAttempt of this job, borrowed */
-  gboolean touched;     /* waits in the scheduler's queue of jobs to write */
-  guint sent_wanted;    /* the mark (spec->sent) that placed tasks need */
-  gboolean sent_in_flight;
+  guint scan_from;          /* no queued task has a lower index */
+  GHashTable *written;      /* chunks of the done-set that are in the store */
+  GHashTable *dirty_chunks; /* chunks with finished, uncommitted tasks */
+  GHashTable *attempts;     /* set of FtAttempt of this job, borrowed */
+  gboolean write_queued;    /* waits in the scheduler's queue of jobs to write */
+  guint wanted_watermark;   /* the dispatch watermark (spec->dispatch_watermark) that placed tasks need */
+  gboolean watermark_in_flight;
   gint64 chunk_at; /* earliest next write of a chunk */
   gboolean final_in_flight, conflicted;
   gint64 accepted_at;
-  gint64 ready_at;          /* from when it could be placed: accepted, and all that it needs done */
-  gint64 deadline_at;       /* its own, or the earliest of those that need it; 0: none */
-  FtPriority priority;      /* its own, or the highest of those that need it */
-  gboolean needs_cancelled; /* a job that it needs is cancelled, and so it will be */
-  gint64 withdrawn_at;      /* when its withdrawal was committed, for all we know */
-  gboolean withdrawal_read; /* from its row, not from a hint */
+  gint64 ready_at;            /* from when it could be placed: accepted, and all that it needs done */
+  gint64 deadline_at;         /* its own, or the earliest of those that need it; 0: none */
+  FtPriority priority;        /* its own, or the highest of those that need it */
+  gboolean needs_cancelled;   /* a job that it needs is cancelled, and so it will be */
+  gint64 cancelled_at;        /* when its cancellation was committed, for all we know */
+  gboolean cancellation_read; /* from its row, not from a hint */
   gboolean guaranteed, too_late;
-  gboolean begun;    /* a task of it has been placed, or was found done or on a machine */
-  gboolean overlong; /* it has waited to begin for as long as any may */
+  gboolean begun;   /* a task of it has been placed, or was found done or on a machine */
+  gboolean starved; /* it has waited to begin for as long as any may */
   const FtMachine *failed_on[FT_MISTAKEN_MACHINES]; /* different machines, the first few; compared only */
   guint n_failed_on;
   gint64 failed_after; /* longest run of a task that failed */
   gint64 not_before;
-  gint64 pass_blocked; /* pass in which no machine had room */
+  gint64 no_room_pass; /* pass in which no machine had room */
 };
 
 struct _FtTeam {
@@ -99,22 +99,22 @@
   gboolean spot;
   FtMachineState state; /* changed by ft_machine_set_state() only */
   guint64 session, sequence;
-  guint64 lapsed_session; /* sessions up to here are over */
-  gboolean knows_us;      /* it has shown our token: a report with a lower one is a late copy */
-  guint64 answered;       /* highest sequence of this session that we have answered */
-  guint unheard;          /* newer reports in a row that show nothing of our answers */
-  gint64 deaf_since;      /* 0: it hears us, for all we know */
+  guint64 lapsed_session;      /* sessions up to here are over */
+  gboolean acknowledged_token; /* it has shown our token: a report with a lower one is a late copy */
+  guint64 answered;            /* highest sequence of this session that we have answered */
+  guint unacknowledged;        /* newer reports in a row that show nothing of our answers */
+  gint64 not_receiving_since;  /* 0: it hears us, for all we know */
   gint64 rented_at, last_report, last_answer, idle_since;
   gint64 last_checkin; /* its last report of its own, not the answer to a command of ours */
   gint64 notice_until; /* 0: none */
   gint64 probe_at;
-  guint probe_fails;      /* direct requests without answer since the last report */
-  gint64 return_at;       /* earliest next try of a return */
-  gboolean counted;       /* among the scheduler's unaccounted ones */
-  gboolean accounted;     /* heard under our token, or certainly empty; ft_machine_account() sets it */
-  FtRosterRow *row;       /* the roster row that names it; NULL: none yet */
-  FtRosterRow *split_row; /* a stored row that names it until `row` is stored; NULL: none */
-  gboolean in_roster;     /* that row is committed */
+  guint probe_fails;             /* direct requests without answer since the last report */
+  gint64 return_at;              /* earliest next try of a return */
+  gboolean counted_unreconciled; /* among the scheduler's unreconciled ones */
+  gboolean reconciled;           /* heard under our token, or certainly empty; ft_machine_set_reconciled() sets it */
+  FtRegistryRow *row;            /* the registry row that names it; NULL: none yet */
+  FtRegistryRow *split_row;      /* a stored row that names it until `row` is stored; NULL: none */
+  gboolean registered;           /* that row is committed */
   gboolean direct_queued, probe_queued;
   gboolean drained; /* by an operator */
   gboolean faulty;
@@ -122,7 +122,7 @@
   gboolean command_in_flight, return_in_flight;
   gboolean in_doubt;            /* a direct start of this session got no answer */
   guint faults;                 /* failures in a row that count against it; see fault.h */
-  guint64 last_failed;          /* stamp of the job that failed here last */
+  guint64 last_failed;          /* revision of the job that failed here last */
   double cpus, gpus, memory_gb; /* taken by attempts not known to be over */
   GHashTable *attempts;         /* set of FtAttempt, owned */
   GHashTable *images;           /* names known to be cached */
@@ -135,8 +135,8 @@
   guint index;
   FtMachine *machine;
   guint64 session;
-  gboolean bound; /* task->attempt is this */
-  gboolean holds; /* counted in the machine's and the team's use */
+  gboolean bound;    /* task->attempt is this */
+  gboolean reserved; /* counted in the machine's and the team's use */
   FtTeam *team;
   double cpus, gpus, memory_gb;
   gboolean shown, listed, exited, running, has_image;
@@ -151,14 +151,14 @@
   gint64 placed_at, running_at, placed_pass;
 };
 
-/* A row of the roster names many machines, so that a large fleet costs few
+/* A row of the registry names many machines, so that a large fleet costs few
  * changes at the store. */
-struct _FtRosterRow {
+struct _FtRegistryRow {
   char *id;
   GPtrArray *machines; /* FtMachine, borrowed */
   gsize bytes;         /* about what its value takes */
   guint moving;        /* machines that leave it in a split and are not stored in their new row yet */
-  gboolean dirty, in_flight, stored;
+  gboolean write_queued, in_flight, stored;
   gint64 write_at; /* earliest write, for what is not urgent */
 };
 
@@ -166,13 +166,13 @@
   const FtSettings *settings;
   FtCatalog *catalog;
   guint64 token;
-  gint64 now, took_over_at, hold_us;
+  gint64 now, took_over_at, answer_grace_us;
   gint64 loaded_at; /* when the rows were read */
   GRand *random;
   guint64 next_attempt, next_booking;
   FtTuning tuning;
   GHashTable *drained; /* names drained by operators */
-  gboolean loaded, recovered, may_start, dirty;
+  gboolean loaded, recovered, may_start, placement_due;
   gint64 pass;
   FtTeam *teams;
   GHashTable *jobs;             /* ref -> FtJob, owned */
@@ -188,33 +188,33 @@
   GPtrArray *victims;  /* scratch of a pass: FtAttempt that may be stopped, youngest first; NULL: not made */
   guint stops_pending; /* with `victims`: stops under way */
   guint looked_at;     /* machines and jobs looked at so far: what bounds of work are tested on */
-  GQueue touched;      /* FtJob that may have something to write */
+  GQueue pending_jobs; /* FtJob that may have something to write */
   GQueue directs;      /* FtMachine that may want a direct request */
   GQueue probes;       /* FtMachine to be asked whether they are there */
   guint probes_in_flight;
-  gint64 last_heard;               /* report under our token: proof that workers hear us */
-  gint64 last_tick, hearing_since; /* silence before the latter proves nothing: we were late ourselves */
-  gint64 answering_since;          /* until then reports went unanswered */
-  gint64 cloud_answered_at;        /* 0: never */
-  gint64 known_until;              /* all withdrawals before that time are known */
-  GQueue returning;                /* FtMachine to be returned */
-  GHashTable *rows;                /* id -> FtRosterRow, owned */
-  guint value_divisor;             /* what refusals have lowered the largest value by */
-  gboolean wrote_roster;           /* the last batch had roster rows in it */
-  GQueue dirty_rows;               /* FtRosterRow */
-  FtRosterRow *open_row;           /* the one that takes new machines */
+  gint64 last_heard;                /* report under our token: proof that workers hear us */
+  gint64 last_tick, on_time_since;  /* silence before the latter proves nothing: we were late ourselves */
+  gint64 answering_since;           /* until then reports went unanswered */
+  gint64 cloud_answered_at;         /* 0: never */
+  gint64 cancellations_known_until; /* all cancellations before that time are known */
+  GQueue returning;                 /* FtMachine to be returned */
+  GHashTable *rows;                 /* id -> FtRegistryRow, owned */
+  guint value_divisor;              /* what refusals have lowered the largest value by */
+  gboolean wrote_registry;          /* the last batch had registry rows in it */
+  GQueue pending_rows;              /* FtRegistryRow */
+  FtRegistryRow *open_row;          /* the one that takes new machines */
   guint64 next_row;
-  guint unaccounted; /* machines not accounted for, and what they can hold */
-  double unaccounted_cpus, unaccounted_gpus;
-  GQueue marks_drop; /* names whose operators' marks go */
-  GQueue closing;    /* FtWrite left over: chunk rows to delete */
+  guint unreconciled; /* machines not reconciled, and what they can hold */
+  double unreconciled_cpus, unreconciled_gpus;
+  GQueue drain_deletions; /* names whose operators' marks go */
+  GQueue chunk_deletions; /* FtWrite left over: chunk rows to delete */
   gint64 next_fleet;
   FtSpotRisk spot_risk;
   gint64 spot_observed_at; /* up to when `spot_risk` counts machine-hours; 0: not begun */
   gint64 silent_window_at;
   guint silent_returned;
-  gint64 unseen_withdrawal; /* age of the oldest withdrawal of which tasks may run unseen; 0: none */
-  gboolean blind;           /* so long without sight of withdrawals that silent machines must go */
+  gint64 unseen_cancellation_us; /* age of the oldest cancellation of which tasks may run unseen; 0: none */
+  gboolean store_unreachable;    /* so long without sight of cancellations that silent machines must go */
   guint open_tasks;
 };
 
@@ -229,13 +229,13 @@
 
 /* job.c */
 /* Open, or waiting if it names jobs that it needs; ft_job_set_state() opens it then. */
-FtJob *ft_job_new (FtJobSpec *spec, FtTeam *team, guint64 stamp, FtTaskState initial);
+FtJob *ft_job_new (FtJobSpec *spec, FtTeam *team, guint64 revision, FtTaskState initial);
 void ft_job_free (FtJob *job);
 gboolean ft_job_set_state (FtJob *job, FtJobState to);
 const char *ft_job_state_name (FtJobState state);
 guint ft_job_live (const FtJob *job); /* tasks bound to machines */
 guint ft_job_finished (const FtJob *job);
-void ft_job_mark_dirty (FtJob *job, guint index);
+void ft_job_mark_chunk_dirty (FtJob *job, guint index);
 guint ft_job_chunks (const FtJob *job);
 char *ft_job_chunk_bits (const FtJob *job, guint chunk);
 /* The tasks that such bits name: a new array of their indexes. */
@@ -247,8 +247,8 @@
 /* open_jobs.c: the jobs that are open, their life and what they wait for */
 void ft_open_jobs_init (FtScheduler *s);
 void ft_open_jobs_clear (FtScheduler *s);
-/* Nothing of the job starts any more, and what runs is stopped; `at`: when its withdrawal was committed. */
-void ft_job_withdraw (FtScheduler *s, FtJob *job, gint64 at);
+/* Nothing of the job starts any more, and what runs is stopped; `at`: when its cancellation was committed. */
+void ft_job_cancel (FtScheduler *s, FtJob *job, gint64 at);
 /* Its end is in the store: frees the job; what is left of it on machines is stopped. */
 void ft_job_close (FtScheduler *s, FtJob *job, FtJobEnd end);
 
@@ -271,15 +271,15 @@
 gboolean ft_machine_set_state (FtMachine *machine, FtMachineState to);
 const char *ft_machine_state_name (FtMachineState state);
 gboolean ft_machine_usable (const FtScheduler *s, const FtMachine *machine);
-void ft_machine_account (FtMachine *machine);
+void ft_machine_set_reconciled (FtMachine *machine);
 /* The machine may want a direct request. */
 void ft_machine_queue_direct (FtMachine *machine);
 void ft_machine_queue_probe (FtMachine *machine);
 /* The job may have something to write. */
-void ft_job_touch (FtJob *job);
+void ft_job_queue_write (FtJob *job);
 guint ft_machine_room (const FtMachine *machine, const FtJobSpec *spec);
-gboolean ft_machine_deaf (const FtMachine *machine);
-gboolean ft_machine_mute (const FtScheduler *s, const FtMachine *machine);
+gboolean ft_machine_not_receiving (const FtMachine *machine);
+gboolean ft_machine_not_reporting (const FtScheduler *s, const FtMachine *machine);
 /* How long a worker keeps its tasks after its last answered report, at most; and how long
  * nothing comes from a machine until it counts as silent. */
 gint64 ft_machine_lease_us (const FtScheduler *s);
@@ -292,7 +292,7 @@
 gboolean ft_machine_allowed (const FtMachine *machine, const FtJobSpec *spec);
 FtAttempt *ft_machine_attempt (const FtMachine *machine, const char *ref, guint index, guint64 id);
 FtAttempt *ft_attempt_new (FtMachine *machine, FtJob *job, const char *ref, guint index, guint64 id);
-void ft_attempt_hold (FtAttempt *attempt);
+void ft_attempt_reserve (FtAttempt *attempt);
 void ft_attempt_release (FtAttempt *attempt);
 void ft_attempt_bind (FtAttempt *attempt, FtTaskState state);
 void ft_attempt_want_stop (FtAttempt *attempt, double grace_s);
@@ -313,21 +313,21 @@
 void ft_placement_fill (FtScheduler *s, FtMachine *machine);
 void ft_placement_forget (FtScheduler *s, FtJob *job);
 
-/* roster.c */
-void ft_roster_row_free (FtRosterRow *row);
-void ft_roster_add (FtScheduler *s, FtMachine *machine);
-void ft_roster_remove (FtScheduler *s, FtMachine *machine);
+/* registry.c */
+void ft_registry_row_free (FtRegistryRow *row);
+void ft_registry_add (FtScheduler *s, FtMachine *machine);
+void ft_registry_remove (FtScheduler *s, FtMachine *machine);
 /* A row as read from the store names the machine; NULL: it names one that is gone. */
-void ft_roster_loaded (FtScheduler *s, const char *id, FtMachine *machine);
+void ft_registry_loaded (FtScheduler *s, const char *id, FtMachine *machine);
 /* Rows that are due, as writes; `most` at a time. */
-void ft_roster_writes (FtScheduler *s, GPtrArray *writes, guint most);
-void ft_roster_written (FtScheduler *s, const FtWrite *write, gboolean applied);
+void ft_registry_writes (FtScheduler *s, GPtrArray *writes, guint most);
+void ft_registry_written (FtScheduler *s, const FtWrite *write, gboolean applied);
 
 /* preempt.c */
 gboolean ft_preempt_for (FtScheduler *s, FtJob *job);
 
 /* recovery.c */
 void ft_recovery_tick (FtScheduler *s);
-void ft_recovery_count (FtScheduler *s);
+void ft_recovery_recount (FtScheduler *s);
 void ft_recovery_uncount (FtMachine *machine);
-void ft_recovery_unaccounted (const FtScheduler *s, double *cpus, double *gpus);
+void ft_recovery_unreconciled (const FtScheduler *s, double *cpus, double *gpus);
--- a/src/core/open_jobs.c
+++ b/src/core/open_jobs.c
@@ -8,7 +8,7 @@
 {
   ft_job_set_state (job, FT_JOB_OPEN);
   job->ready_at = MAX (job->accepted_at, ft_dependencies_met_at (s->dependencies, job->spec->ref));
-  s->dirty = TRUE;
+  s->placement_due = TRUE;
 }
 
 /* What it needs has ended, or those that need it have changed. */
@@ -27,7 +27,7 @@
     open_job (s, job);
   if (wait == FT_WAIT_CANCELLED && !job->needs_cancelled) {
     job->needs_cancelled = TRUE;
-    ft_job_touch (job);
+    ft_job_queue_write (job);
   }
 }
 
@@ -39,7 +39,7 @@
   guint value;
   if (job != NULL) {
     *end = FT_JOB_END_CANCELLED;
-    return job->state == FT_JOB_WITHDRAWN && job->withdrawal_read;
+    return job->state == FT_JOB_CANCELLING && job->cancellation_read;
   }
   if (!ft_recent_map_find (s->closed, ref, &value))
     return FALSE;
@@ -54,7 +54,7 @@
   g_autoptr (GPtrArray) needs = g_ptr_array_new ();
   gboolean cancelled = FALSE;
   /* Marks are only raised for jobs whose needs were done: then there is nothing to read. */
-  GStrv awaits = spec->sent > 0 ? NULL : spec->awaits;
+  GStrv awaits = spec->dispatch_watermark > 0 ? NULL : spec->awaits;
   for (guint i = 0; awaits != NULL && awaits[i] != NULL; i++) {
     FtJobEnd end;
     if (!known_end (s, awaits[i], &end))
@@ -78,7 +78,7 @@
 ft_scheduler_job_end_read (FtScheduler *s, const char *ref, FtJobEnd end, gint64 age_us, gint64 now)
 {
   s->now = now;
-  /* An open job's end comes by its own write, or with its withdrawal. */
+  /* An open job's end comes by its own write, or with its cancellation. */
   if (g_hash_table_contains (s->jobs, ref))
     return;
   ft_recent_map_add (s->closed, ref, end);
@@ -104,24 +104,24 @@
 }
 
 static FtJob *
-add_job (FtScheduler *s, FtJobSpec *spec, guint64 stamp, FtTaskState initial, gint64 wall_ms)
+add_job (FtScheduler *s, FtJobSpec *spec, guint64 revision, FtTaskState initial, gint64 wall_ms)
 {
   /* An event of the watch may be older than the job's end: a job ends once. */
   if (g_hash_table_contains (s->jobs, spec->ref) || ft_recent_map_find (s->closed, spec->ref, NULL)) {
     ft_job_spec_free (spec);
     return NULL;
   }
-  FtJob *job = ft_job_new (spec, ft_quota_team (s, spec->team), stamp, initial);
+  FtJob *job = ft_job_new (spec, ft_quota_team (s, spec->team), revision, initial);
   job->scheduler = s;
   /* Each leader's starts are bounded by marks that it commits first, and the
-   * fence lets no former one raise a mark: what lies beyond was never sent. */
-  for (guint i = spec->sent; initial == FT_TASK_UNKNOWN && i < spec->tasks; i++)
+   * fence lets no former one raise a dispatch watermark: what lies beyond was never sent. */
+  for (guint i = spec->dispatch_watermark; initial == FT_TASK_UNKNOWN && i < spec->tasks; i++)
     ft_task_set_state (job, i, FT_TASK_QUEUED);
   gint64 age_us = MAX (0, wall_ms - spec->submitted_wall_ms) * 1000;
   job->accepted_at = job->ready_at = s->now - age_us;
   job->deadline_at = spec->deadline_s > 0 ? job->accepted_at + (gint64) (spec->deadline_s * FT_SECOND) : 0;
   s->open_tasks += spec->tasks;
-  s->dirty = TRUE;
+  s->placement_due = TRUE;
   g_hash_table_insert (s->jobs, spec->ref, job);
   add_dependencies (s, job);
   g_message ("job %s: %s of %s, %u tasks, %.1f s ago, estimate %.1f s, due within %.1f s", spec->ref, spec->job_class,
@@ -130,10 +130,10 @@
 }
 
 void
-ft_scheduler_load_job (FtScheduler *s, FtJobSpec *spec, guint64 stamp, gint64 now, gint64 wall_ms)
+ft_scheduler_load_job (FtScheduler *s, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms)
 {
   s->now = now;
-  add_job (s, spec, stamp, FT_TASK_UNKNOWN, wall_ms);
+  add_job (s, spec, revision, FT_TASK_UNKNOWN, wall_ms);
 }
 
 void
@@ -142,9 +142,9 @@
   FtJob *job = g_hash_table_lookup (s->jobs, ref);
   if (job == NULL) {
     /* Left over from a job that was finished in two transactions. */
-    FtWrite *drop = ft_write_new (FT_WRITE_CHUNK_DROP, ref);
+    FtWrite *drop = ft_write_new (FT_WRITE_CHUNK_DELETE, ref);
     drop->chunk = chunk;
-    g_queue_push_tail (&s->closing, drop);
+    g_queue_push_tail (&s->chunk_deletions, drop);
     return;
   }
   g_autoptr (GArray) tasks = ft_job_chunk_tasks (job, chunk, bits);
@@ -154,22 +154,22 @@
 }
 
 void
-ft_scheduler_job_added (FtScheduler *s, FtJobSpec *spec, guint64 stamp, gint64 now, gint64 wall_ms)
+ft_scheduler_job_added (FtScheduler *s, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms)
 {
   s->now = now;
-  add_job (s, spec, stamp, s->recovered ? FT_TASK_QUEUED : FT_TASK_UNKNOWN, wall_ms);
+  add_job (s, spec, revision, s->recovered ? FT_TASK_QUEUED : FT_TASK_UNKNOWN, wall_ms);
 }
 
-/* Nothing of a withdrawn job starts any more; what runs is stopped. */
+/* Nothing of a cancelled job starts any more; what runs is stopped. */
 void
-ft_job_withdraw (FtScheduler *s, FtJob *job, gint64 at)
+ft_job_cancel (FtScheduler *s, FtJob *job, gint64 at)
 {
-  if (job->state >= FT_JOB_WITHDRAWN) {
-    job->withdrawn_at = MIN (job->withdrawn_at, at);
+  if (job->state >= FT_JOB_CANCELLING) {
+    job->cancelled_at = MIN (job->cancelled_at, at);
     return;
   }
-  job->withdrawn_at = at;
-  ft_job_set_state (job, FT_JOB_WITHDRAWN);
+  job->cancelled_at = at;
+  ft_job_set_state (job, FT_JOB_CANCELLING);
   for (guint i = 0; i < job->spec->tasks; i++) {
     FtAttempt *a = job->tasks[i].attempt;
     if (job->tasks[i].state == FT_TASK_QUEUED)
@@ -181,29 +181,29 @@
     if (!a->shown && a->sent_sequence == 0 && !a->direct_in_flight && !a->direct_unanswered)
       ft_attempt_over (s, a);
   }
-  s->dirty = TRUE;
+  s->placement_due = TRUE;
 }
 
 void
-ft_scheduler_job_withdrawn (FtScheduler *s, const char *ref, gint64 age_us, gint64 now)
+ft_scheduler_job_cancelled (FtScheduler *s, const char *ref, gint64 age_us, gint64 now)
 {
   s->now = now;
   FtJob *job = g_hash_table_lookup (s->jobs, ref);
   if (job == NULL)
     return;
-  ft_job_withdraw (s, job, now - age_us);
-  job->withdrawal_read = TRUE;
-  ft_job_touch (job);
+  ft_job_cancel (s, job, now - age_us);
+  job->cancellation_read = TRUE;
+  ft_job_queue_write (job);
   ft_dependencies_settled (s->dependencies, ref, FT_JOB_END_CANCELLED, now);
 }
 
 void
-ft_scheduler_withdrawal_hinted (FtScheduler *s, const char *ref, gint64 now)
+ft_scheduler_cancellation_advised (FtScheduler *s, const char *ref, gint64 now)
 {
   s->now = now;
   FtJob *job = g_hash_table_lookup (s->jobs, ref);
   if (job != NULL)
-    ft_job_withdraw (s, job, now);
+    ft_job_cancel (s, job, now);
 }
 
 void
@@ -224,10 +224,10 @@
     if (job->tasks[i].state == FT_TASK_UNKNOWN)
       ft_task_set_state (job, i, FT_TASK_DROPPED);
   s->open_tasks -= job->spec->tasks;
-  s->dirty = TRUE;
+  s->placement_due = TRUE;
   ft_placement_forget (s, job);
-  if (job->touched)
-    g_queue_remove (&s->touched, job);
+  if (job->write_queued)
+    g_queue_remove (&s->pending_jobs, job);
   g_autofree char *ref = g_strdup (job->spec->ref);
   g_hash_table_remove (s->jobs, ref);
   ft_dependencies_settled (s->dependencies, ref, end, s->now);
@@ -241,7 +241,7 @@
   if (job == NULL)
     return view;
   view.known = TRUE;
-  view.withdrawn = job->state == FT_JOB_WITHDRAWN;
+  view.cancelled = job->state == FT_JOB_CANCELLING;
   view.done = ft_job_finished (job);
   view.running = ft_job_live (job) - job->counts[FT_TASK_STARTING];
   return view;
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -8,8 +8,8 @@
 by_urgency (gconstpointer a, gconstpointer b)
 {
   const FtJob *x = *(FtJob *const *) a, *y = *(FtJob *const *) b;
-  if (x->overlong != y->overlong)
-    return x->overlong ? -1 : 1;
+  if (x->starved != y->starved)
+    return x->starved ? -1 : 1;
   if (x->guaranteed != y->guaranteed)
     return x->guaranteed ? -1 : 1;
   if (x->priority != y->priority)
@@ -19,7 +19,7 @@
   gint64 dx = x->deadline_at ? x->deadline_at : G_MAXINT64, dy = y->deadline_at ? y->deadline_at : G_MAXINT64;
   if (dx != dy)
     return dx < dy ? -1 : 1;
-  return x->stamp < y->stamp ? -1 : x->stamp > y->stamp;
+  return x->revision < y->revision ? -1 : x->revision > y->revision;
 }
 
 /* In overload, earliest deadline first makes every job late. What cannot be in
@@ -54,7 +54,7 @@
     job->too_late = too_late (s, job);
     /* Whatever the order is, nothing waits for ever to begin: not what is too late
      * for its deadline, not the largest jobs of a class. */
-    job->overlong = !job->begun && s->now - job->ready_at > (gint64) (FT_BEGIN_WITHIN_S * FT_SECOND);
+    job->starved = !job->begun && s->now - job->ready_at > (gint64) (FT_STARVED_AFTER_S * FT_SECOND);
     g_ptr_array_add (s->order, job);
   }
   s->looked_at += s->order->len;
@@ -93,7 +93,7 @@
     return; /* nobody asks, and a job may have very many tasks */
   for (guint i = 0; i < job->spec->tasks; i++) {
     const FtAttempt *a = job->tasks[i].attempt;
-    if (a == NULL || !a->holds)
+    if (a == NULL || !a->reserved)
       continue;
     w->zone = a->machine->zone;
     guint n = GPOINTER_TO_UINT (g_hash_table_lookup (w->zone_count, w->zone));
@@ -126,7 +126,7 @@
     g_hash_table_iter_init (&it, machine->attempts);
     while (g_hash_table_iter_next (&it, NULL, &value)) {
       const FtAttempt *a = value;
-      if (a->holds && !a->running && a->job != NULL && g_strcmp0 (a->job->spec->image, spec->image) == 0) {
+      if (a->reserved && !a->running && a->job != NULL && g_strcmp0 (a->job->spec->image, spec->image) == 0) {
         wait *= FT_SCORE_FETCHING; /* another task fetches it already */
         break;
       }
@@ -218,25 +218,25 @@
 /* A task is sent once the job's mark lies beyond it. Raised with some reserve: one
  * change covers many tasks that are placed one by one. */
 static void
-want_mark (FtJob *job, guint index)
+raise_watermark (FtJob *job, guint index)
 {
   guint tasks = job->spec->tasks;
-  if (index < job->spec->sent || index < job->sent_wanted)
+  if (index < job->spec->dispatch_watermark || index < job->wanted_watermark)
     return;
-  guint reserve = job->spec->sent > 0 ? MAX (FT_MARK_STEP, tasks / 4) : 1;
-  job->sent_wanted = MIN (tasks, MAX (index + 1, job->spec->sent + reserve));
-  ft_job_touch (job);
+  guint reserve = job->spec->dispatch_watermark > 0 ? MAX (FT_WATERMARK_STEP, tasks / 4) : 1;
+  job->wanted_watermark = MIN (tasks, MAX (index + 1, job->spec->dispatch_watermark + reserve));
+  ft_job_queue_write (job);
 }
 
 static void
 place (FtScheduler *s, FtJob *job, guint index, FtMachine *machine, guint64 id)
 {
   FtAttempt *a = ft_attempt_new (machine, job, job->spec->ref, index, id);
-  ft_attempt_hold (a);
+  ft_attempt_reserve (a);
   ft_attempt_bind (a, FT_TASK_STARTING);
   a->placed_at = s->now;
   a->placed_pass = s->pass;
-  want_mark (job, index);
+  raise_watermark (job, index);
   ft_machine_queue_direct (machine);
   g_message ("task %s/%u: placed on %s attempt %" G_GUINT64_FORMAT, job->spec->ref, index, machine->name, id);
 }
@@ -304,7 +304,7 @@
       break;
     FtMachine *machine = pick (s, job, &job->tasks[index], &w, pass);
     if (machine == NULL) {
-      job->pass_blocked = s->pass;
+      job->no_room_pass = s->pass;
       break;
     }
     guint n = place_on (s, job, machine, zoned ? 1 : FT_PASS_TASKS - placed);
@@ -337,7 +337,7 @@
     FtMachine *machine = pick (s, job, &job->tasks[index], &w, pass);
     g_hash_table_unref (w.zone_count);
     if (machine == NULL) {
-      job->pass_blocked = s->pass;
+      job->no_room_pass = s->pass;
       break;
     }
     place (s, job, index, machine, id);
@@ -374,7 +374,7 @@
 ft_placement_pass (FtScheduler *s)
 {
   Pass pass = { 0 };
-  s->dirty = FALSE;
+  s->placement_due = FALSE;
   s->pass++;
   s->next_pass = s->now + (gint64) (FT_PASS_EVERY_S * FT_SECOND);
   collect (s);
@@ -385,7 +385,7 @@
   for (guint i = 0; i < s->waiting->len && placed < FT_PASS_TASKS; i++) {
     FtJob *job = g_ptr_array_index (s->waiting, i);
     placed += place_job (s, job, &pass);
-    if (job->pass_blocked == s->pass && job->counts[FT_TASK_QUEUED] > 0 && preempting < FT_PREEMPT_JOBS) {
+    if (job->no_room_pass == s->pass && job->counts[FT_TASK_QUEUED] > 0 && preempting < FT_PREEMPT_JOBS) {
       ft_preempt_for (s, job);
       preempting++;
       s->next_preempt = s->now + (gint64) (FT_PREEMPT_EVERY_S * FT_SECOND);
@@ -394,7 +394,7 @@
   g_ptr_array_unref (pass.machines);
   g_clear_pointer (&s->victims, g_ptr_array_unref);
   if (placed >= FT_PASS_TASKS)
-    s->dirty = TRUE;
+    s->placement_due = TRUE;
 }
 
 void
--- a/src/core/quota.c
+++ b/src/core/quota.c
@@ -17,7 +17,7 @@
 static void
 unseen (const FtScheduler *s, const FtTeam *team, double *cpus, double *gpus)
 {
-  ft_recovery_unaccounted (s, cpus, gpus);
+  ft_recovery_unreconciled (s, cpus, gpus);
   *cpus = MIN (*cpus, team->unknown_cpus);
   *gpus = MIN (*gpus, team->unknown_gpus);
 }
@@ -49,7 +49,7 @@
 by_acceptance (gconstpointer a, gconstpointer b)
 {
   const FtJob *x = *(FtJob *const *) a, *y = *(FtJob *const *) b;
-  return x->stamp < y->stamp ? -1 : x->stamp > y->stamp;
+  return x->revision < y->revision ? -1 : x->revision > y->revision;
 }
 
 /* A job is within its team's guarantee if it fits there together with the
--- a/src/core/recovery.c
+++ b/src/core/recovery.c
@@ -1,4 +1,4 @@
-/* After a takeover: every machine of the roster is accounted for before a task
+/* After a takeover: every machine of the registry is reconciled before a task
  * that might be running unseen is placed again. */
 #include "core/model.h"
 
@@ -6,51 +6,51 @@
 count (FtMachine *m, int sign)
 {
   FtScheduler *s = m->scheduler;
-  m->counted = sign > 0;
-  s->unaccounted += (guint) sign;
-  s->unaccounted_cpus += sign * (m->type != NULL ? m->type->cpus : FT_CAPACITY_UNKNOWN);
-  s->unaccounted_gpus += sign * (m->type != NULL ? m->type->gpus : FT_CAPACITY_UNKNOWN);
+  m->counted_unreconciled = sign > 0;
+  s->unreconciled += (guint) sign;
+  s->unreconciled_cpus += sign * (m->type != NULL ? m->type->cpus : FT_CAPACITY_UNKNOWN);
+  s->unreconciled_gpus += sign * (m->type != NULL ? m->type->gpus : FT_CAPACITY_UNKNOWN);
 }
 
 void
 ft_recovery_uncount (FtMachine *machine)
 {
-  if (machine->counted)
+  if (machine->counted_unreconciled)
     count (machine, -1);
 }
 
 /* Counts the machines that may run tasks we do not see, and what they can hold:
- * kept, since each placement asks. Called when the roster is read and when the
+ * kept, since each placement asks. Called when the registry is read and when the
  * catalog changes. */
 void
-ft_recovery_count (FtScheduler *s)
+ft_recovery_recount (FtScheduler *s)
 {
   GHashTableIter it;
   gpointer value;
-  s->unaccounted = 0;
-  s->unaccounted_cpus = s->unaccounted_gpus = 0;
+  s->unreconciled = 0;
+  s->unreconciled_cpus = s->unreconciled_gpus = 0;
   if (s->recovered)
     return;
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *m = value;
-    m->counted = FALSE;
-    if (!m->accounted)
+    m->counted_unreconciled = FALSE;
+    if (!m->reconciled)
       count (m, 1);
   }
 }
 
 void
-ft_recovery_unaccounted (const FtScheduler *s, double *cpus, double *gpus)
+ft_recovery_unreconciled (const FtScheduler *s, double *cpus, double *gpus)
 {
-  *cpus = s->loaded ? s->unaccounted_cpus : FT_CAPACITY_UNKNOWN;
-  *gpus = s->loaded ? s->unaccounted_gpus : FT_CAPACITY_UNKNOWN;
+  *cpus = s->loaded ? s->unreconciled_cpus : FT_CAPACITY_UNKNOWN;
+  *gpus = s->loaded ? s->unreconciled_gpus : FT_CAPACITY_UNKNOWN;
 }
 
 static void
-settle_job (FtJob *job)
+requeue_unknown_tasks (FtJob *job)
 {
-  FtTaskState to = job->state < FT_JOB_WITHDRAWN ? FT_TASK_QUEUED : FT_TASK_DROPPED;
+  FtTaskState to = job->state < FT_JOB_CANCELLING ? FT_TASK_QUEUED : FT_TASK_DROPPED;
   for (guint i = 0; i < job->spec->tasks && job->counts[FT_TASK_UNKNOWN] > 0; i++)
     if (job->tasks[i].state == FT_TASK_UNKNOWN)
       ft_task_set_state (job, i, to);
@@ -59,13 +59,13 @@
 void
 ft_recovery_tick (FtScheduler *s)
 {
-  if (s->recovered || !s->loaded || s->unaccounted > 0)
+  if (s->recovered || !s->loaded || s->unreconciled > 0)
     return;
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init (&it, s->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    settle_job (value);
-  s->recovered = s->dirty = TRUE;
+    requeue_unknown_tasks (value);
+  s->recovered = s->placement_due = TRUE;
   g_message ("recovery: all machines accounted for under token %" G_GUINT64_FORMAT, s->token);
 }
--- a/src/core/roster.c
+++ b/src/core/registry.c
@@ -1,4 +1,4 @@
-/* The roster: a committed superset of the machines that may have been sent a
+/* The registry: a committed superset of the machines that may have been sent a
  * command. Additions are urgent, since starts wait for them; removals are not.
  *
  * A row that was written under a larger limit of the state service stays as it is while
@@ -9,20 +9,20 @@
 #include <string.h>
 
 void
-ft_roster_row_free (FtRosterRow *row)
+ft_registry_row_free (FtRegistryRow *row)
 {
   g_ptr_array_unref (row->machines);
   g_free (row->id);
   g_free (row);
 }
 
-static FtRosterRow *
+static FtRegistryRow *
 find_or_add_row (FtScheduler *s, const char *id)
 {
-  FtRosterRow *row = g_hash_table_lookup (s->rows, id);
+  FtRegistryRow *row = g_hash_table_lookup (s->rows, id);
   if (row != NULL)
     return row;
-  row = g_new0 (FtRosterRow, 1);
+  row = g_new0 (FtRegistryRow, 1);
   row->id = g_strdup (id);
   row->machines = g_ptr_array_new ();
   g_hash_table_insert (s->rows, row->id, row);
@@ -32,19 +32,19 @@
 static gsize
 entry_bytes (const FtMachine *m)
 {
-  return strlen (m->name) + strlen (m->addr) + strlen (m->type_name) + strlen (m->zone) + FT_ROSTER_ENTRY_BYTES;
+  return strlen (m->name) + strlen (m->addr) + strlen (m->type_name) + strlen (m->zone) + FT_REGISTRY_ENTRY_BYTES;
 }
 
 static void
-mark_dirty (FtScheduler *s, FtRosterRow *row, gint64 write_at)
+queue_row (FtScheduler *s, FtRegistryRow *row, gint64 write_at)
 {
-  if (row->dirty) {
+  if (row->write_queued) {
     row->write_at = MIN (row->write_at, write_at);
     return;
   }
-  row->dirty = TRUE;
+  row->write_queued = TRUE;
   row->write_at = write_at;
-  g_queue_push_tail (&s->dirty_rows, row);
+  g_queue_push_tail (&s->pending_rows, row);
 }
 
 /* The most that the entries of a row may take. */
@@ -52,11 +52,11 @@
 row_bytes_most (const FtScheduler *s)
 {
   double largest
-      = MIN (s->settings->value_kb * 1024.0 / s->value_divisor, (double) FT_BODY_MOST / FT_ROSTER_ROWS_AT_ONCE);
-  return (gsize) (largest * FT_ROSTER_ROW_SHARE);
+      = MIN (s->settings->value_kb * 1024.0 / s->value_divisor, (double) FT_BODY_MAX / FT_REGISTRY_ROWS_AT_ONCE);
+  return (gsize) (largest * FT_REGISTRY_ROW_SHARE);
 }
 
-static FtRosterRow *
+static FtRegistryRow *
 row_with_room (FtScheduler *s, gsize bytes)
 {
   if (s->open_row == NULL || s->open_row->bytes + bytes > row_bytes_most (s)) {
@@ -68,7 +68,7 @@
 }
 
 static void
-join (FtRosterRow *row, FtMachine *machine)
+join (FtRegistryRow *row, FtMachine *machine)
 {
   machine->row = row;
   row->bytes += entry_bytes (machine);
@@ -79,11 +79,11 @@
 join_new_row (FtScheduler *s, FtMachine *machine)
 {
   join (row_with_room (s, entry_bytes (machine)), machine);
-  mark_dirty (s, machine->row, s->now);
+  queue_row (s, machine->row, s->now);
 }
 
 void
-ft_roster_add (FtScheduler *s, FtMachine *machine)
+ft_registry_add (FtScheduler *s, FtMachine *machine)
 {
   if (machine->row != NULL || machine->state == FT_MACHINE_GONE || machine->addr == NULL)
     return;
@@ -91,32 +91,32 @@
 }
 
 void
-ft_roster_loaded (FtScheduler *s, const char *id, FtMachine *machine)
+ft_registry_loaded (FtScheduler *s, const char *id, FtMachine *machine)
 {
-  FtRosterRow *row = find_or_add_row (s, id);
+  FtRegistryRow *row = find_or_add_row (s, id);
   row->stored = TRUE;
   if (machine == NULL || machine->row != NULL) {
     /* Named by another row as well, after a split that did not end: one is enough. */
-    mark_dirty (s, row, s->now + (gint64) (FT_ROSTER_DROP_AFTER_S * FT_SECOND));
+    queue_row (s, row, s->now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
     return;
   }
   join (row, machine);
-  machine->in_roster = TRUE;
+  machine->registered = TRUE;
 }
 
 /* The machine needs the row that it was moved from no more. */
 static void
 leave_split_row (FtScheduler *s, FtMachine *machine)
 {
-  FtRosterRow *row = machine->split_row;
+  FtRegistryRow *row = machine->split_row;
   machine->split_row = NULL;
   if (row != NULL && --row->moving == 0)
-    mark_dirty (s, row, s->now);
+    queue_row (s, row, s->now);
 }
 
 /* Moves the machines of a row that is too large to new rows. */
 static void
-split (FtScheduler *s, FtRosterRow *row)
+split (FtScheduler *s, FtRegistryRow *row)
 {
   g_message ("roster row %s: split, %u machines", row->id, row->machines->len);
   for (guint i = 0; i < row->machines->len; i++) {
@@ -131,30 +131,31 @@
   g_ptr_array_set_size (row->machines, 0);
   row->bytes = 0;
   if (row->moving == 0)
-    mark_dirty (s, row, s->now);
+    queue_row (s, row, s->now);
 }
 
 /* A name that stays a while costs the next leader a probe, nothing else. */
 void
-ft_roster_remove (FtScheduler *s, FtMachine *machine)
+ft_registry_remove (FtScheduler *s, FtMachine *machine)
 {
-  FtRosterRow *row = machine->row;
+  FtRegistryRow *row = machine->row;
   if (g_hash_table_contains (s->drained, machine->name))
-    g_queue_push_tail (&s->marks_drop, g_strdup (machine->name));
-  machine->in_roster = FALSE;
+    g_queue_push_tail (&s->drain_deletions, g_strdup (machine->name));
+  machine->registered = FALSE;
   leave_split_row (s, machine);
   if (row == NULL)
     return;
   machine->row = NULL;
   row->bytes -= MIN (row->bytes, entry_bytes (machine));
   g_ptr_array_remove_fast (row->machines, machine);
-  mark_dirty (s, row, s->now + (gint64) (FT_ROSTER_DROP_AFTER_S * FT_SECOND));
+  queue_row (s, row, s->now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
 }
 
 static FtWrite *
-write_of (FtRosterRow *row)
+write_of (FtRegistryRow *row)
 {
-  FtWrite *write = ft_write_new (row->machines->len > 0 ? FT_WRITE_ROSTER : FT_WRITE_ROSTER_DROP, row->id);
+  FtWrite *write
+      = ft_write_new (row->machines->len > 0 ? FT_WRITE_REGISTRY_ROW : FT_WRITE_REGISTRY_ROW_DELETE, row->id);
   write->machines = ft_listed_new ();
   for (guint i = 0; i < row->machines->len; i++) {
     const FtMachine *m = g_ptr_array_index (row->machines, i);
@@ -169,19 +170,19 @@
 }
 
 void
-ft_roster_writes (FtScheduler *s, GPtrArray *writes, guint most)
+ft_registry_writes (FtScheduler *s, GPtrArray *writes, guint most)
 {
-  guint n = g_queue_get_length (&s->dirty_rows);
+  guint n = g_queue_get_length (&s->pending_rows);
   for (guint i = 0; i < n && most > 0; i++) {
-    FtRosterRow *row = g_queue_pop_head (&s->dirty_rows);
+    FtRegistryRow *row = g_queue_pop_head (&s->pending_rows);
     if (row->in_flight || row->write_at > s->now) {
-      g_queue_push_tail (&s->dirty_rows, row);
+      g_queue_push_tail (&s->pending_rows, row);
       continue;
     }
-    row->dirty = FALSE;
+    row->write_queued = FALSE;
     if (row->bytes > row_bytes_most (s)) {
       split (s, row);
-      n = g_queue_get_length (&s->dirty_rows);
+      n = g_queue_get_length (&s->pending_rows);
       i = 0;
       continue;
     }
@@ -192,28 +193,28 @@
 }
 
 void
-ft_roster_written (FtScheduler *s, const FtWrite *write, gboolean applied)
+ft_registry_written (FtScheduler *s, const FtWrite *write, gboolean applied)
 {
-  FtRosterRow *row = g_hash_table_lookup (s->rows, write->name);
+  FtRegistryRow *row = g_hash_table_lookup (s->rows, write->name);
   if (row == NULL)
     return;
   row->in_flight = FALSE;
   if (!applied) {
-    mark_dirty (s, row, s->now);
+    queue_row (s, row, s->now);
     return;
   }
-  row->stored = write->kind == FT_WRITE_ROSTER;
+  row->stored = write->kind == FT_WRITE_REGISTRY_ROW;
   for (guint i = 0; i < write->machines->len; i++) {
     const FtListedMachine *entry = &g_array_index (write->machines, FtListedMachine, i);
     FtMachine *m = g_hash_table_lookup (s->machines, entry->name);
     if (m == NULL || m->row != row)
       continue;
     leave_split_row (s, m);
-    if (m->in_roster)
+    if (m->registered)
       continue;
-    m->in_roster = TRUE;
-    s->dirty = TRUE;
+    m->registered = TRUE;
+    s->placement_due = TRUE;
   }
-  if (!row->stored && !row->dirty && row->machines->len == 0 && row != s->open_row)
+  if (!row->stored && !row->write_queued && row->machines->len == 0 && row != s->open_row)
     g_hash_table_remove (s->rows, row->id);
 }
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -6,15 +6,15 @@
 /* ---- life ---- */
 
 FtScheduler *
-ft_scheduler_new (const FtSettings *settings, FtCatalog *catalog, guint64 token, gint64 hold_us, gint64 now,
+ft_scheduler_new (const FtSettings *settings, FtCatalog *catalog, guint64 token, gint64 answer_grace_us, gint64 now,
                   guint32 seed)
 {
   FtScheduler *s = g_new0 (FtScheduler, 1);
   s->settings = settings;
   s->catalog = ft_catalog_ref (catalog);
   s->token = token;
-  s->hold_us = hold_us;
-  s->now = s->took_over_at = s->known_until = now;
+  s->answer_grace_us = answer_grace_us;
+  s->now = s->took_over_at = s->cancellations_known_until = now;
   s->random = g_rand_new_with_seed (seed);
   s->next_attempt = s->next_booking = 1;
   ft_tuning_defaults (&s->tuning);
@@ -30,14 +30,14 @@
   s->pools = ft_fleet_pools_new ();
   s->order = g_ptr_array_new ();
   s->waiting = g_ptr_array_new ();
-  s->rows = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_roster_row_free);
-  g_queue_init (&s->touched);
+  s->rows = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_registry_row_free);
+  g_queue_init (&s->pending_jobs);
   g_queue_init (&s->directs);
   g_queue_init (&s->probes);
   g_queue_init (&s->returning);
-  g_queue_init (&s->dirty_rows);
-  g_queue_init (&s->marks_drop);
-  g_queue_init (&s->closing);
+  g_queue_init (&s->pending_rows);
+  g_queue_init (&s->drain_deletions);
+  g_queue_init (&s->chunk_deletions);
   return s;
 }
 
@@ -56,13 +56,13 @@
   g_ptr_array_unref (s->order);
   g_ptr_array_unref (s->waiting);
   g_hash_table_unref (s->rows);
-  g_queue_clear (&s->touched);
+  g_queue_clear (&s->pending_jobs);
   g_queue_clear (&s->directs);
   g_queue_clear (&s->probes);
   g_queue_clear (&s->returning);
-  g_queue_clear (&s->dirty_rows);
-  g_queue_clear_full (&s->marks_drop, g_free);
-  g_queue_clear_full (&s->closing, (GDestroyNotify) ft_write_free);
+  g_queue_clear (&s->pending_rows);
+  g_queue_clear_full (&s->drain_deletions, g_free);
+  g_queue_clear_full (&s->chunk_deletions, (GDestroyNotify) ft_write_free);
   g_rand_free (s->random);
   ft_catalog_unref (s->catalog);
   g_free (s->teams);
@@ -78,7 +78,7 @@
 void
 ft_scheduler_lower_value_limit (FtScheduler *s)
 {
-  if (s->settings->value_kb / (s->value_divisor * 2) >= FT_VALUE_KB_LEAST)
+  if (s->settings->value_kb / (s->value_divisor * 2) >= FT_VALUE_KB_MIN)
     s->value_divisor *= 2;
 }
 
@@ -95,7 +95,7 @@
     FtMachine *m = value;
     m->type = ft_catalog_find (catalog, m->type_name);
   }
-  ft_recovery_count (s);
+  ft_recovery_recount (s);
 }
 
 guint
@@ -120,13 +120,13 @@
 {
   FtMachine *known = g_hash_table_lookup (s->machines, name);
   if (known != NULL || g_hash_table_contains (s->gone, name)) {
-    ft_roster_loaded (s, row, known);
+    ft_registry_loaded (s, row, known);
     return;
   }
   FtMachine *machine = ft_machine_new (s, name, addr, type, zone, spot);
-  ft_roster_loaded (s, row, machine);
+  ft_registry_loaded (s, row, machine);
   /* A former leader that lost the store may have answered it until then. */
-  machine->last_answer = s->took_over_at + s->hold_us;
+  machine->last_answer = s->took_over_at + s->answer_grace_us;
   machine->last_report = s->now;
   g_hash_table_insert (s->machines, machine->name, machine);
 }
@@ -137,7 +137,7 @@
   GHashTableIter it;
   gpointer value;
   s->now = now;
-  s->loaded = s->dirty = TRUE;
+  s->loaded = s->placement_due = TRUE;
   s->loaded_at = now;
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
@@ -145,10 +145,10 @@
     machine->last_report = machine->last_checkin = now; /* silence counts from here */
     machine->probe_at = now + ft_seconds (FT_PROBE_FIRST_S);
     machine->last_answer = MAX (machine->last_answer, now); /* it may have been answered while we read */
-    if (machine->state == FT_MACHINE_BOOTING && machine->in_roster)
+    if (machine->state == FT_MACHINE_BOOTING && machine->registered)
       ft_machine_set_state (machine, FT_MACHINE_UP);
   }
-  ft_recovery_count (s);
+  ft_recovery_recount (s);
   ft_recovery_tick (s);
 }
 
@@ -167,7 +167,7 @@
     return;
   /* A worker that runs has dropped its tasks by now, but one that hangs has
    * not: what was on the machine is over only when a report of a later session
-   * comes or the machine is gone. The lapsed session is not used again. */
+   * comes or the machine is gone. The expired session is not used again. */
   if (machine->session > machine->lapsed_session && machine->last_answer > 0
       && s->now > machine->last_answer + ft_machine_lease_us (s)) {
     g_message ("machine %s: worker lease over, session %" G_GUINT64_FORMAT, machine->name, machine->session);
@@ -178,7 +178,7 @@
   gboolean silent = s->now - ft_machine_silent_since (s, machine) > ft_machine_silence_us (s)
                     || (ft_machine_report_overdue (s, machine)
                         && (machine->zone_view->unreachable
-                            || machine->probe_fails >= (machine->accounted ? FT_PROBES : FT_PROBES_TAKEOVER)));
+                            || machine->probe_fails >= (machine->reconciled ? FT_PROBES : FT_PROBES_TAKEOVER)));
   if (machine->state == FT_MACHINE_UP && silent)
     ft_machine_set_state (machine, FT_MACHINE_SILENT);
 }
@@ -206,7 +206,7 @@
   s->now = now;
   s->may_start = may_start;
   if (s->last_tick > 0 && now - s->last_tick > ft_seconds (FT_LATE_TICK_S))
-    s->hearing_since = now;
+    s->on_time_since = now;
   s->last_tick = now;
   ft_zones_update (s);
   g_hash_table_iter_init (&it, s->machines);
@@ -233,20 +233,20 @@
   s->may_start = may_start;
   /* Many reports come between two passes; what each has freed is filled by its
    * answer, without one. */
-  if (s->dirty && now >= s->next_pass)
+  if (s->placement_due && now >= s->next_pass)
     ft_placement_pass (s);
 }
 
 void
 ft_scheduler_late (FtScheduler *s, gint64 now)
 {
-  s->hearing_since = now;
+  s->on_time_since = now;
 }
 
 void
-ft_scheduler_informed (FtScheduler *s, gint64 at)
+ft_scheduler_cancellations_known (FtScheduler *s, gint64 at)
 {
-  s->known_until = MAX (s->known_until, at);
+  s->cancellations_known_until = MAX (s->cancellations_known_until, at);
 }
 
 void
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -10,7 +10,7 @@
 
 typedef struct _FtScheduler FtScheduler;
 
-FtScheduler *ft_scheduler_new (const FtSettings *settings, FtCatalog *catalog, guint64 token, gint64 hold_us,
+FtScheduler *ft_scheduler_new (const FtSettings *settings, FtCatalog *catalog, guint64 token, gint64 answer_grace_us,
                                gint64 now, guint32 seed);
 void ft_scheduler_free (FtScheduler *s);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtScheduler, ft_scheduler_free)
@@ -20,9 +20,9 @@
 
 /* ---- recovery: rows of the store, then loaded ---- */
 /* Takes the spec. */
-void ft_scheduler_load_job (FtScheduler *s, FtJobSpec *spec, guint64 stamp, gint64 now, gint64 wall_ms);
+void ft_scheduler_load_job (FtScheduler *s, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms);
 void ft_scheduler_load_done (FtScheduler *s, const char *ref, guint chunk, const char *bits);
-/* A machine named by the roster row `row`. */
+/* A machine named by the registry row `row`. */
 void ft_scheduler_load_machine (FtScheduler *s, const char *row, const char *name, const char *addr, const char *type,
                                 const char *zone, gboolean spot);
 void ft_scheduler_loaded (FtScheduler *s, gint64 now);
@@ -30,9 +30,9 @@
 
 /* ---- jobs ---- */
 /* A job accepted after the takeover. Takes the spec. */
-void ft_scheduler_job_added (FtScheduler *s, FtJobSpec *spec, guint64 stamp, gint64 now, gint64 wall_ms);
+void ft_scheduler_job_added (FtScheduler *s, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms);
 /* Its row was read. `age_us`: how long ago it was committed. */
-void ft_scheduler_job_withdrawn (FtScheduler *s, const char *ref, gint64 age_us, gint64 now);
+void ft_scheduler_job_cancelled (FtScheduler *s, const char *ref, gint64 age_us, gint64 now);
 /* A job that others wait for and of which nothing is known: its row is to be read, and its end,
  * if it has one, to be told. Borrowed until the next call; NULL: none now. */
 const char *ft_scheduler_next_unread_job (FtScheduler *s, gint64 now);
@@ -41,7 +41,7 @@
 void ft_scheduler_set_catalog (FtScheduler *s, FtCatalog *catalog);
 
 typedef struct {
-  gboolean known, withdrawn;
+  gboolean known, cancelled;
   guint done, running;
 } FtJobView;
 FtJobView ft_scheduler_view (const FtScheduler *s, const char *ref);
@@ -90,24 +90,24 @@
 
 /* ---- store ---- */
 typedef enum {
-  FT_WRITE_ROSTER,      /* a row of the roster, with its machines */
-  FT_WRITE_ROSTER_DROP, /* the same, empty */
-  FT_WRITE_MARK_DROP,   /* an operator's mark on a machine that is gone */
-  FT_WRITE_SENT,        /* a job's row with its raised mark */
-  FT_WRITE_CHUNK,       /* a chunk of a job's done-set */
-  FT_WRITE_CHUNK_DROP,
-  FT_WRITE_JOB_DONE,      /* conditional on the job's stamp */
-  FT_WRITE_JOB_GONE,      /* all tasks of a withdrawn job are gone */
-  FT_WRITE_JOB_CANCELLED, /* a job that it needs is cancelled; conditional on its stamp */
+  FT_WRITE_REGISTRY_ROW,        /* a row of the registry, with its machines */
+  FT_WRITE_REGISTRY_ROW_DELETE, /* the same, empty */
+  FT_WRITE_DRAIN_DELETE,        /* an operator's mark on a machine that is gone */
+  FT_WRITE_WATERMARK,           /* a job's row with its raised dispatch watermark */
+  FT_WRITE_CHUNK,               /* a chunk of a job's done-set */
+  FT_WRITE_CHUNK_DELETE,
+  FT_WRITE_JOB_DONE,      /* conditional on the job's revision */
+  FT_WRITE_JOB_GONE,      /* all tasks of a cancelled job are gone */
+  FT_WRITE_JOB_CANCELLED, /* a job that it needs is cancelled; conditional on its revision */
 } FtWriteKind;
 typedef struct {
   FtWriteKind kind;
-  char *name;       /* job, roster row or machine */
-  GArray *machines; /* FtListedMachine, of a roster row */
+  char *name;       /* job, registry row or machine */
+  GArray *machines; /* FtListedMachine, of a registry row */
   guint chunk, tasks;
-  guint sent;
-  const FtJobSpec *spec; /* of FT_WRITE_SENT; borrowed until the scheduler is called again */
-  guint64 stamp;
+  guint watermark;
+  const FtJobSpec *spec; /* of FT_WRITE_WATERMARK; borrowed until the scheduler is called again */
+  guint64 revision;
   char *bits;
 } FtWrite;
 void ft_write_free (FtWrite *write);
@@ -120,11 +120,11 @@
 /* `conflicted` names the job whose row has changed, or is NULL: try again. */
 void ft_scheduler_unwritten (FtScheduler *s, GPtrArray *writes, const char *conflicted, gint64 now);
 /* The state service has refused a batch as invalid: its values may be above a limit that has
- * changed. Rows of the roster are written at half the size from now on. */
+ * changed. Rows of the registry are written at half the size from now on. */
 void ft_scheduler_lower_value_limit (FtScheduler *s);
-/* What the row of a conflicted job says: final done, or withdrawn. */
-/* It says open, at this revision: neither done nor withdrawn. */
-void ft_scheduler_job_stands (FtScheduler *s, const char *ref, guint64 stamp, gint64 now);
+/* What the row of a conflicted job says: final done, or cancelled. */
+/* It says open, at this revision: neither done nor cancelled. */
+void ft_scheduler_job_stands (FtScheduler *s, const char *ref, guint64 revision, gint64 now);
 void ft_scheduler_job_resolved (FtScheduler *s, const char *ref, gboolean done, gint64 now);
 
 /* ---- time ---- */
@@ -132,11 +132,11 @@
 void ft_scheduler_tick (FtScheduler *s, gint64 now, gboolean may_start);
 /* Runs a placement pass if anything has changed and the last one is a while ago. */
 void ft_scheduler_place (FtScheduler *s, gint64 now, gboolean may_start);
-/* Somebody says that the job is withdrawn: its tasks are stopped. The job's rows stay
- * until the withdrawal is read. */
-void ft_scheduler_withdrawal_hinted (FtScheduler *s, const char *ref, gint64 now);
-/* All withdrawals committed before `at` have been passed on. */
-void ft_scheduler_informed (FtScheduler *s, gint64 at);
+/* Somebody says that the job is cancelled: its tasks are stopped. The job's rows stay
+ * until the cancellation is read. */
+void ft_scheduler_cancellation_advised (FtScheduler *s, const char *ref, gint64 now);
+/* All cancellations committed before `at` have been passed on. */
+void ft_scheduler_cancellations_known (FtScheduler *s, gint64 at);
 /* This controller answers no reports now: that none come proves nothing. */
 void ft_scheduler_unanswering (FtScheduler *s, gint64 now);
 /* This controller is behind with its reports: silence up to now proves nothing. */
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -51,10 +51,10 @@
   if (to != FT_TASK_QUEUED && to != FT_TASK_DROPPED)
     job->begun = TRUE;
   if (to >= FT_TASK_FINISHED)
-    ft_job_touch (job);
+    ft_job_queue_write (job);
   if (to == FT_TASK_QUEUED)
     job->scan_from = MIN (job->scan_from, index);
   if (to == FT_TASK_FINISHED)
-    ft_job_mark_dirty (job, index);
+    ft_job_mark_chunk_dirty (job, index);
   return TRUE;
 }
--- a/src/core/tuning.c
+++ b/src/core/tuning.c
@@ -50,16 +50,16 @@
 }
 
 gint64
-ft_tuning_hold (const FtSettings *s)
+ft_tuning_answer_grace (const FtSettings *s)
 {
-  double hold = s->cancel_s - s->lease_s - FT_HOLD_MARGIN_S - s->cancel_s * FT_CLOCK_DRIFT;
+  double hold = s->cancel_s - s->lease_s - FT_ANSWER_GRACE_MARGIN_S - s->cancel_s * FT_CLOCK_DRIFT;
   return (gint64) (MAX (hold, 0) * FT_SECOND);
 }
 
 char *
 ft_tuning_check (const FtTuning *t, const FtSettings *settings)
 {
-  double hold = (double) ft_tuning_hold (settings) / FT_SECOND;
+  double hold = (double) ft_tuning_answer_grace (settings) / FT_SECOND;
   if (t->lease_s > MAX (hold, FT_LEASE_S))
     return g_strdup_printf ("lease_time above %.1f s: a leader without the state service could start tasks of jobs "
                             "whose withdrawal it cannot see in time",
--- a/src/core/tuning.h
+++ b/src/core/tuning.h
@@ -24,7 +24,7 @@
 double ft_tuning_get (const FtTuning *tuning, const FtTuningInfo *info);
 void ft_tuning_set (FtTuning *tuning, const FtTuningInfo *info, double value);
 /* Longest time a leader without the store may go on answering reports: what it
- * keeps alive must be gone within cancel_s of a withdrawal it cannot see. */
-gint64 ft_tuning_hold (const FtSettings *settings);
+ * keeps alive must be gone within cancel_s of a cancellation it cannot see. */
+gint64 ft_tuning_answer_grace (const FtSettings *settings);
 /* NULL if the settings together keep every rule; otherwise the reason, new. */
 char *ft_tuning_check (const FtTuning *tuning, const FtSettings *settings);
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -6,7 +6,7 @@
 typedef enum { FT_PRIORITY_LOW, FT_PRIORITY_NORMAL, FT_PRIORITY_HIGH, FT_PRIORITY_PRODUCTION } FtPriority;
 
 /* Arrays are independent tasks; a gang runs whole or not at all; a service runs
- * whole until it is withdrawn. */
+ * whole until it is cancelled. */
 typedef enum { FT_KIND_ARRAY, FT_KIND_GANG, FT_KIND_SERVICE } FtJobKind;
 
 /* How a job ended; final. */
@@ -77,7 +77,7 @@
   GStrv awaits;             /* refs of the jobs that must be done before it; NULL: none */
   /* The mark: no task from here on has ever been sent to a machine. Raised by the
    * leader, and committed before it sends one. */
-  guint sent;
+  guint dispatch_watermark;
 } FtJobSpec;
 
 void ft_job_spec_free (FtJobSpec *spec);
--- a/src/core/worker_reports.c
+++ b/src/core/worker_reports.c
@@ -23,11 +23,11 @@
   a->listed = TRUE;
   a->exited_at = s->now;
   ft_attempt_release (a);
-  s->dirty = TRUE;
+  s->placement_due = TRUE;
   if (a->bound && why == FT_WHY_DONE) {
     ft_fault_task_completed (machine);
     ft_task_set_state (a->job, a->index, FT_TASK_FINISHED);
-    if (a->job->state == FT_JOB_WITHDRAWN)
+    if (a->job->state == FT_JOB_CANCELLING)
       ft_task_set_state (a->job, a->index, FT_TASK_DROPPED);
     if (a->job->state != FT_JOB_OPEN) {
       a->forget_ok = TRUE;
@@ -87,14 +87,15 @@
     a->forget_ok = !(free_task && t->why == FT_WHY_DONE);
     if (free_task && t->why == FT_WHY_DONE)
       ft_attempt_bind (a, FT_TASK_FINISHED);
-    s->dirty = TRUE;
+    s->placement_due = TRUE;
     return;
   }
   a->by_direct = TRUE; /* for all we know */
-  ft_attempt_hold (a);
+  ft_attempt_reserve (a);
   if (free_task) {
     ft_attempt_bind (a, FT_TASK_FETCHING);
-  } else if (job != NULL && job->state == FT_JOB_WITHDRAWN && task->attempt == NULL && task->state == FT_TASK_UNKNOWN) {
+  } else if (job != NULL && job->state == FT_JOB_CANCELLING && task->attempt == NULL
+             && task->state == FT_TASK_UNKNOWN) {
     ft_attempt_bind (a, FT_TASK_FETCHING);
     ft_attempt_want_stop (a, 0);
   } else {
@@ -203,9 +204,9 @@
   FtMachine *machine = g_hash_table_lookup (s->machines, report->machine);
   if (machine == NULL) {
     /* Rented by a former leader, or by a request executed late. It is in no
-     * roster, so it has never been sent a command: it holds no task. */
+     * registry, so it has never been sent a command: it holds no task. */
     machine = ft_machine_new (s, report->machine, report->addr, report->type, report->zone, report->spot);
-    ft_machine_account (machine);
+    ft_machine_set_reconciled (machine);
     machine->last_answer = s->now;
     g_hash_table_insert (s->machines, machine->name, machine);
     g_message ("machine %s: first heard of by its report", machine->name);
@@ -220,7 +221,7 @@
 /* An answer is heard if the next report shows what it brought: our token, the
  * tasks it started. A lost packet looks the same once, hence the count. */
 static void
-judge_hearing (FtScheduler *s, FtMachine *machine, const FtReport *report)
+update_receiving (FtScheduler *s, FtMachine *machine, const FtReport *report)
 {
   gboolean missing = machine->answered > 0 && report->token < s->token;
   gboolean expected = FALSE;
@@ -234,14 +235,14 @@
     missing |= sent && !a->shown && !a->exited;
   }
   if (missing)
-    machine->unheard++;
-  else if (expected || machine->deaf_since == 0)
-    machine->unheard = 0;
-  if (machine->unheard >= FT_UNHEARD_MOST && machine->deaf_since == 0) {
-    machine->deaf_since = s->now;
+    machine->unacknowledged++;
+  else if (expected || machine->not_receiving_since == 0)
+    machine->unacknowledged = 0;
+  if (machine->unacknowledged >= FT_UNACKNOWLEDGED_MAX && machine->not_receiving_since == 0) {
+    machine->not_receiving_since = s->now;
     g_message ("machine %s: does not hear us", machine->name);
-  } else if (machine->unheard == 0) {
-    machine->deaf_since = 0;
+  } else if (machine->unacknowledged == 0) {
+    machine->not_receiving_since = 0;
   }
 }
 
@@ -264,7 +265,7 @@
 {
   return report->session <= machine->lapsed_session || report->session < machine->session
          || (report->session == machine->session && report->sequence <= machine->sequence)
-         || (machine->knows_us && report->token < s->token);
+         || (machine->acknowledged_token && report->token < s->token);
 }
 
 static void
@@ -277,20 +278,20 @@
   if (machine->state == FT_MACHINE_BOOTING)
     machine->idle_since = s->now;
   ft_machine_set_state (machine, FT_MACHINE_UP);
-  s->dirty = TRUE;
+  s->placement_due = TRUE;
 }
 
 /* Only what was sent after the worker saw our token counts: before that a
  * command of the former leader may still have been executed. */
 static void
-heard_under_our_token (FtScheduler *s, FtMachine *machine, const FtReport *report, gboolean is_report)
+token_acknowledged (FtScheduler *s, FtMachine *machine, const FtReport *report, gboolean is_report)
 {
-  if (!machine->knows_us)
-    s->dirty = TRUE;
-  machine->knows_us = TRUE;
+  if (!machine->acknowledged_token)
+    s->placement_due = TRUE;
+  machine->acknowledged_token = TRUE;
   s->last_heard = s->now;
-  if (!machine->accounted) {
-    ft_machine_account (machine);
+  if (!machine->reconciled) {
+    ft_machine_set_reconciled (machine);
     g_message ("machine %s: accounted for", machine->name);
   }
   apply_tasks (s, machine, report, is_report);
@@ -309,15 +310,15 @@
     machine->last_checkin = s->now;
   ft_zone_heard (machine->zone_view, s->now);
   now_up (s, machine);
-  ft_roster_add (s, machine);
+  ft_registry_add (s, machine);
   if (report->token >= s->token)
-    heard_under_our_token (s, machine, report, is_report);
+    token_acknowledged (s, machine, report, is_report);
   if (is_report) {
-    judge_hearing (s, machine, report);
+    update_receiving (s, machine, report);
     apply_notice (s, machine, report->notice_s);
   } else {
-    machine->unheard = 0; /* a command has reached it */
-    machine->deaf_since = 0;
+    machine->unacknowledged = 0; /* a command has reached it */
+    machine->not_receiving_since = 0;
   }
 }
 
@@ -327,7 +328,7 @@
   s->now = now;
   if (report->token > s->token)
     return FALSE;
-  /* Before the roster is read, nobody knows what a machine may hold. */
+  /* Before the registry is read, nobody knows what a machine may hold. */
   if (s->loaded && !g_hash_table_contains (s->gone, report->machine))
     ft_machine_apply_report (s, machine_of_report (s, report), report, TRUE);
   ft_recovery_tick (s);
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -63,7 +63,7 @@
 static gboolean
 quiet (const FtScheduler *s, const FtZone *zone)
 {
-  gint64 since = MAX (zone->last_heard, MAX (s->hearing_since, s->answering_since));
+  gint64 since = MAX (zone->last_heard, MAX (s->on_time_since, s->answering_since));
   return zone->members >= FT_ZONE_MEMBERS && s->now - MAX (since, s->loaded_at) > ft_machine_overdue_us (s);
 }
 
--- a/src/net/admin.c
+++ b/src/net/admin.c
@@ -85,10 +85,10 @@
   g_auto (GStrv) refs = all;
   GString *text = g_string_new (NULL);
   guint n = g_strv_length (refs);
-  for (guint i = 0; i < MIN (n, FT_ADMIN_REFS_MOST); i++)
+  for (guint i = 0; i < MIN (n, FT_ADMIN_REFS_MAX); i++)
     g_string_append_printf (text, "%s%s", i > 0 ? " " : "", refs[i]);
-  if (n > FT_ADMIN_REFS_MOST)
-    g_string_append_printf (text, " and %u more", n - FT_ADMIN_REFS_MOST);
+  if (n > FT_ADMIN_REFS_MAX)
+    g_string_append_printf (text, " and %u more", n - FT_ADMIN_REFS_MAX);
   return g_string_free (text, FALSE);
 }
 
@@ -217,7 +217,7 @@
   if (why != NULL)
     g_warning ("node %s: stored settings not used: %s", node->config->member, why);
   else
-    ft_node_apply_settings (node, &tuning, row.stamp);
+    ft_node_apply_settings (node, &tuning, row.revision);
 }
 
 void
@@ -234,10 +234,10 @@
 on_put (guint status, const json_t *body, gpointer data)
 {
   AdminCall *call = data;
-  guint64 stamp;
-  if (status == 200 && ft_store_revision (body, &stamp)) {
-    ft_node_apply_settings (call->node, &call->tuning, stamp);
-    ft_http_respond (call->request, 200, settings_body (&call->tuning, stamp));
+  guint64 revision;
+  if (status == 200 && ft_store_revision (body, &revision)) {
+    ft_node_apply_settings (call->node, &call->tuning, revision);
+    ft_http_respond (call->request, 200, settings_body (&call->tuning, revision));
   } else if (status == 409) {
     call->node->next_settings = 0; /* see the change at once */
     refuse (call->request, 409, "the settings have changed meanwhile: read them again");
@@ -344,7 +344,7 @@
   call->drain = drain;
   g_autofree char *key = ft_key_drained (machine);
   json_t *txn = ft_txn_new ();
-  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_stamp (node->lease));
+  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
   if (drain)
     ft_txn_put (txn, key, json_object ());
   else
--- a/src/net/budget.c
+++ b/src/net/budget.c
@@ -29,7 +29,7 @@
 {
   fill (budget, now);
   budget->level = MIN (budget->level, 0);
-  budget->rate = MAX (budget->rate / 2, budget->full * FT_BUDGET_LEAST);
+  budget->rate = MAX (budget->rate / 2, budget->full * FT_BUDGET_MIN);
 }
 
 /* A single demand larger than the burst passes once the bucket is full. */
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -230,7 +230,7 @@
 on_data (char *data, size_t size, size_t n, void *user)
 {
   Call *call = user;
-  if (call->answer->len + size * n > FT_ANSWER_MOST)
+  if (call->answer->len + size * n > FT_ANSWER_MAX)
     return 0; /* ends the request */
   g_byte_array_append (call->answer, (const guint8 *) data, (guint) (size * n));
   return size * n;
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -104,7 +104,7 @@
 take_chunk (FtHttpRequest *request, const char *chunk, size_t *size)
 {
   request->total += *size;
-  if (request->total <= FT_BODY_MOST)
+  if (request->total <= FT_BODY_MAX)
     g_byte_array_append (request->raw, (const guint8 *) chunk, (guint) *size);
   *size = 0;
   return request->total > FT_BODY_CUT ? MHD_NO : MHD_YES;
@@ -188,7 +188,7 @@
 const json_t *
 ft_http_body (FtHttpRequest *request)
 {
-  if (!request->read && request->total <= FT_BODY_MOST)
+  if (!request->read && request->total <= FT_BODY_MAX)
     request->body = ft_http_decode (request->server->kind, request->raw->data, request->raw->len);
   request->read = TRUE;
   return request->body;
@@ -198,7 +198,7 @@
 ft_http_raw (const FtHttpRequest *request, gsize *size)
 {
   *size = request->raw->len;
-  return request->total <= FT_BODY_MOST ? request->raw->data : NULL;
+  return request->total <= FT_BODY_MAX ? request->raw->data : NULL;
 }
 
 void
--- a/src/net/known_jobs.c
+++ b/src/net/known_jobs.c
@@ -45,17 +45,17 @@
 }
 
 FtKnownJob *
-ft_known_jobs_open (FtKnownJobs *known, const char *ref, guint64 stamp, gboolean has_needs)
+ft_known_jobs_open (FtKnownJobs *known, const char *ref, guint64 revision, gboolean has_needs)
 {
   FtKnownJob *job = ft_known_jobs_find (known, ref);
   if (job == NULL) {
-    while (g_queue_get_length (&known->order) >= FT_KNOWN_OPEN_MOST)
+    while (g_queue_get_length (&known->order) >= FT_KNOWN_OPEN_MAX)
       drop_oldest (known);
     job = g_new0 (FtKnownJob, 1);
     g_queue_push_tail (&known->order, g_strdup (ref));
     g_hash_table_insert (known->open, g_strdup (ref), job);
   }
-  job->stamp = stamp;
+  job->revision = revision;
   job->has_needs = has_needs;
   return job;
 }
--- a/src/net/known_jobs.h
+++ b/src/net/known_jobs.h
@@ -7,7 +7,7 @@
 
 /* An open job, as last seen. */
 typedef struct {
-  guint64 stamp;      /* revision of its row while it is open */
+  guint64 revision;   /* revision of its row while it is open */
   gboolean has_needs; /* it was submitted with jobs that it needs */
   GStrv needs;        /* NULL: not read yet */
   gboolean needs_met; /* all of them were found done */
@@ -18,7 +18,7 @@
 void ft_known_jobs_free (FtKnownJobs *known);
 
 /* The job's row is open at this revision. Borrowed until the next call. */
-FtKnownJob *ft_known_jobs_open (FtKnownJobs *known, const char *ref, guint64 stamp, gboolean has_needs);
+FtKnownJob *ft_known_jobs_open (FtKnownJobs *known, const char *ref, guint64 revision, gboolean has_needs);
 /* NULL: not known to be open. Borrowed until the next call. */
 FtKnownJob *ft_known_jobs_find (const FtKnownJobs *known, const char *ref);
 /* Its row has changed. */
--- a/src/net/leader.c
+++ b/src/net/leader.c
@@ -90,30 +90,30 @@
          + (gint64) (g_rand_double_range (node->random, 0.5, 1.5) * FT_BACKOFF_FIRST_S * FT_SECOND);
 }
 
-/* ---- recovery: jobs, done-sets, roster ---- */
+/* ---- recovery: jobs, done-sets, registry ---- */
 
 static void load_next (FtNode *node, const char *prefix, const char *after, gint64 began_at);
 
 static void
 load_open_row (FtNode *node, const FtRow *row, gboolean fresh)
 {
-  gboolean withdrawn;
-  g_autofree char *ref = ft_key_open_ref (row->key, &withdrawn);
+  gboolean cancelled;
+  g_autofree char *ref = ft_key_open_ref (row->key, &cancelled);
   gint64 now = g_get_monotonic_time ();
   if (ref == NULL || row->value == NULL)
     return;
-  if (withdrawn) {
-    gint64 age_us = MAX (0, wall_ms () - ft_row_withdrawn_at (row->value)) * 1000;
-    ft_scheduler_job_withdrawn (node->scheduler, ref, age_us, now);
+  if (cancelled) {
+    gint64 age_us = MAX (0, wall_ms () - ft_row_cancellation_time (row->value)) * 1000;
+    ft_scheduler_job_cancelled (node->scheduler, ref, age_us, now);
     return;
   }
   FtJobSpec *spec = ft_row_open_parse (ref, row->value);
   if (spec == NULL)
     g_warning ("job %s: its row cannot be read", ref);
   else if (fresh)
-    ft_scheduler_job_added (node->scheduler, spec, ft_row_open_stamp (row), now, wall_ms ());
+    ft_scheduler_job_added (node->scheduler, spec, ft_row_open_revision (row), now, wall_ms ());
   else
-    ft_scheduler_load_job (node->scheduler, spec, ft_row_open_stamp (row), now, wall_ms ());
+    ft_scheduler_load_job (node->scheduler, spec, ft_row_open_revision (row), now, wall_ms ());
 }
 
 static void
@@ -126,7 +126,7 @@
     load_open_row (node, row, ft_scheduler_is_loaded (node->scheduler));
   } else if (ft_key_drained_name (row->key) != NULL) {
     ft_scheduler_drain (node->scheduler, ft_key_drained_name (row->key), TRUE);
-  } else if (g_str_has_prefix (row->key, FT_PREFIX_ROSTER)) {
+  } else if (g_str_has_prefix (row->key, FT_PREFIX_REGISTRY)) {
     if (!ft_row_machine_parse (node->scheduler, row))
       g_warning ("machine %s: its row cannot be read", row->key);
   } else if (ft_key_chunk_parse (row->key, &ref, &chunk) && ft_row_chunk_bits (row->value) != NULL) {
@@ -134,12 +134,12 @@
   }
 }
 
-/* Whatever was withdrawn before `at` has been taken in. */
+/* Whatever was cancelled before `at` has been taken in. */
 static void
-know (FtNode *node, gint64 at)
+cancellations_known (FtNode *node, gint64 at)
 {
-  ft_lease_knows (node->lease, at);
-  ft_scheduler_informed (node->scheduler, at);
+  ft_lease_cancellations_known (node->lease, at);
+  ft_scheduler_cancellations_known (node->scheduler, at);
 }
 
 static void
@@ -148,21 +148,21 @@
   /* The pages differ in age, and an outage may lie between them: what is known is
    * known as of the first. What came later comes by the watch. */
   if (strcmp (prefix, FT_PREFIX_OPEN) == 0)
-    node->withdrawals_read_at = began_at;
+    node->cancellations_read_at = began_at;
   if (ft_scheduler_is_loaded (node->scheduler)) {
-    know (node, node->withdrawals_read_at);
+    cancellations_known (node, node->cancellations_read_at);
     node->next_watch = 0;
   } else if (strcmp (prefix, FT_PREFIX_OPEN) == 0) {
     load_next (node, FT_PREFIX_DONE, NULL, 0);
   } else if (strcmp (prefix, FT_PREFIX_DONE) == 0) {
     load_next (node, FT_PREFIX_DRAINED, NULL, 0);
   } else if (strcmp (prefix, FT_PREFIX_DRAINED) == 0) {
-    load_next (node, FT_PREFIX_ROSTER, NULL, 0);
+    load_next (node, FT_PREFIX_REGISTRY, NULL, 0);
   } else {
     ft_scheduler_loaded (node->scheduler, g_get_monotonic_time ());
-    /* Only now: without the roster a withdrawn task that is known of cannot be stopped, and
+    /* Only now: without the registry a cancelled task that is known of cannot be stopped, and
      * each answer to its worker would keep it alive. */
-    know (node, node->withdrawals_read_at);
+    cancellations_known (node, node->cancellations_read_at);
     ft_metrics_time (node->metrics, FT_TIME_RECOVERY, g_get_monotonic_time () - node->led_since);
     node->next_watch = 0;
     g_message ("node %s: leader under token %" G_GUINT64_FORMAT ", recovered the store", node->config->member,
@@ -240,7 +240,7 @@
   }
   for (guint i = 0; i < rows->len; i++)
     load_open_row (node, &g_array_index (rows, FtRow, i), TRUE);
-  know (node, call->sent_at);
+  cancellations_known (node, call->sent_at);
   ft_node_pump (node);
 }
 
@@ -291,7 +291,7 @@
     return;
   }
   gboolean applied = (guint64) json_integer_value (json_object_get (row.value, "batch")) == call->batch;
-  node->journal_stamp = row.stamp;
+  node->journal_revision = row.revision;
   batch_over (node, call, applied, NULL);
 }
 
@@ -320,7 +320,7 @@
   }
   gint64 now = g_get_monotonic_time ();
   if (state.open)
-    ft_scheduler_job_stands (node->scheduler, call->text, row.stamp, now);
+    ft_scheduler_job_stands (node->scheduler, call->text, row.revision, now);
   else
     ft_scheduler_job_resolved (node->scheduler, call->text, state.end == FT_JOB_END_DONE, now);
   call_free (call);
@@ -360,7 +360,7 @@
 static void
 shrink_batches (FtNode *node)
 {
-  node->batch_ops_most = MAX (FT_TXN_OPS_LEAST, node->batch_ops_most / 2);
+  node->batch_ops_most = MAX (FT_TXN_OPS_MIN, node->batch_ops_most / 2);
 }
 
 /* The state service will not take it, however often it is sent: its limits may have changed.
@@ -382,11 +382,11 @@
 {
   g_autoptr (Call) call = data;
   FtNode *node = call->node;
-  guint64 stamp;
+  guint64 revision;
   if (stale (call))
     return;
-  if (status == 200 && ft_store_revision (body, &stamp)) {
-    node->journal_stamp = stamp;
+  if (status == 200 && ft_store_revision (body, &revision)) {
+    node->journal_revision = revision;
     ft_metrics_count (node->metrics, FT_COUNT_BATCHES);
     ft_metrics_time (node->metrics, FT_TIME_BATCH, g_get_monotonic_time () - call->sent_at);
     batch_over (node, call, TRUE, NULL);
@@ -420,8 +420,8 @@
   call->writes = writes;
   call->batch = ++node->journal_batch;
   json_t *txn = ft_txn_new ();
-  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_stamp (node->lease));
-  ft_txn_if (txn, FT_KEY_JOURNAL, node->journal_stamp);
+  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
+  ft_txn_if (txn, FT_KEY_JOURNAL, node->journal_revision);
   ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (ft_lease_token (node->lease), call->batch));
   for (guint i = 0; i < writes->len; i++)
     ft_txn_add_write (txn, g_ptr_array_index (writes, i), wall_ms ());
@@ -455,7 +455,7 @@
 static void
 read_needs (FtNode *node, gint64 now)
 {
-  while (node->need_reads < FT_NEED_READS_MOST) {
+  while (node->need_reads < FT_NEED_READS_MAX) {
     const char *ref = ft_scheduler_next_unread_job (node->scheduler, now);
     if (ref == NULL)
       return;
@@ -497,7 +497,7 @@
 static void
 send_directs (FtNode *node, gint64 now)
 {
-  while (node->directs < FT_DIRECT_MOST) {
+  while (node->directs < FT_DIRECT_MAX) {
     FtDirect *direct = ft_scheduler_next_direct (node->scheduler, now);
     if (direct == NULL)
       return;
@@ -536,7 +536,7 @@
 static void
 call_cloud (FtNode *node, gint64 now)
 {
-  while (node->cloud_calls < FT_CLOUD_CALLS_MOST && ft_budget_has (&node->cloud_budget, 1, now)) {
+  while (node->cloud_calls < FT_CLOUD_CALLS_MAX && ft_budget_has (&node->cloud_budget, 1, now)) {
     FtCloudCall *cloud = ft_scheduler_next_cloud (node->scheduler, now);
     if (cloud == NULL)
       return;
@@ -595,16 +595,16 @@
 /* ---- leadership ---- */
 
 void
-ft_leader_begin (FtNode *node, guint64 stamp)
+ft_leader_begin (FtNode *node, guint64 revision)
 {
   gint64 now = g_get_monotonic_time ();
   ft_leader_end (node);
   g_autoptr (FtCatalog) catalog = node->catalog != NULL ? ft_catalog_ref (node->catalog) : ft_catalog_new ();
-  node->scheduler = ft_scheduler_new (&node->config->core, catalog, ft_lease_token (node->lease), node->hold_us, now,
-                                      g_rand_int (node->random));
+  node->scheduler = ft_scheduler_new (&node->config->core, catalog, ft_lease_token (node->lease), node->answer_grace_us,
+                                      now, g_rand_int (node->random));
   ft_scheduler_set_tuning (node->scheduler, &node->tuning);
   ft_metrics_count (node->metrics, FT_COUNT_TAKEOVERS);
-  node->journal_stamp = stamp;
+  node->journal_revision = revision;
   node->journal_batch = 0;
   node->batch_ops_most = node->config->core.txn_ops;
   node->led_since = now;
--- a/src/net/lineage.c
+++ b/src/net/lineage.c
@@ -170,7 +170,7 @@
   } else if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
     step_failed (step);
   } else if (state.open) {
-    step_open (step, ft_known_jobs_open (node->known, step->ref, row.stamp, state.has_needs));
+    step_open (step, ft_known_jobs_open (node->known, step->ref, row.revision, state.has_needs));
   } else {
     ft_known_jobs_ended (node->known, step->ref, state.end, state.tasks);
     if (state.end == FT_JOB_END_CANCELLED)
@@ -239,7 +239,7 @@
 {
   if (walk_too_long (walk))
     decide (walk, FT_LINEAGE_UNREAD, NULL);
-  while (walk->result < FT_LINEAGE_UNREAD && walk->reads < FT_LINEAGE_READS_MOST && !g_queue_is_empty (&walk->todo)) {
+  while (walk->result < FT_LINEAGE_UNREAD && walk->reads < FT_LINEAGE_READS_MAX && !g_queue_is_empty (&walk->todo)) {
     g_autofree char *ref = g_queue_pop_head (&walk->todo);
     if (!known_enough (walk, ref))
       look_at (walk, ref);
--- a/src/net/mesh.c
+++ b/src/net/mesh.c
@@ -52,55 +52,56 @@
   FtHeartbeat *beat = data;
   /* For display only: what is left out shows as queued. A body beyond the limit
    * would be refused whole. */
-  if ((job->done > 0 || job->running > 0) && beat->jobs->len < FT_MESH_JOBS_MOST)
+  if ((job->done > 0 || job->running > 0) && beat->jobs->len < FT_MESH_JOBS_MAX)
     ft_heartbeat_add_job (beat, job->ref, job->done, job->running);
 }
 
-/* ---- withdrawals: hints, on which no rule rests ---- */
+/* ---- cancellations: hints, on which no rule rests ---- */
 
 typedef struct {
   char *ref;
   gint64 at;
-} Withdrawn;
+} RecentCancellation;
 
 void
-ft_mesh_forget_withdrawn (FtNode *node, gint64 before)
+ft_peers_forget_cancellations (FtNode *node, gint64 before)
 {
-  Withdrawn *oldest;
-  while ((oldest = g_queue_peek_head (&node->withdrawn)) != NULL && oldest->at < before) {
-    g_queue_pop_head (&node->withdrawn);
+  RecentCancellation *oldest;
+  while ((oldest = g_queue_peek_head (&node->recent_cancellations)) != NULL && oldest->at < before) {
+    g_queue_pop_head (&node->recent_cancellations);
     g_free (oldest->ref);
     g_free (oldest);
   }
 }
 
 static void
-hear_withdrawn (FtNode *node, const char *ref)
+apply_advisory_cancellation (FtNode *node, const char *ref)
 {
   if (node->scheduler != NULL)
-    ft_scheduler_withdrawal_hinted (node->scheduler, ref, g_get_monotonic_time ());
+    ft_scheduler_cancellation_advised (node->scheduler, ref, g_get_monotonic_time ());
 }
 
-/* The leader sees withdrawals by its watch; one that the state service refuses does not,
+/* The leader sees cancellations by its watch; one that the state service refuses does not,
  * and would go on with such tasks until its hold is over. */
 void
-ft_node_withdrawn (FtNode *node, const char *ref)
+ft_node_job_cancelled (FtNode *node, const char *ref)
 {
-  Withdrawn *entry = g_new0 (Withdrawn, 1);
+  RecentCancellation *entry = g_new0 (RecentCancellation, 1);
   entry->ref = g_strdup (ref);
   entry->at = g_get_monotonic_time ();
-  g_queue_push_tail (&node->withdrawn, entry);
+  g_queue_push_tail (&node->recent_cancellations, entry);
   node->next_mesh = entry->at;
-  hear_withdrawn (node, ref);
+  apply_advisory_cancellation (node, ref);
   ft_node_pump (node);
 }
 
 static void
-add_withdrawals (FtNode *node, FtHeartbeat *beat, gint64 now)
+add_cancellations (FtNode *node, FtHeartbeat *beat, gint64 now)
 {
-  ft_mesh_forget_withdrawn (node, now - (gint64) (FT_MESH_WITHDRAWN_S * FT_SECOND));
-  for (GList *l = node->withdrawn.tail; l != NULL && beat->withdrawals->len < FT_MESH_WITHDRAWN_MOST; l = l->prev)
-    g_ptr_array_add (beat->withdrawals, g_strdup (((Withdrawn *) l->data)->ref));
+  ft_peers_forget_cancellations (node, now - (gint64) (FT_PEER_CANCELLATIONS_S * FT_SECOND));
+  for (GList *l = node->recent_cancellations.tail; l != NULL && beat->cancellations->len < FT_PEER_CANCELLATIONS_MAX;
+       l = l->prev)
+    g_ptr_array_add (beat->cancellations, g_strdup (((RecentCancellation *) l->data)->ref));
 }
 
 static FtHeartbeat *
@@ -111,8 +112,8 @@
   beat->knows_needs = TRUE;
   beat->served = served > 0;
   beat->served_ms_ago = beat->served ? (guint64) (now - served) / 1000 : 0;
-  beat->yields = node->yielded_at > 0 && now - node->yielded_at < (gint64) (FT_YIELD_TOLD_S * FT_SECOND);
-  add_withdrawals (node, beat, now);
+  beat->yields = node->yielded_at > 0 && now - node->yielded_at < (gint64) (FT_YIELD_ADVERTISED_S * FT_SECOND);
+  add_cancellations (node, beat, now);
   if (node->scheduler == NULL)
     return beat;
   beat->token = ft_lease_token (node->lease);
@@ -162,10 +163,10 @@
 }
 
 static void
-take_withdrawals (FtNode *node, const GPtrArray *refs)
+apply_advisory_cancellations (FtNode *node, const GPtrArray *refs)
 {
   for (guint i = 0; i < refs->len; i++)
-    hear_withdrawn (node, g_ptr_array_index (refs, i));
+    apply_advisory_cancellation (node, g_ptr_array_index (refs, i));
   if (refs->len > 0)
     ft_node_pump (node);
 }
@@ -207,7 +208,7 @@
     take_summary (node, beat);
     check_succeeded (node, beat->token);
   }
-  take_withdrawals (node, beat->withdrawals);
+  apply_advisory_cancellations (node, beat->cancellations);
   if (beat->yields)
     ft_lease_suspect (node->lease, beat->member, TRUE, view->heard_at);
   ft_http_respond (request, 200, json_object ());
--- a/src/net/metrics.c
+++ b/src/net/metrics.c
@@ -23,9 +23,9 @@
 {
   gsl_histogram *h = gsl_histogram_alloc (FT_HISTOGRAM_BUCKETS);
   double ranges[FT_HISTOGRAM_BUCKETS + 1];
-  double step = log (FT_HISTOGRAM_MOST_MS / FT_HISTOGRAM_LEAST_MS) / FT_HISTOGRAM_BUCKETS;
+  double step = log (FT_HISTOGRAM_MAX_MS / FT_HISTOGRAM_MIN_MS) / FT_HISTOGRAM_BUCKETS;
   for (int i = 0; i <= FT_HISTOGRAM_BUCKETS; i++)
-    ranges[i] = FT_HISTOGRAM_LEAST_MS * exp (step * i);
+    ranges[i] = FT_HISTOGRAM_MIN_MS * exp (step * i);
   gsl_histogram_set_ranges (h, ranges, G_N_ELEMENTS (ranges));
   return h;
 }
@@ -70,7 +70,7 @@
 void
 ft_metrics_time (FtMetrics *metrics, FtTimer timer, gint64 us)
 {
-  double ms = CLAMP ((double) us / 1000, FT_HISTOGRAM_LEAST_MS, FT_HISTOGRAM_MOST_MS * 0.999);
+  double ms = CLAMP ((double) us / 1000, FT_HISTOGRAM_MIN_MS, FT_HISTOGRAM_MAX_MS * 0.999);
   gsl_histogram_increment (metrics->timers[timer], ms);
 }
 
--- a/src/net/metrics.h
+++ b/src/net/metrics.h
@@ -10,7 +10,7 @@
   FT_COUNT_REFUSED,     /* 400 and 422 */
   FT_COUNT_UNAVAILABLE, /* 503 to users */
   FT_COUNT_POLLS,
-  FT_COUNT_WITHDRAWN,
+  FT_COUNT_CANCELLED,
   FT_COUNT_CANCELLED_WITH_NEED, /* found on a poll: a job that it needs is cancelled */
   FT_COUNT_REPORTS,
   FT_COUNT_REDIRECTS,
--- a/src/net/node.c
+++ b/src/net/node.c
@@ -72,7 +72,7 @@
   if (rows != NULL && ft_row_lease_parse (rows, &seen))
     ft_lease_observe (node->lease, now, &seen);
   else
-    ft_lease_blind (node->lease, now);
+    ft_lease_sweep_failed (node->lease, now);
   if (status == 200 && rows == NULL)
     ft_node_malformed (node, FT_COUNT_MALFORMED_STATE, "list of rows");
   ft_lease_rows_clear (&seen);
@@ -83,15 +83,15 @@
 {
   g_autofree LeaseCall *call = data;
   FtNode *node = call->node;
-  guint64 stamp;
+  guint64 revision;
   if (ft_lease_state (node->lease) != FT_LEASE_ACQUIRING)
     return;
-  if (status != 200 || !ft_store_revision (body, &stamp)) {
+  if (status != 200 || !ft_store_revision (body, &revision)) {
     ft_lease_claim_failed (node->lease, g_get_monotonic_time ());
     return;
   }
-  ft_lease_acquired (node->lease, call->sent_at, stamp);
-  ft_leader_begin (node, stamp);
+  ft_lease_acquired (node->lease, call->sent_at, revision);
+  ft_leader_begin (node, revision);
 }
 
 static void
@@ -99,9 +99,9 @@
 {
   FtLeaseClaim c = ft_lease_claim (node->lease, now);
   json_t *txn = ft_txn_new ();
-  ft_txn_if (txn, FT_KEY_FENCE, c.fence_stamp);
+  ft_txn_if (txn, FT_KEY_FENCE, c.fence_revision);
   if (c.check_renewal)
-    ft_txn_if (txn, FT_KEY_RENEWAL, c.renewal_stamp);
+    ft_txn_if (txn, FT_KEY_RENEWAL, c.renewal_revision);
   ft_txn_put (txn, FT_KEY_FENCE, ft_row_fence (c.token, node->config->member, node->incarnation));
   ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (c.token, ft_lease_time (node->lease), FALSE));
   ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (c.token, 0));
@@ -130,7 +130,7 @@
 renew (FtNode *node, gboolean release, FtHttpDone done)
 {
   json_t *txn = ft_txn_new ();
-  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_stamp (node->lease));
+  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
   ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (ft_lease_token (node->lease), ft_lease_time (node->lease), release));
   ft_state_commit (node->state, txn, FT_STATE_LEASE, done, lease_call (node));
   json_decref (txn);
@@ -175,7 +175,7 @@
 
 /* Why somebody else should lead; NULL: no reason known. */
 static const char *
-why_yield (const FtNode *node, gint64 now)
+resign_reason (const FtNode *node, gint64 now)
 {
   if (ft_lease_may_start (node->lease, now) && cut_off (node, now))
     return "hears from no worker";
@@ -186,7 +186,7 @@
 
 /* The state service answers a peer, and not us. */
 static gboolean
-should_cede (const FtNode *node, gint64 now)
+should_yield (const FtNode *node, gint64 now)
 {
   /* Answers that were waited for while we were busy ourselves are no sign of a cut. */
   gint64 steady = MAX (node->led_since, node->on_time_since) + (gint64) (FT_CUT_OFF_GRACE_S * FT_SECOND);
@@ -195,18 +195,18 @@
 
 /* It keeps what it knows, and the workers' leases alive within its hold: the state
  * service may be out for all a second later, and then nobody would succeed it, nobody
- * stop what users have withdrawn, and nobody give back machines that hang with it. */
+ * stop what users have cancelled, and nobody give back machines that hang with it. */
 static void
-cede (FtNode *node, gint64 now)
+yield_leadership (FtNode *node, gint64 now)
 {
   g_warning ("node %s: cannot reach the state service, which others reach: starts nothing more", node->config->member);
-  ft_lease_cede (node->lease, now);
+  ft_lease_yield (node->lease, now);
   node->yielded_at = node->next_mesh = now;
 }
 
 /* The peers are told as well, and look at once: a hint like any other. */
 static void
-yield (FtNode *node, gint64 now, const char *why)
+resign (FtNode *node, gint64 now, const char *why)
 {
   g_warning ("node %s: %s, gives the lease up", node->config->member, why);
   if (ft_lease_may_start (node->lease, now))
@@ -236,11 +236,11 @@
     ft_lease_renew_sent (node->lease, now);
     renew (node, FALSE, on_renewed);
   }
-  const char *why = node->scheduler != NULL ? why_yield (node, now) : NULL;
+  const char *why = node->scheduler != NULL ? resign_reason (node, now) : NULL;
   if (why != NULL)
-    yield (node, now, why);
-  else if (node->scheduler != NULL && should_cede (node, now))
-    cede (node, now);
+    resign (node, now, why);
+  else if (node->scheduler != NULL && should_yield (node, now))
+    yield_leadership (node, now);
 }
 
 /* ---- the catalog ---- */
@@ -302,9 +302,9 @@
   node->config = config;
   node->random = g_rand_new ();
   node->incarnation = ((guint64) g_rand_int (node->random) << 30) ^ g_rand_int (node->random);
-  node->hold_us = ft_tuning_hold (&config->core);
+  node->answer_grace_us = ft_tuning_answer_grace (&config->core);
   node->lease = ft_lease_new (config->member, node->incarnation, (gint64) (FT_LEASE_S * FT_SECOND),
-                              (gint64) (FT_SWEEP_S * FT_SECOND), node->hold_us, g_rand_int (node->random));
+                              (gint64) (FT_SWEEP_S * FT_SECOND), node->answer_grace_us, g_rand_int (node->random));
   node->metrics = ft_metrics_new ();
   ft_tuning_defaults (&node->tuning);
   node->state = ft_state_new (config);
@@ -318,7 +318,7 @@
     g_array_append_val (node->peers, view);
   }
   node->mesh_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  g_queue_init (&node->withdrawn);
+  g_queue_init (&node->recent_cancellations);
   node->polls = ft_polls_new (node);
   node->known = ft_known_jobs_new ();
   g_queue_init (&node->reports);
@@ -359,7 +359,7 @@
   g_array_unref (node->peers);
   g_hash_table_unref (node->mesh_jobs);
   ft_known_jobs_free (node->known);
-  ft_mesh_forget_withdrawn (node, G_MAXINT64);
+  ft_peers_forget_cancellations (node, G_MAXINT64);
   g_free (node->mesh_leader);
   g_rand_free (node->random);
   g_free (node);
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -33,19 +33,19 @@
   FtHttpServer *front, *mesh_server;
   FtCatalog *catalog; /* NULL until known */
   guint64 incarnation;
-  gint64 hold_us;
+  gint64 answer_grace_us;
   GRand *random;
 
   /* leadership; `term` changes whenever it begins or ends, so that answers to
    * requests of an earlier one are told apart */
   FtScheduler *scheduler;
   guint term;
-  guint64 journal_stamp, journal_batch;
+  guint64 journal_revision, journal_batch;
   guint batch_ops_most; /* changes in a batch, the journal's row included */
   gboolean sweep_in_flight, renew_in_flight, batch_in_flight, list_in_flight, catalog_in_flight, watch_in_flight;
   guint directs, cloud_calls, need_reads;
   guint64 watch_since;
-  gint64 withdrawals_read_at; /* when the reading of the open jobs' rows began */
+  gint64 cancellations_read_at; /* when the reading of the open jobs' rows began */
   gint64 last_tick;
   gint64 next_scheduler_tick, next_list, next_catalog, next_mesh, next_batch, next_watch;
   gint64 led_since;
@@ -61,8 +61,8 @@
   GArray *peers;     /* FtPeerView */
   char *mesh_leader; /* as the mesh has it */
   guint64 mesh_token;
-  GHashTable *mesh_jobs; /* ref -> FtJobView of the leader's last summary */
-  GQueue withdrawn;      /* what we have committed of late, for the peers: owned by mesh.c */
+  GHashTable *mesh_jobs;       /* ref -> FtJobView of the leader's last summary */
+  GQueue recent_cancellations; /* what we have committed of late, for the peers: owned by mesh.c */
 
   FtMetrics *metrics;
   gint64 malformed_logged[FT_COUNTERS]; /* when a malformed message of that source was logged last */
@@ -96,7 +96,7 @@
 const char *ft_node_leader (const FtNode *node);
 
 /* leader.c: what a leader does with the store, the workers and the cloud. */
-void ft_leader_begin (FtNode *node, guint64 stamp);
+void ft_leader_begin (FtNode *node, guint64 revision);
 void ft_leader_end (FtNode *node);
 void ft_leader_pump (FtNode *node, gint64 now);
 void ft_leader_tick (FtNode *node, gint64 now);
@@ -120,10 +120,10 @@
 /* mesh.c */
 void ft_mesh_tick (FtNode *node, gint64 now);
 void ft_mesh_handle (FtHttpRequest *request, gpointer node);
-/* We have committed a withdrawal: our scheduler and the peers hear of it at once. */
-void ft_node_withdrawn (FtNode *node, const char *ref);
+/* We have committed a cancellation: our scheduler and the peers hear of it at once. */
+void ft_node_job_cancelled (FtNode *node, const char *ref);
 /* Drops what was committed before that time. */
-void ft_mesh_forget_withdrawn (FtNode *node, gint64 before);
+void ft_peers_forget_cancellations (FtNode *node, gint64 before);
 /* admin.c */
 void ft_admin_handle (FtNode *node, FtHttpRequest *request);
 void ft_admin_tick (FtNode *node, gint64 now);
--- a/src/net/polls.c
+++ b/src/net/polls.c
@@ -13,7 +13,7 @@
 
 typedef struct {
   char *ref;
-  guint64 stamp;
+  guint64 revision;
   gint64 began;
   FtPollDone done;
   gpointer data;
@@ -114,7 +114,7 @@
       continue;
     }
     g_autofree char *key = ft_key_job (poll->ref);
-    ft_txn_if (txn, key, poll->stamp);
+    ft_txn_if (txn, key, poll->revision);
     g_ptr_array_add (polls->asked, poll);
   }
   if (polls->asked->len > 0)
@@ -128,11 +128,11 @@
 ft_polls_ask (FtPolls *polls, const char *ref, FtPollDone done, gpointer data)
 {
   const FtKnownJob *job = ft_known_jobs_find (polls->node->known, ref);
-  if (job == NULL || g_queue_get_length (&polls->waiting) >= FT_POLLS_MOST)
+  if (job == NULL || g_queue_get_length (&polls->waiting) >= FT_POLLS_MAX)
     return FALSE;
   Poll *poll = g_new0 (Poll, 1);
   poll->ref = g_strdup (ref);
-  poll->stamp = job->stamp;
+  poll->revision = job->revision;
   poll->began = g_get_monotonic_time ();
   poll->done = done;
   poll->data = data;
--- a/src/net/state_client.c
+++ b/src/net/state_client.c
@@ -178,7 +178,7 @@
 submit (FtState *state, const char *method, char *path, const json_t *body, FtStatePriority priority, FtHttpDone done,
         gpointer data)
 {
-  if (priority == FT_STATE_READ && g_queue_get_length (&state->queues[FT_STATE_READ]) >= FT_STATE_QUEUE_MOST) {
+  if (priority == FT_STATE_READ && g_queue_get_length (&state->queues[FT_STATE_READ]) >= FT_STATE_QUEUE_MAX) {
     g_free (path);
     done (503, NULL, data);
     return;
--- a/src/net/user_api.c
+++ b/src/net/user_api.c
@@ -1,4 +1,4 @@
-/* Submissions, polls and withdrawals. Any node serves them, by conditional
+/* Submissions, polls and cancellations. Any node serves them, by conditional
  * commits and fresh reads; memory serves only what is final. */
 #include <string.h>
 
@@ -14,8 +14,8 @@
   FtHttpRequest *request;
   char *ref;
   FtJobSpec *spec; /* submissions */
-  gboolean withdraw;
-  gboolean with_need; /* withdrawn since a job that it needs is */
+  gboolean cancel;
+  gboolean with_need; /* cancelled since a job that it needs is */
   guint tries;
   gint64 as_of; /* until then nothing that a submitted job needs was cancelled; 0: not known */
   gint64 began;
@@ -108,7 +108,7 @@
   } else if (result == FT_LINEAGE_OPEN) {
     finish (call, 200, open_body (call->node, call->ref));
   } else if (result == FT_LINEAGE_CANCELLED) {
-    call->with_need = call->withdraw = TRUE;
+    call->with_need = call->cancel = TRUE;
     read_job (call);
   } else {
     finish (call, 503, NULL);
@@ -124,7 +124,7 @@
 
 /* ---- reading a job ---- */
 
-static void withdraw_open (UserCall *call, const FtRow *row, guint tasks);
+static void cancel_open_job (UserCall *call, const FtRow *row, guint tasks);
 
 static void
 on_read (guint status, const json_t *body, gpointer data)
@@ -141,10 +141,10 @@
     finish (call, 503, NULL);
   } else if (!state.open) {
     answer_ended (call, state.end, state.tasks);
-  } else if (call->withdraw) {
-    withdraw_open (call, &row, state.tasks);
+  } else if (call->cancel) {
+    cancel_open_job (call, &row, state.tasks);
   } else {
-    ft_known_jobs_open (call->node->known, call->ref, row.stamp, state.has_needs);
+    ft_known_jobs_open (call->node->known, call->ref, row.revision, state.has_needs);
     answer_open (call);
   }
 }
@@ -156,15 +156,15 @@
   if (too_late (call))
     finish (call, 503, NULL);
   else
-    ft_state_get (call->node->state, key, call->withdraw ? FT_STATE_CANCEL : FT_STATE_READ, on_read, call);
+    ft_state_get (call->node->state, key, call->cancel ? FT_STATE_CANCEL : FT_STATE_READ, on_read, call);
 }
 
 /* ---- submission ---- */
 
 static void
-remember_created (UserCall *call, guint64 stamp)
+remember_created (UserCall *call, guint64 revision)
 {
-  FtKnownJob *job = ft_known_jobs_open (call->node->known, call->ref, stamp, call->spec->awaits != NULL);
+  FtKnownJob *job = ft_known_jobs_open (call->node->known, call->ref, revision, call->spec->awaits != NULL);
   job->checked_at = call->as_of;
   g_strfreev (job->needs);
   job->needs = g_strdupv (call->spec->awaits);
@@ -185,9 +185,9 @@
 on_created (guint status, const json_t *body, gpointer data)
 {
   UserCall *call = data;
-  guint64 stamp;
-  if (status == 200 && ft_store_revision (body, &stamp))
-    remember_created (call, stamp);
+  guint64 revision;
+  if (status == 200 && ft_store_revision (body, &revision))
+    remember_created (call, revision);
   if (status == 200)
     finish (call, 201, ft_message_job_state (call->ref, "queued", 0, 0, FALSE));
   else
@@ -253,9 +253,9 @@
 static gboolean
 overloaded (const FtNode *node)
 {
-  return !ft_state_contact (node->state, g_get_monotonic_time ()) || ft_state_queued (node->state) > FT_STATE_QUEUE_MOST
-         || ft_state_write_wait_s (node->state) > FT_SUBMIT_WAIT_MOST_S
-         || (node->scheduler != NULL && ft_scheduler_open_tasks (node->scheduler) > FT_OPEN_TASKS_MOST);
+  return !ft_state_contact (node->state, g_get_monotonic_time ()) || ft_state_queued (node->state) > FT_STATE_QUEUE_MAX
+         || ft_state_write_wait_s (node->state) > FT_SUBMIT_WAIT_MAX_S
+         || (node->scheduler != NULL && ft_scheduler_open_tasks (node->scheduler) > FT_OPEN_TASKS_MAX);
 }
 
 /* A job that waits for others is safe only with controllers that know of it: an older leader
@@ -323,19 +323,19 @@
   ft_lineage_check_needs (node, (const char *const *) call->spec->awaits, on_needs_checked, call);
 }
 
-/* ---- withdrawal ---- */
+/* ---- cancellation ---- */
 
 static void
-on_withdrawn (guint status, const json_t *body, gpointer data)
+on_cancelled (guint status, const json_t *body, gpointer data)
 {
   UserCall *call = data;
   (void) body;
   if (status == 200) {
     g_message ("job %s: withdrawn%s", call->ref, call->with_need ? ", since a job that it needs is" : "");
-    ft_metrics_count (call->node->metrics, call->with_need ? FT_COUNT_CANCELLED_WITH_NEED : FT_COUNT_WITHDRAWN);
-    ft_node_withdrawn (call->node, call->ref);
+    ft_metrics_count (call->node->metrics, call->with_need ? FT_COUNT_CANCELLED_WITH_NEED : FT_COUNT_CANCELLED);
+    ft_node_job_cancelled (call->node, call->ref);
     answer_ended (call, FT_JOB_END_CANCELLED, 0);
-  } else if ((status == 409 || status == 0) && ++call->tries < FT_WITHDRAW_TRIES) {
+  } else if ((status == 409 || status == 0) && ++call->tries < FT_CANCEL_TRIES) {
     read_job (call); /* it has changed, perhaps by this very commit */
   } else {
     finish (call, 503, NULL);
@@ -343,15 +343,15 @@
 }
 
 static void
-withdraw_open (UserCall *call, const FtRow *row, guint tasks)
+cancel_open_job (UserCall *call, const FtRow *row, guint tasks)
 {
-  g_autofree char *job = ft_key_job (call->ref), *mark = ft_key_withdrawn (call->ref);
+  g_autofree char *job = ft_key_job (call->ref), *mark = ft_key_cancellation (call->ref);
   gint64 wall_ms = g_get_real_time () / 1000;
   json_t *txn = ft_txn_new ();
-  ft_txn_if (txn, job, row->stamp);
+  ft_txn_if (txn, job, row->revision);
   ft_txn_put (txn, job, ft_row_job_ended (FT_JOB_END_CANCELLED, tasks, wall_ms));
-  ft_txn_put (txn, mark, ft_row_withdrawn (wall_ms));
-  ft_state_commit (call->node->state, txn, FT_STATE_CANCEL, on_withdrawn, call);
+  ft_txn_put (txn, mark, ft_row_cancellation (wall_ms));
+  ft_state_commit (call->node->state, txn, FT_STATE_CANCEL, on_cancelled, call);
   json_decref (txn);
 }
 
@@ -370,7 +370,7 @@
 }
 
 static void
-ask (FtNode *node, FtHttpRequest *request, const char *ref, gboolean withdraw)
+ask (FtNode *node, FtHttpRequest *request, const char *ref, gboolean cancel)
 {
   if (!ft_ref_valid (ref)) {
     ft_http_respond (request, 404, NULL);
@@ -386,8 +386,8 @@
     return;
   }
   UserCall *call = user_call_new (node, request, ref);
-  call->withdraw = withdraw;
-  if (withdraw || !ft_polls_ask (node->polls, ref, on_polled, call))
+  call->cancel = cancel;
+  if (cancel || !ft_polls_ask (node->polls, ref, on_polled, call))
     read_job (call);
 }
 
--- a/src/wire/cbor.c
+++ b/src/wire/cbor.c
@@ -16,7 +16,7 @@
 
 typedef struct {
   json_t *root;
-  Frame stack[FT_NESTING_MOST];
+  Frame stack[FT_NESTING_MAX];
   int depth;
   GString *text; /* chunked text being joined */
   gboolean failed;
@@ -71,7 +71,7 @@
 static void
 builder_open (Builder *b, json_t *node, guint64 items)
 {
-  if (b->failed || b->depth == FT_NESTING_MOST) {
+  if (b->failed || b->depth == FT_NESTING_MAX) {
     b->failed = TRUE;
     json_decref (node);
     return;
@@ -213,7 +213,7 @@
     at += r.read;
   }
   gboolean whole = !b.failed && b.root != NULL && b.depth == 0 && b.text == NULL && at == size;
-  for (int i = 0; i < FT_NESTING_MOST; i++)
+  for (int i = 0; i < FT_NESTING_MAX; i++)
     g_free (b.stack[i].key);
   if (b.text != NULL)
     g_string_free (b.text, TRUE);
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -11,12 +11,11 @@
 read_type (const json_t *item)
 {
   FtMachineType *t = g_new0 (FtMachineType, 1);
-  if (!ft_field_text (item, "name", FT_TEXT_MOST, &t->name)
-      || !ft_field_amount (item, "cores", 0, AMOUNT_MOST, &t->cpus)
+  if (!ft_field_text (item, "name", FT_TEXT_MAX, &t->name) || !ft_field_amount (item, "cores", 0, AMOUNT_MOST, &t->cpus)
       || !ft_field_amount (item, "mem_gb", 0, AMOUNT_MOST, &t->memory_gb)
       || !ft_field_amount (item, "price", 0, AMOUNT_MOST, &t->price)
       || !ft_field_amount (item, "ready_s", 0, AMOUNT_MOST, &t->boot_s)
-      || !ft_field_texts (item, "yards", FT_TEXT_MOST, &t->zones)) {
+      || !ft_field_texts (item, "yards", FT_TEXT_MAX, &t->zones)) {
     ft_machine_type_free (t);
     return NULL;
   }
@@ -65,7 +64,7 @@
 ft_cloud_rented (const json_t *body, FtCloudCall *call)
 {
   g_auto (GStrv) names = NULL;
-  if (!ft_field_texts (body, "hearths", FT_TEXT_MOST, &names))
+  if (!ft_field_texts (body, "hearths", FT_TEXT_MAX, &names))
     return FALSE;
   for (guint i = 0; names[i] != NULL; i++)
     g_ptr_array_add (call->names, g_strdup (names[i]));
@@ -87,10 +86,10 @@
     e->state = g_strcmp0 (state, "failed") == 0     ? FT_LISTED_FAILED
                : g_strcmp0 (state, "starting") == 0 ? FT_LISTED_BOOTING
                                                     : FT_LISTED_RUNNING;
-    ft_field_text_or_null (item, "address", FT_TEXT_MOST, &e->addr);
+    ft_field_text_or_null (item, "address", FT_TEXT_MAX, &e->addr);
     ft_field_amount (item, "held_s", 0, AMOUNT_MOST, &e->age_s);
-    if (!ft_field_text (item, "ref", FT_TEXT_MOST, &e->name) || !ft_field_text (item, "build", FT_TEXT_MOST, &e->type)
-        || !ft_field_text (item, "yard", FT_TEXT_MOST, &e->zone) || !ft_field_bool (item, "loaners", &e->spot))
+    if (!ft_field_text (item, "ref", FT_TEXT_MAX, &e->name) || !ft_field_text (item, "build", FT_TEXT_MAX, &e->type)
+        || !ft_field_text (item, "yard", FT_TEXT_MAX, &e->zone) || !ft_field_bool (item, "loaners", &e->spot))
       return FALSE;
   }
   *more = json_is_true (json_object_get (body, "more"));
--- a/src/wire/heartbeat.c
+++ b/src/wire/heartbeat.c
@@ -17,7 +17,7 @@
   beat->member = g_strdup (member);
   beat->jobs = g_array_new (FALSE, TRUE, sizeof (FtHeartbeatJob));
   g_array_set_clear_func (beat->jobs, job_clear);
-  beat->withdrawals = g_ptr_array_new_with_free_func (g_free);
+  beat->cancellations = g_ptr_array_new_with_free_func (g_free);
   return beat;
 }
 
@@ -28,7 +28,7 @@
     return;
   g_free (beat->member);
   g_array_unref (beat->jobs);
-  g_ptr_array_unref (beat->withdrawals);
+  g_ptr_array_unref (beat->cancellations);
   g_free (beat);
 }
 
@@ -49,10 +49,10 @@
     json_object_set_new (body, "served_ms_ago", json_integer ((json_int_t) beat->served_ms_ago));
   if (beat->yields)
     json_object_set_new (body, "yields", json_true ());
-  if (beat->withdrawals->len > 0) {
+  if (beat->cancellations->len > 0) {
     json_t *refs = json_array ();
-    for (guint i = 0; i < beat->withdrawals->len; i++)
-      json_array_append_new (refs, json_string (g_ptr_array_index (beat->withdrawals, i)));
+    for (guint i = 0; i < beat->cancellations->len; i++)
+      json_array_append_new (refs, json_string (g_ptr_array_index (beat->cancellations, i)));
     json_object_set_new (body, "withdrawn", refs);
   }
   if (beat->token == 0)
@@ -70,7 +70,7 @@
 static gboolean
 parse_progress (const json_t *item, guint *out)
 {
-  if (!json_is_integer (item) || json_integer_value (item) < 0 || json_integer_value (item) > FT_JOB_TASKS_MOST)
+  if (!json_is_integer (item) || json_integer_value (item) < 0 || json_integer_value (item) > FT_JOB_TASKS_MAX)
     return FALSE;
   *out = (guint) json_integer_value (item);
   return TRUE;
@@ -81,7 +81,7 @@
 {
   const char *ref;
   json_t *item;
-  if (!json_is_object (jobs) || json_object_size (jobs) > FT_MESH_JOBS_MOST)
+  if (!json_is_object (jobs) || json_object_size (jobs) > FT_MESH_JOBS_MAX)
     return FALSE;
   json_object_foreach ((json_t *) jobs, ref, item)
   {
@@ -95,15 +95,15 @@
 }
 
 static gboolean
-parse_withdrawals (FtHeartbeat *beat, const json_t *refs)
+parse_cancellations (FtHeartbeat *beat, const json_t *refs)
 {
-  if (!json_is_array (refs) || json_array_size (refs) > FT_MESH_WITHDRAWN_MOST)
+  if (!json_is_array (refs) || json_array_size (refs) > FT_PEER_CANCELLATIONS_MAX)
     return FALSE;
   for (size_t i = 0; i < json_array_size (refs); i++) {
     const char *ref = json_string_value (json_array_get (refs, i));
     if (ref == NULL || !ft_ref_valid (ref))
       return FALSE;
-    g_ptr_array_add (beat->withdrawals, g_strdup (ref));
+    g_ptr_array_add (beat->cancellations, g_strdup (ref));
   }
   return TRUE;
 }
@@ -121,7 +121,7 @@
 {
   g_autoptr (FtHeartbeat) beat = ft_heartbeat_new (NULL);
   gboolean leads;
-  if (!ft_field_text (body, "member", FT_TEXT_MOST, &beat->member)
+  if (!ft_field_text (body, "member", FT_TEXT_MAX, &beat->member)
       || !parse_count (body, "served_ms_ago", 0, &beat->served, &beat->served_ms_ago)
       || !parse_count (body, "token", 1, &leads, &beat->token))
     return NULL;
@@ -131,7 +131,7 @@
     return NULL;
   if (leads && !parse_jobs (beat, json_object_get (body, "jobs")))
     return NULL;
-  if (!ft_field_is_null (body, "withdrawn") && !parse_withdrawals (beat, json_object_get (body, "withdrawn")))
+  if (!ft_field_is_null (body, "withdrawn") && !parse_cancellations (beat, json_object_get (body, "withdrawn")))
     return NULL;
   return g_steal_pointer (&beat);
 }
--- a/src/wire/heartbeat.h
+++ b/src/wire/heartbeat.h
@@ -11,14 +11,14 @@
 } FtHeartbeatJob;
 
 typedef struct {
-  char *member;           /* the sender */
-  gboolean knows_needs;   /* its version knows of jobs that wait for others */
-  gboolean served;        /* the state service has answered it, so long ago: */
-  guint64 served_ms_ago;  /* milliseconds */
-  gboolean yields;        /* it has given the lease up */
-  guint64 token;          /* under which it leads; 0: it does not */
-  GArray *jobs;           /* FtHeartbeatJob, owned: the leader's */
-  GPtrArray *withdrawals; /* refs, owned: what it has committed of late */
+  char *member;             /* the sender */
+  gboolean knows_needs;     /* its version knows of jobs that wait for others */
+  gboolean served;          /* the state service has answered it, so long ago: */
+  guint64 served_ms_ago;    /* milliseconds */
+  gboolean yields;          /* it has given the lease up */
+  guint64 token;            /* under which it leads; 0: it does not */
+  GArray *jobs;             /* FtHeartbeatJob, owned: the leader's */
+  GPtrArray *cancellations; /* refs, owned: what it has committed of late */
 } FtHeartbeat;
 
 FtHeartbeat *ft_heartbeat_new (const char *member);
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -10,7 +10,7 @@
 {
   gsize size = strlen (ref);
   gsize prefix = strlen (FT_REF_PREFIX);
-  if (!g_str_has_prefix (ref, FT_REF_PREFIX) || size <= prefix || size > FT_TEXT_MOST)
+  if (!g_str_has_prefix (ref, FT_REF_PREFIX) || size <= prefix || size > FT_TEXT_MAX)
     return FALSE;
   for (const char *c = ref + prefix; *c != '\0'; c++)
     if (!g_ascii_isalnum (*c) && *c != '-' && *c != '_')
@@ -56,25 +56,25 @@
 static gboolean
 read_texts (const json_t *body, FtJobSpec *spec)
 {
-  return ft_field_text (body, "ref", FT_TEXT_MOST, &spec->ref) && ft_ref_valid (spec->ref)
-         && ft_field_text (body, "lane", FT_TEXT_MOST, &spec->job_class)
-         && ft_field_text (body, "crew", FT_TEXT_MOST, &spec->team) && read_kind (body, &spec->kind)
-         && read_priority (body, &spec->priority) && ft_field_text (body, "bundle", FT_TEXT_MOST, &spec->image)
-         && ft_field_text_or_null (body, "yard", FT_TEXT_MOST, &spec->zone)
-         && (ft_field_is_null (body, "builds") || ft_field_texts (body, "builds", FT_TEXT_MOST, &spec->types));
+  return ft_field_text (body, "ref", FT_TEXT_MAX, &spec->ref) && ft_ref_valid (spec->ref)
+         && ft_field_text (body, "lane", FT_TEXT_MAX, &spec->job_class)
+         && ft_field_text (body, "crew", FT_TEXT_MAX, &spec->team) && read_kind (body, &spec->kind)
+         && read_priority (body, &spec->priority) && ft_field_text (body, "bundle", FT_TEXT_MAX, &spec->image)
+         && ft_field_text_or_null (body, "yard", FT_TEXT_MAX, &spec->zone)
+         && (ft_field_is_null (body, "builds") || ft_field_texts (body, "builds", FT_TEXT_MAX, &spec->types));
 }
 
 static gboolean
 read_amounts (const json_t *body, FtJobSpec *spec)
 {
-  return ft_field_amount (body, "cores", 0, FT_AMOUNT_MOST, &spec->cpus)
-         && ft_field_amount (body, "cards", 0, FT_AMOUNT_MOST, &spec->gpus)
-         && ft_field_amount (body, "mem_gb", 0, FT_AMOUNT_MOST, &spec->memory_gb)
-         && ft_field_amount (body, "pull_gb", 0, FT_AMOUNT_MOST, &spec->image_gb)
-         && ft_field_amount (body, "guess_s", 0, FT_AMOUNT_MOST, &spec->estimate_s)
-         && ft_field_amount (body, "bookmark_s", 0, FT_AMOUNT_MOST, &spec->checkpoint_s)
-         && ft_field_amount (body, "shelve_s", 0, FT_AMOUNT_MOST, &spec->save_s)
-         && (ft_field_is_null (body, "due_s") || ft_field_amount (body, "due_s", 0, FT_AMOUNT_MOST, &spec->deadline_s));
+  return ft_field_amount (body, "cores", 0, FT_AMOUNT_MAX, &spec->cpus)
+         && ft_field_amount (body, "cards", 0, FT_AMOUNT_MAX, &spec->gpus)
+         && ft_field_amount (body, "mem_gb", 0, FT_AMOUNT_MAX, &spec->memory_gb)
+         && ft_field_amount (body, "pull_gb", 0, FT_AMOUNT_MAX, &spec->image_gb)
+         && ft_field_amount (body, "guess_s", 0, FT_AMOUNT_MAX, &spec->estimate_s)
+         && ft_field_amount (body, "bookmark_s", 0, FT_AMOUNT_MAX, &spec->checkpoint_s)
+         && ft_field_amount (body, "shelve_s", 0, FT_AMOUNT_MAX, &spec->save_s)
+         && (ft_field_is_null (body, "due_s") || ft_field_amount (body, "due_s", 0, FT_AMOUNT_MAX, &spec->deadline_s));
 }
 
 /* The jobs that it needs, each once; none is the same as an empty list. */
@@ -84,7 +84,7 @@
   g_auto (GStrv) named = NULL;
   if (ft_field_is_null (body, "awaits"))
     return TRUE;
-  if (!ft_field_texts (body, "awaits", FT_TEXT_MOST, &named))
+  if (!ft_field_texts (body, "awaits", FT_TEXT_MAX, &named))
     return FALSE;
   g_autoptr (GPtrArray) needs = g_ptr_array_new_with_free_func (g_free);
   g_autoptr (GHashTable) seen = g_hash_table_new (g_str_hash, g_str_equal);
@@ -107,7 +107,7 @@
   g_autoptr (FtJobSpec) spec = g_new0 (FtJobSpec, 1);
   guint64 tasks = 0;
   if (!json_is_object (body) || !read_texts (body, spec) || !read_amounts (body, spec)
-      || !ft_field_count (body, "pieces", 1, FT_JOB_TASKS_MOST, &tasks)
+      || !ft_field_count (body, "pieces", 1, FT_JOB_TASKS_MAX, &tasks)
       || !ft_field_bool (body, "one_zone", &spec->one_zone) || !ft_field_bool (body, "apart", &spec->spread)
       || !ft_field_bool (body, "loaners", &spec->spot) || !read_awaits (body, spec))
     // NOLINTNEXTLINE(clang-analyzer-unix.Malloc): freed by g_auto cleanup, which the analyzer does not follow
@@ -132,7 +132,7 @@
 {
   const char *slash = name != NULL ? strrchr (name, '/') : NULL;
   guint64 index;
-  if (slash == NULL || !g_ascii_string_to_unsigned (slash + 1, 10, 0, FT_JOB_TASKS_MOST, &index, NULL))
+  if (slash == NULL || !g_ascii_string_to_unsigned (slash + 1, 10, 0, FT_JOB_TASKS_MAX, &index, NULL))
     return FALSE;
   g_autofree char *job = g_strndup (name, (gsize) (slash - name));
   if (!ft_ref_valid (job))
@@ -190,15 +190,15 @@
 ft_message_report (const json_t *body)
 {
   g_autoptr (FtReport) r = ft_report_new ();
-  if (!ft_field_text (body, "hearth", FT_TEXT_MOST, &r->machine)
-      || !ft_field_text (body, "address", FT_TEXT_MOST, &r->addr)
-      || !ft_field_text (body, "build", FT_TEXT_MOST, &r->type) || !ft_field_text (body, "yard", FT_TEXT_MOST, &r->zone)
+  if (!ft_field_text (body, "hearth", FT_TEXT_MAX, &r->machine)
+      || !ft_field_text (body, "address", FT_TEXT_MAX, &r->addr)
+      || !ft_field_text (body, "build", FT_TEXT_MAX, &r->type) || !ft_field_text (body, "yard", FT_TEXT_MAX, &r->zone)
       || !ft_field_bool (body, "loaners", &r->spot) || !ft_field_count (body, "shift", 0, G_MAXINT64, &r->session)
       || !ft_field_count (body, "tally", 0, G_MAXINT64, &r->sequence)
       || !ft_field_count (body, "baton", 0, G_MAXINT64, &r->token)
       || !read_tasks (json_object_get (body, "pieces"), r->tasks))
     return NULL;
-  if (!ft_field_is_null (body, "recall_s") && !ft_field_amount (body, "recall_s", 0, FT_AMOUNT_MOST, &r->notice_s))
+  if (!ft_field_is_null (body, "recall_s") && !ft_field_amount (body, "recall_s", 0, FT_AMOUNT_MAX, &r->notice_s))
     return NULL;
   return g_steal_pointer (&r);
 }
--- a/src/wire/report.c
+++ b/src/wire/report.c
@@ -121,7 +121,7 @@
 read_text (Reader *r, char **out)
 {
   Item item = next (r);
-  if (*out != NULL || !plain (&item, FT_TEXT_MOST))
+  if (*out != NULL || !plain (&item, FT_TEXT_MAX))
     return FALSE;
   *out = g_strndup (item.text, item.count);
   return TRUE;
@@ -138,8 +138,8 @@
 static gboolean
 read_name (const Item *item, FtReportedTask *task)
 {
-  char name[FT_TEXT_MOST + 1];
-  if (!plain (item, FT_TEXT_MOST))
+  char name[FT_TEXT_MAX + 1];
+  if (!plain (item, FT_TEXT_MAX))
     return FALSE;
   memcpy (name, item->text, item->count);
   name[item->count] = '\0';
@@ -154,11 +154,11 @@
     return read_count (r, &task->attempt) ? 1 : -1;
   if (is (key, "standing")) {
     *state = next (r);
-    return plain (state, FT_TEXT_MOST) ? 1 : -1;
+    return plain (state, FT_TEXT_MAX) ? 1 : -1;
   }
   if (is (key, "cause")) {
     *cause = next (r);
-    return plain (cause, FT_TEXT_MOST) || cause->kind == ITEM_NULL ? 1 : -1;
+    return plain (cause, FT_TEXT_MAX) || cause->kind == ITEM_NULL ? 1 : -1;
   }
   if (!is (key, "piece"))
     return 0;
@@ -170,7 +170,7 @@
 skip_scalar (Reader *r)
 {
   Item item = next (r);
-  return item.kind == ITEM_UINT || item.kind == ITEM_BOOL || item.kind == ITEM_NULL || plain (&item, FT_BODY_MOST);
+  return item.kind == ITEM_UINT || item.kind == ITEM_BOOL || item.kind == ITEM_NULL || plain (&item, FT_BODY_MAX);
 }
 
 static gboolean
@@ -185,7 +185,7 @@
   FtReportedTask *task = &g_array_index (tasks, FtReportedTask, tasks->len - 1);
   for (guint64 i = 0; i < map.count; i++) {
     Item key = next (r);
-    int read = plain (&key, FT_TEXT_MOST) ? read_task_field (r, &key, task, &state, &cause) : -1;
+    int read = plain (&key, FT_TEXT_MAX) ? read_task_field (r, &key, task, &state, &cause) : -1;
     if (read < 0 || (read == 0 && !skip_scalar (r)))
       return FALSE;
     fields += read > 0 && !is (&key, "cause");
@@ -214,7 +214,7 @@
     return TRUE;
   report->notice_s = item.kind == ITEM_REAL ? item.real : (double) item.count;
   return (item.kind == ITEM_UINT || item.kind == ITEM_REAL) && report->notice_s >= 0
-         && report->notice_s <= FT_AMOUNT_MOST;
+         && report->notice_s <= FT_AMOUNT_MAX;
 }
 
 /* 1, 0 or -1 as above; `seen` has a bit for each field that must be there. */
@@ -255,7 +255,7 @@
     return NULL;
   for (guint64 i = 0; i < map.count; i++) {
     Item key = next (&r);
-    int read = plain (&key, FT_TEXT_MOST) ? read_field (&r, &key, report, &seen) : -1;
+    int read = plain (&key, FT_TEXT_MAX) ? read_field (&r, &key, report, &seen) : -1;
     if (read < 0 || (read == 0 && !skip_scalar (&r)))
       return NULL;
   }
