--- a/src/wire/store.c
+++ b/src/wire/store.c
@@ -15,10 +15,10 @@
 }
 
 void
-ft_txn_if (json_t *txn, const char *key, guint64 stamp)
+ft_txn_if (json_t *txn, const char *key, guint64 revision)
 {
   json_array_append_new (json_object_get (txn, "if"),
-                         json_pack ("{s:s, s:I}", "key", key, "stamp", (json_int_t) stamp));
+                         json_pack ("{s:s, s:I}", "key", key, "stamp", (json_int_t) revision));
 }
 
 void
@@ -54,7 +54,7 @@
 {
   row->key = json_string_value (json_object_get (item, key_name));
   row->value = json_object_get (item, "data");
-  return row->key != NULL && ft_field_count (item, "stamp", 0, G_MAXINT64, &row->stamp);
+  return row->key != NULL && ft_field_count (item, "stamp", 0, G_MAXINT64, &row->revision);
 }
 
 gboolean
@@ -113,7 +113,7 @@
 }
 
 char *
-ft_key_withdrawn (const char *ref)
+ft_key_cancellation (const char *ref)
 {
   return g_strconcat (FT_PREFIX_OPEN, ref, "/w", NULL);
 }
@@ -125,19 +125,19 @@
 }
 
 static char *
-key_roster (const char *row)
+key_registry (const char *row)
 {
-  return g_strconcat (FT_PREFIX_ROSTER, row, NULL);
+  return g_strconcat (FT_PREFIX_REGISTRY, row, NULL);
 }
 
 char *
-ft_key_open_ref (const char *key, gboolean *withdrawn)
+ft_key_open_ref (const char *key, gboolean *cancelled)
 {
   if (!g_str_has_prefix (key, FT_PREFIX_OPEN))
     return NULL;
-  *withdrawn = g_str_has_suffix (key, "/w");
+  *cancelled = g_str_has_suffix (key, "/w");
   gsize skip = strlen (FT_PREFIX_OPEN);
-  return g_strndup (key + skip, strlen (key) - skip - (*withdrawn ? 2 : 0));
+  return g_strndup (key + skip, strlen (key) - skip - (*cancelled ? 2 : 0));
 }
 
 gboolean
@@ -146,7 +146,7 @@
   const char *slash = strrchr (key, '/');
   guint64 number;
   if (!g_str_has_prefix (key, FT_PREFIX_DONE) || slash == key + 1
-      || !g_ascii_string_to_unsigned (slash + 1, 10, 0, FT_JOB_TASKS_MOST, &number, NULL))
+      || !g_ascii_string_to_unsigned (slash + 1, 10, 0, FT_JOB_TASKS_MAX, &number, NULL))
     return FALSE;
   *ref = g_strndup (key + 2, (gsize) (slash - key - 2));
   *chunk = (guint) number;
@@ -181,13 +181,13 @@
   for (guint i = 0; i < rows->len; i++) {
     const FtRow *row = &g_array_index (rows, FtRow, i);
     if (strcmp (row->key, FT_KEY_FENCE) == 0) {
-      out->fence_stamp = row->stamp;
+      out->fence_revision = row->revision;
       if (!ft_field_count (row->value, "token", 0, G_MAXINT32, &out->token)
           || !ft_field_count (row->value, "incarnation", 0, G_MAXINT64, &out->incarnation)
-          || !ft_field_text (row->value, "holder", FT_TEXT_MOST, &out->holder))
+          || !ft_field_text (row->value, "holder", FT_TEXT_MAX, &out->holder))
         return FALSE;
     } else if (strcmp (row->key, FT_KEY_RENEWAL) == 0) {
-      out->renewal_stamp = row->stamp;
+      out->renewal_revision = row->revision;
       guint64 lease_ms = 0;
       ft_field_count (row->value, "lease_ms", 0, G_MAXINT32, &lease_ms);
       out->lease_us = (gint64) lease_ms * 1000;
@@ -198,13 +198,13 @@
 }
 
 json_t *
-ft_row_withdrawn (gint64 wall_ms)
+ft_row_cancellation (gint64 wall_ms)
 {
   return json_pack ("{s:I}", "at_ms", (json_int_t) wall_ms);
 }
 
 gint64
-ft_row_withdrawn_at (const json_t *value)
+ft_row_cancellation_time (const json_t *value)
 {
   guint64 wall_ms = 0;
   ft_field_count (value, "at_ms", 0, G_MAXINT64, &wall_ms);
@@ -232,7 +232,7 @@
 {
   const char *state = json_string_value (json_object_get (value, "state"));
   guint64 tasks, ended_ms = 0;
-  if (state == NULL || !ft_field_count (value, "tasks", 0, FT_JOB_TASKS_MOST, &tasks))
+  if (state == NULL || !ft_field_count (value, "tasks", 0, FT_JOB_TASKS_MAX, &tasks))
     return FALSE;
   ft_field_count (value, "ended_ms", 0, G_MAXINT64, &ended_ms);
   *out = (FtJobRow){ .open = strcmp (state, "open") == 0,
@@ -291,7 +291,7 @@
       "image_gb", spec->image_gb, "types", text_list (spec->types), "zone", spec->zone, "one_zone", spec->one_zone,
       "spread", spec->spread, "spot", spec->spot, "estimate_s", spec->estimate_s, "checkpoint_s", spec->checkpoint_s,
       "save_s", spec->save_s, "deadline_s", spec->deadline_s, "submitted_ms", (json_int_t) spec->submitted_wall_ms,
-      "sent", (int) spec->sent);
+      "sent", (int) spec->dispatch_watermark);
   if (spec->awaits == NULL)
     return row;
   g_autofree char *awaits = pack_refs (spec->awaits);
@@ -303,8 +303,8 @@
 ft_row_open_size (const FtJobSpec *spec)
 {
   json_t *row = ft_row_open (spec);
-  /* As it is when its mark has been raised. */
-  json_object_set_new (row, "sent", json_integer (FT_JOB_TASKS_MOST));
+  /* As it is when its dispatch watermark has been raised. */
+  json_object_set_new (row, "sent", json_integer (FT_JOB_TASKS_MAX));
   json_object_set_new (row, "stamp", json_integer (G_MAXINT64));
   gsize size = json_dumpb (row, NULL, 0, 0);
   json_decref (row);
@@ -332,10 +332,10 @@
 }
 
 guint64
-ft_row_open_stamp (const FtRow *row)
+ft_row_open_revision (const FtRow *row)
 {
-  guint64 stamp;
-  return ft_field_count (row->value, "stamp", 1, G_MAXINT64, &stamp) ? stamp : row->stamp;
+  guint64 revision;
+  return ft_field_count (row->value, "stamp", 1, G_MAXINT64, &revision) ? revision : row->revision;
 }
 
 FtJobSpec *
@@ -344,26 +344,26 @@
   g_autoptr (FtJobSpec) spec = g_new0 (FtJobSpec, 1);
   guint64 kind = FT_KIND_ARRAY, priority, tasks, submitted, sent;
   spec->ref = g_strdup (ref);
-  if (!ft_field_text (v, "class", FT_TEXT_MOST, &spec->job_class)
-      || !ft_field_text (v, "team", FT_TEXT_MOST, &spec->team)
+  if (!ft_field_text (v, "class", FT_TEXT_MAX, &spec->job_class)
+      || !ft_field_text (v, "team", FT_TEXT_MAX, &spec->team)
       /* Rows of before there were kinds have none. */
       || !(ft_field_is_null (v, "kind") || ft_field_count (v, "kind", 0, FT_KIND_SERVICE, &kind))
       || !ft_field_count (v, "priority", 0, FT_PRIORITY_PRODUCTION, &priority)
-      || !ft_field_count (v, "tasks", 1, FT_JOB_TASKS_MOST, &tasks) || !read_open_amounts (v, spec)
-      || !ft_field_text (v, "image", FT_TEXT_MOST, &spec->image)
-      || !(ft_field_is_null (v, "types") || ft_field_texts (v, "types", FT_TEXT_MOST, &spec->types))
-      || !ft_field_text_or_null (v, "zone", FT_TEXT_MOST, &spec->zone)
-      || !ft_field_bool (v, "one_zone", &spec->one_zone) || !ft_field_bool (v, "spread", &spec->spread)
-      || !ft_field_bool (v, "spot", &spec->spot) || !ft_field_count (v, "submitted_ms", 0, G_MAXINT64, &submitted))
+      || !ft_field_count (v, "tasks", 1, FT_JOB_TASKS_MAX, &tasks) || !read_open_amounts (v, spec)
+      || !ft_field_text (v, "image", FT_TEXT_MAX, &spec->image)
+      || !(ft_field_is_null (v, "types") || ft_field_texts (v, "types", FT_TEXT_MAX, &spec->types))
+      || !ft_field_text_or_null (v, "zone", FT_TEXT_MAX, &spec->zone) || !ft_field_bool (v, "one_zone", &spec->one_zone)
+      || !ft_field_bool (v, "spread", &spec->spread) || !ft_field_bool (v, "spot", &spec->spot)
+      || !ft_field_count (v, "submitted_ms", 0, G_MAXINT64, &submitted))
     return NULL;
-  /* Rows of before there was a mark have none: all of it may have been sent. */
+  /* Rows of before there was a dispatch watermark have none: all of it may have been sent. */
   sent = tasks;
   if (!ft_field_is_null (v, "sent") && !ft_field_count (v, "sent", 0, tasks, &sent))
     return NULL;
   /* A job is never started before those that it needs because they could not be read. */
   if (!ft_field_is_null (v, "awaits") && !unpack_refs (json_object_get (v, "awaits"), &spec->awaits))
     return NULL;
-  spec->sent = (guint) sent;
+  spec->dispatch_watermark = (guint) sent;
   spec->kind = (FtJobKind) kind;
   spec->priority = (FtPriority) priority;
   spec->tasks = (guint) tasks;
@@ -382,8 +382,8 @@
 {
   g_autofree char *addr = NULL, *type = NULL, *zone = NULL;
   gboolean spot;
-  if (!ft_field_text (v, "addr", FT_TEXT_MOST, &addr) || !ft_field_text (v, "type", FT_TEXT_MOST, &type)
-      || !ft_field_text (v, "zone", FT_TEXT_MOST, &zone) || !ft_field_bool (v, "spot", &spot))
+  if (!ft_field_text (v, "addr", FT_TEXT_MAX, &addr) || !ft_field_text (v, "type", FT_TEXT_MAX, &type)
+      || !ft_field_text (v, "zone", FT_TEXT_MAX, &zone) || !ft_field_bool (v, "spot", &spot))
     return FALSE;
   ft_scheduler_load_machine (s, row, name, addr, type, zone, spot);
   return TRUE;
@@ -392,9 +392,9 @@
 gboolean
 ft_row_machine_parse (FtScheduler *s, const FtRow *row)
 {
-  if (!g_str_has_prefix (row->key, FT_PREFIX_ROSTER))
+  if (!g_str_has_prefix (row->key, FT_PREFIX_REGISTRY))
     return FALSE;
-  const char *id = row->key + strlen (FT_PREFIX_ROSTER);
+  const char *id = row->key + strlen (FT_PREFIX_REGISTRY);
   const json_t *list = json_object_get (row->value, "machines");
   if (list == NULL)
     return read_machine (s, id, id, row->value); /* rows of before name one machine, by their key */
@@ -402,7 +402,7 @@
   for (size_t i = 0; i < json_array_size (list); i++) {
     const json_t *item = json_array_get (list, i);
     g_autofree char *name = NULL;
-    all &= ft_field_text (item, "name", FT_TEXT_MOST, &name) && read_machine (s, id, name, item);
+    all &= ft_field_text (item, "name", FT_TEXT_MAX, &name) && read_machine (s, id, name, item);
   }
   return all;
 }
@@ -468,7 +468,7 @@
 add_job_ended (json_t *txn, const FtWrite *w, FtJobEnd end, gint64 wall_ms)
 {
   g_autofree char *job = ft_key_job (w->name), *open = ft_key_open (w->name);
-  ft_txn_if (txn, job, w->stamp);
+  ft_txn_if (txn, job, w->revision);
   ft_txn_put (txn, job, ft_row_job_ended (end, w->tasks, wall_ms));
   ft_txn_delete (txn, open);
 }
@@ -476,7 +476,7 @@
 static void
 add_job_gone (json_t *txn, const FtWrite *w)
 {
-  g_autofree char *open = ft_key_open (w->name), *mark = ft_key_withdrawn (w->name);
+  g_autofree char *open = ft_key_open (w->name), *mark = ft_key_cancellation (w->name);
   ft_txn_delete (txn, open);
   ft_txn_delete (txn, mark);
 }
@@ -485,13 +485,13 @@
 marked_row (const FtWrite *w)
 {
   json_t *row = ft_row_open (w->spec);
-  json_object_set_new (row, "sent", json_integer (w->sent));
-  json_object_set_new (row, "stamp", json_integer ((json_int_t) w->stamp));
+  json_object_set_new (row, "sent", json_integer (w->watermark));
+  json_object_set_new (row, "stamp", json_integer ((json_int_t) w->revision));
   return row;
 }
 
 static json_t *
-roster_value (const GArray *machines)
+registry_value (const GArray *machines)
 {
   json_t *list = json_array ();
   for (guint i = 0; i < machines->len; i++) {
@@ -507,19 +507,19 @@
 {
   g_autofree char *key = NULL;
   switch (w->kind) {
-  case FT_WRITE_ROSTER:
-    key = key_roster (w->name);
-    ft_txn_put (txn, key, roster_value (w->machines));
+  case FT_WRITE_REGISTRY_ROW:
+    key = key_registry (w->name);
+    ft_txn_put (txn, key, registry_value (w->machines));
     break;
-  case FT_WRITE_ROSTER_DROP:
-    key = key_roster (w->name);
+  case FT_WRITE_REGISTRY_ROW_DELETE:
+    key = key_registry (w->name);
     ft_txn_delete (txn, key);
     break;
-  case FT_WRITE_MARK_DROP:
+  case FT_WRITE_DRAIN_DELETE:
     key = ft_key_drained (w->name);
     ft_txn_delete (txn, key);
     break;
-  case FT_WRITE_SENT:
+  case FT_WRITE_WATERMARK:
     key = ft_key_open (w->name);
     ft_txn_put (txn, key, marked_row (w));
     break;
@@ -527,7 +527,7 @@
     key = key_chunk (w->name, w->chunk);
     ft_txn_put (txn, key, json_pack ("{s:s}", "bits", w->bits));
     break;
-  case FT_WRITE_CHUNK_DROP:
+  case FT_WRITE_CHUNK_DELETE:
     key = key_chunk (w->name, w->chunk);
     ft_txn_delete (txn, key);
     break;
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -5,12 +5,12 @@
  *   l/journal        number of the leader's last batch; every batch is
  *                    conditional on it, so that none can be applied late
  *   j/REF            a job's state: open, done, cancelled; kept for ever
- *   o/REF            an open job as submitted, with the jobs that it needs and the mark
- *                    of what was sent; o/REF/w once it is withdrawn
+ *   o/REF            an open job as submitted, with the jobs that it needs and the dispatch watermark
+ *                    of what was sent; o/REF/w once it is cancelled
  *   d/REF/CHUNK      a chunk of an open job's done-set
  *   m/ROW            machines that may have been sent commands
  *   a/NAME           a machine that an operator has drained
- *   s/settings       the operators' settings; its stamp is their version
+ *   s/settings       the operators' settings; its revision is their version
  */
 #pragma once
 #include <jansson.h>
@@ -25,13 +25,13 @@
 #define FT_PREFIX_LEASE "l/"
 #define FT_PREFIX_OPEN "o/"
 #define FT_PREFIX_DONE "d/"
-#define FT_PREFIX_ROSTER "m/"
+#define FT_PREFIX_REGISTRY "m/"
 #define FT_PREFIX_DRAINED "a/"
 #define FT_KEY_SETTINGS "s/settings"
 
 /* A transaction being built; json_decref() frees it. */
 json_t *ft_txn_new (void);
-void ft_txn_if (json_t *txn, const char *key, guint64 stamp);
+void ft_txn_if (json_t *txn, const char *key, guint64 revision);
 /* Takes the value. */
 void ft_txn_put (json_t *txn, const char *key, json_t *value);
 void ft_txn_delete (json_t *txn, const char *key);
@@ -44,7 +44,7 @@
 typedef struct {
   const char *key;
   json_t *value; /* NULL: deleted */
-  guint64 stamp;
+  guint64 revision;
 } FtRow;
 gboolean ft_store_row (const json_t *body, FtRow *row);
 /* Rows of a list or events of a watch, as a new array of FtRow; NULL if malformed. */
@@ -54,9 +54,9 @@
 /* Rows of flintrack. */
 char *ft_key_job (const char *ref);
 char *ft_key_open (const char *ref);
-char *ft_key_withdrawn (const char *ref);
+char *ft_key_cancellation (const char *ref);
 /* The ref of an index row, new; NULL if it is none. */
-char *ft_key_open_ref (const char *key, gboolean *withdrawn);
+char *ft_key_open_ref (const char *key, gboolean *cancelled);
 gboolean ft_key_chunk_parse (const char *key, char **ref, guint *chunk);
 
 json_t *ft_row_fence (guint64 token, const char *holder, guint64 incarnation);
@@ -73,15 +73,15 @@
 json_t *ft_row_job_open (const FtJobSpec *spec);
 json_t *ft_row_job_ended (FtJobEnd end, guint tasks, gint64 wall_ms);
 gboolean ft_row_job_parse (const json_t *value, FtJobRow *out);
-/* The mark of a withdrawal, with the wall time of its commit; 0: it does not say. */
-json_t *ft_row_withdrawn (gint64 wall_ms);
-gint64 ft_row_withdrawn_at (const json_t *value);
+/* The mark of a cancellation, with the wall time of its commit; 0: it does not say. */
+json_t *ft_row_cancellation (gint64 wall_ms);
+gint64 ft_row_cancellation_time (const json_t *value);
 json_t *ft_row_open (const FtJobSpec *spec);
 /* The most bytes of JSON that the job's row takes at any time. */
 gsize ft_row_open_size (const FtJobSpec *spec);
 /* The revision of the job's own row, on which its end is conditional: the index row
- * is written with it, and again whenever the mark is raised. */
-guint64 ft_row_open_stamp (const FtRow *row);
+ * is written with it, and again whenever the dispatch watermark is raised. */
+guint64 ft_row_open_revision (const FtRow *row);
 FtJobSpec *ft_row_open_parse (const char *ref, const json_t *value);
 const char *ft_row_chunk_bits (const json_t *value);
 gboolean ft_row_machine_parse (FtScheduler *s, const FtRow *row);
--- a/tests/scheduler_harness.hpp
+++ b/tests/scheduler_harness.hpp
@@ -27,7 +27,7 @@
   s->cpus = 4;
   s->memory_gb = 1;
   s->spot = TRUE;
-  s->sent = tasks;
+  s->dispatch_watermark = tasks;
   return s;
 }
 
@@ -71,7 +71,7 @@
     g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (s, 11, TRUE, now);
     ft_scheduler_written (s, writes, now);
   }
-  // A machine that is up, in the roster and has seen the token.
+  // A machine that is up, in the registry and has seen the token.
   void
   machine_up (gint64 now, guint64 sequence = 1, const char *name = "n-1", const char *zone = "a", bool spot = false)
   {
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -30,14 +30,14 @@
 }
 
 const Checker::Job *
-Checker::any_before (const Job &job, std::function<bool (const Job &)> holds) const
+Checker::any_before (const Job &job, std::function<bool (const Job &)> reserved) const
 {
   std::vector<std::string> todo = job.needs;
   std::set<std::string> seen (todo.begin (), todo.end ());
   while (!todo.empty ()) {
     const Job &before = jobs_.at (todo.back ());
     todo.pop_back ();
-    if (holds (before))
+    if (reserved (before))
       return &before;
     for (const std::string &need : before.needs)
       if (seen.insert (need).second)
--- a/tests/sim/day.hpp
+++ b/tests/sim/day.hpp
@@ -32,7 +32,7 @@
         world.submit (ref, tasks, cpus, run, team, zone, spread, spot);
       });
       if (world.chance (0.25))
-        world.at (when + (Time) (world.uniform (1, 40) * kSecond), [this, ref] { world.withdraw (ref); });
+        world.at (when + (Time) (world.uniform (1, 40) * kSecond), [this, ref] { world.cancel (ref); });
       for (Time t = when + 5 * kSecond; t < kLength; t += 7 * kSecond)
         world.at (t, [this, ref] { world.poll (ref); });
     }
@@ -73,7 +73,7 @@
       late_steps += late;
       poll_until_end (ref, world.now + 4 * kSecond, 7 * kSecond);
       if (cancel)
-        world.after ((Time) (world.uniform (0.1, 40) * kSecond), [this, ref] { world.withdraw (ref); });
+        world.after ((Time) (world.uniform (0.1, 40) * kSecond), [this, ref] { world.cancel (ref); });
     });
   }
   // Chains with a broad step in them; the first step may need jobs of before, the last may be
@@ -131,7 +131,7 @@
       std::string team = world.chance (0.6) ? "red" : "blue";
       world.at (when, [this, ref, tasks, run, team] { world.submit (ref, tasks, 3, run, team, false, false, true); });
       if (world.chance (0.1))
-        world.at (when + (Time) (world.uniform (1, 40) * kSecond), [this, ref] { world.withdraw (ref); });
+        world.at (when + (Time) (world.uniform (1, 40) * kSecond), [this, ref] { world.cancel (ref); });
       for (Time t = when + 5 * kSecond; t < length; t += 15 * kSecond)
         world.at (t, [this, ref] { world.poll (ref); });
     }
@@ -284,7 +284,7 @@
       for (const auto &[ref, job] : world.checker->jobs ())
         if (n < count && !job.cancel_asked && job.final_told.empty () && world.checker->live (ref) > 0) {
           cancelled.push_back (ref);
-          world.after ((Time) (world.uniform (0, 0.2) * kSecond), [this, ref = ref] { world.withdraw (ref); });
+          world.after ((Time) (world.uniform (0, 0.2) * kSecond), [this, ref = ref] { world.cancel (ref); });
           n++;
         }
     });
--- a/tests/sim/node.cpp
+++ b/tests/sim/node.cpp
@@ -27,9 +27,9 @@
     rate_ = world_.chance (0.5) ? 0.9995 : 1.0005;
   offset_ = (Time) (world_.uniform (1, 5000) * kSecond);
   const FtSettings &s = world_.settings;
-  hold_ = ft_tuning_hold (&s);
+  answer_grace_ = ft_tuning_answer_grace (&s);
   lease_.reset (ft_lease_new (name ().c_str (), life_ * 10 + (guint64) index_ + 1, (gint64) (FT_LEASE_S * kSecond),
-                              (gint64) (FT_SWEEP_S * kSecond), hold_, (guint32) world_.below (1 << 30)));
+                              (gint64) (FT_SWEEP_S * kSecond), answer_grace_, (guint32) world_.below (1 << 30)));
   sweeping_ = renewing_ = batching_ = watching_ = cloud_busy_ = false;
   tick ();
 }
@@ -162,7 +162,7 @@
 {
   auto hear = [this, ref] (Node *node) {
     if (node->alive && node->leads ())
-      ft_scheduler_withdrawal_hinted (node->scheduler (), ref.c_str (), node->clock ());
+      ft_scheduler_cancellation_advised (node->scheduler (), ref.c_str (), node->clock ());
   };
   if (!world_.hints)
     return;
@@ -184,7 +184,7 @@
     now_refused_ = world_.now < refused_until ? world_.now : 0;
   if (now_refused_ > 0 && world_.hints && !world_.store.down && world_.now - now_refused_ > 2 * kSecond
       && ft_lease_state (lease_.get ()) == FT_LEASE_HOLDING) {
-    ft_lease_cede (lease_.get (), now);
+    ft_lease_yield (lease_.get (), now);
     for (auto &peer : world_.nodes)
       if (peer.get () != this && peer->alive)
         ft_lease_suspect (peer->lease_.get (), name ().c_str (), TRUE, peer->clock ());
@@ -206,7 +206,7 @@
                  if (rows != nullptr && ft_row_lease_parse (rows, &seen))
                    ft_lease_observe (lease_.get (), clock (), &seen);
                  else
-                   ft_lease_blind (lease_.get (), clock ());
+                   ft_lease_sweep_failed (lease_.get (), clock ());
                  ft_lease_rows_clear (&seen);
                });
   }
@@ -215,26 +215,26 @@
   if (ft_lease_acquire_due (lease_.get (), now)) {
     FtLeaseClaim c = ft_lease_claim (lease_.get (), now);
     json_t *txn = ft_txn_new ();
-    ft_txn_if (txn, FT_KEY_FENCE, c.fence_stamp);
+    ft_txn_if (txn, FT_KEY_FENCE, c.fence_revision);
     if (c.check_renewal)
-      ft_txn_if (txn, FT_KEY_RENEWAL, c.renewal_stamp);
+      ft_txn_if (txn, FT_KEY_RENEWAL, c.renewal_revision);
     ft_txn_put (txn, FT_KEY_FENCE, ft_row_fence (c.token, name ().c_str (), life_));
     ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (c.token, ft_lease_time (lease_.get ()), FALSE));
     ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (c.token, 0));
     commit (txn, [this, now] (guint status, const json_t *body) {
-      guint64 stamp;
-      if (status != 200 || !ft_store_revision (body, &stamp)) {
+      guint64 revision;
+      if (status != 200 || !ft_store_revision (body, &revision)) {
         ft_lease_claim_failed (lease_.get (), clock ());
         return;
       }
-      ft_lease_acquired (lease_.get (), now, stamp);
-      begin (stamp);
+      ft_lease_acquired (lease_.get (), now, revision);
+      begin (revision);
     });
   } else if (ft_lease_renew_due (lease_.get (), now) && !renewing_) {
     renewing_ = true;
     ft_lease_renew_sent (lease_.get (), now);
     json_t *txn = ft_txn_new ();
-    ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_stamp (lease_.get ()));
+    ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (lease_.get ()));
     ft_txn_put (txn, FT_KEY_RENEWAL,
                 ft_row_renewal (ft_lease_token (lease_.get ()), ft_lease_time (lease_.get ()), FALSE));
     guint64 term = term_;
@@ -253,17 +253,18 @@
 }
 
 void
-Node::begin (guint64 stamp)
+Node::begin (guint64 revision)
 {
   Time now = clock ();
   term_++;
   scheduler_.reset (ft_scheduler_new (old ? &world_.old_settings : &world_.settings, world_.catalog,
-                                      ft_lease_token (lease_.get ()), hold_, now, (guint32) world_.below (1 << 30)));
+                                      ft_lease_token (lease_.get ()), answer_grace_, now,
+                                      (guint32) world_.below (1 << 30)));
   world_.takeovers++;
   if (world_.on_takeover)
     world_.on_takeover (*this);
   world_.deliver_kept_reports ();
-  journal_stamp_ = stamp;
+  journal_stamp_ = revision;
   batch_ = 0;
   batching_ = renewing_ = watching_ = cloud_busy_ = false;
   next_list_ = now;
@@ -283,18 +284,18 @@
 {
   g_autofree char *ref = nullptr;
   guint chunk;
-  gboolean withdrawn;
+  gboolean cancelled;
   if (g_str_has_prefix (row->key, FT_PREFIX_OPEN)) {
-    ref = ft_key_open_ref (row->key, &withdrawn);
+    ref = ft_key_open_ref (row->key, &cancelled);
     if (row->value == nullptr)
       return;
-    if (withdrawn)
-      ft_scheduler_job_withdrawn (s, ref, (wall - ft_row_withdrawn_at (row->value)) * 1000, now);
+    if (cancelled)
+      ft_scheduler_job_cancelled (s, ref, (wall - ft_row_cancellation_time (row->value)) * 1000, now);
     else if (ft_scheduler_is_loaded (s))
-      ft_scheduler_job_added (s, ft_row_open_parse (ref, row->value), ft_row_open_stamp (row), now, wall);
+      ft_scheduler_job_added (s, ft_row_open_parse (ref, row->value), ft_row_open_revision (row), now, wall);
     else
-      ft_scheduler_load_job (s, ft_row_open_parse (ref, row->value), ft_row_open_stamp (row), now, wall);
-  } else if (g_str_has_prefix (row->key, FT_PREFIX_ROSTER)) {
+      ft_scheduler_load_job (s, ft_row_open_parse (ref, row->value), ft_row_open_revision (row), now, wall);
+  } else if (g_str_has_prefix (row->key, FT_PREFIX_REGISTRY)) {
     ft_row_machine_parse (s, row);
   } else if (ft_key_chunk_parse (row->key, &ref, &chunk)) {
     ft_scheduler_load_done (s, ref, chunk, ft_row_chunk_bits (row->value));
@@ -323,22 +324,22 @@
                if (more)
                  load (prefix, g_array_index (rows, FtRow, rows->len - 1).key, began);
                else if (prefix == FT_PREFIX_DONE)
-                 load (FT_PREFIX_ROSTER, "", clock ());
+                 load (FT_PREFIX_REGISTRY, "", clock ());
                else if (prefix == FT_PREFIX_OPEN) {
                  withdrawals_read_at_ = began; // the pages differ in age
                  load (FT_PREFIX_DONE, "", clock ());
                } else {
                  ft_scheduler_loaded (scheduler_.get (), clock ());
-                 know (withdrawals_read_at_);
+                 cancellations_known (withdrawals_read_at_);
                }
              });
 }
 
 void
-Node::know (Time at)
+Node::cancellations_known (Time at)
 {
-  ft_lease_knows (lease_.get (), at);
-  ft_scheduler_informed (scheduler_.get (), at);
+  ft_lease_cancellations_known (lease_.get (), at);
+  ft_scheduler_cancellations_known (scheduler_.get (), at);
 }
 
 void
@@ -357,7 +358,7 @@
       ft_store_revision (body, &watch_since_);
       for (guint i = 0; i < rows->len; i++)
         load_row (scheduler_.get (), &g_array_index (rows, FtRow, i), clock (), world_.now / 1000);
-      know (sent);
+      cancellations_known (sent);
       pump ();
     }
     later (kSecond / 4, [this, term] {
@@ -428,7 +429,7 @@
           step_down ();
           return;
         }
-        journal_stamp_ = row.stamp;
+        journal_stamp_ = row.revision;
         batch_done (writes, (guint64) json_integer_value (json_object_get (row.value, "batch")) == batch, nullptr);
       });
 }
@@ -447,7 +448,7 @@
   batching_ = true;
   guint64 batch = ++batch_, term = term_;
   json_t *txn = ft_txn_new ();
-  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_stamp (lease_.get ()));
+  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (lease_.get ()));
   ft_txn_if (txn, FT_KEY_JOURNAL, journal_stamp_);
   ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (ft_lease_token (lease_.get ()), batch));
   for (guint i = 0; i < writes->len; i++)
@@ -455,9 +456,9 @@
   commit (txn, [this, writes, batch, term] (guint status, const json_t *body) {
     if (term != term_)
       return;
-    guint64 stamp;
-    if (status == 200 && ft_store_revision (body, &stamp)) {
-      journal_stamp_ = stamp;
+    guint64 revision;
+    if (status == 200 && ft_store_revision (body, &revision)) {
+      journal_stamp_ = revision;
       batch_done (writes, true, nullptr);
     } else if (status == 409 && ft_store_failed (body, FT_KEY_FENCE)) {
       step_down ();
@@ -811,16 +812,16 @@
 bool
 World::commit_withdrawal (const std::string &ref)
 {
-  g_autofree char *key = ft_key_job (ref.c_str ()), *mark = ft_key_withdrawn (ref.c_str ());
+  g_autofree char *key = ft_key_job (ref.c_str ()), *mark = ft_key_cancellation (ref.c_str ());
   auto [status, body] = store.get (key);
   FtRow row;
   FtJobRow state;
   bool open = status == 200 && ft_store_row (body, &row) && ft_row_job_parse (row.value, &state) && state.open;
   std::shared_ptr<json_t> txn (ft_txn_new (), json_decref);
   if (open) {
-    ft_txn_if (txn.get (), key, row.stamp);
+    ft_txn_if (txn.get (), key, row.revision);
     ft_txn_put (txn.get (), key, ft_row_job_ended (FT_JOB_END_CANCELLED, state.tasks, now / 1000));
-    ft_txn_put (txn.get (), mark, ft_row_withdrawn (now / 1000));
+    ft_txn_put (txn.get (), mark, ft_row_cancellation (now / 1000));
   }
   json_decref (body);
   if (!open)
@@ -831,23 +832,23 @@
 }
 
 void
-World::withdraw (const std::string &ref)
+World::cancel (const std::string &ref)
 {
   checker->cancel_asked (ref);
   Node &asked = *nodes[below (3)];
   if (!asked.served ()) {
-    after (kSecond, [this, ref] { withdraw (ref); });
+    after (kSecond, [this, ref] { cancel (ref); });
     return;
   }
-  g_autofree char *key = ft_key_job (ref.c_str ()), *mark = ft_key_withdrawn (ref.c_str ());
+  g_autofree char *key = ft_key_job (ref.c_str ()), *mark = ft_key_cancellation (ref.c_str ());
   auto [status, body] = store.get (key);
   FtRow row;
   FtJobRow state;
   if (status == 200 && ft_store_row (body, &row) && ft_row_job_parse (row.value, &state) && state.open) {
     json_t *txn = ft_txn_new ();
-    ft_txn_if (txn, key, row.stamp);
+    ft_txn_if (txn, key, row.revision);
     ft_txn_put (txn, key, ft_row_job_ended (FT_JOB_END_CANCELLED, state.tasks, now / 1000));
-    ft_txn_put (txn, mark, ft_row_withdrawn (now / 1000));
+    ft_txn_put (txn, mark, ft_row_cancellation (now / 1000));
     std::shared_ptr<json_t> owned (txn, json_decref);
     json_decref (body);
     auto apply = [this, owned] {
@@ -857,7 +858,7 @@
     };
     if (chance (late_writes)) {
       after ((Time) (uniform (2, 12) * kSecond), [this, apply] { late_applied += apply () == 200; });
-      after (kSecond, [this, ref] { withdraw (ref); });
+      after (kSecond, [this, ref] { cancel (ref); });
       return;
     }
     if (apply () == 200)
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -74,8 +74,8 @@
   {
     const char *key = json_string_value (json_object_get (item, "key"));
     auto row = rows_.find (key);
-    guint64 stamp = row == rows_.end () ? 0 : row->second.stamp;
-    if (stamp != (guint64) json_integer_value (json_object_get (item, "stamp")))
+    guint64 revision = row == rows_.end () ? 0 : row->second.revision;
+    if (revision != (guint64) json_integer_value (json_object_get (item, "stamp")))
       json_array_append_new (failed, json_string (key));
   }
   if (json_array_size (failed) > 0)
@@ -110,7 +110,7 @@
   if (row == rows_.end ())
     return { 404, json_pack ("{s:I}", "ledger", (json_int_t) revision) };
   return { 200, json_pack ("{s:s, s:O, s:I}", "key", key.c_str (), "data", row->second.value, "stamp",
-                           (json_int_t) row->second.stamp) };
+                           (json_int_t) row->second.revision) };
 }
 
 std::pair<guint, json_t *>
@@ -120,7 +120,7 @@
   auto row = after.empty () ? rows_.lower_bound (prefix) : rows_.upper_bound (after);
   for (; row != rows_.end () && row->first.rfind (prefix, 0) == 0 && json_array_size (items) < limit; ++row)
     json_array_append_new (items, json_pack ("{s:s, s:O, s:I}", "key", row->first.c_str (), "data", row->second.value,
-                                             "stamp", (json_int_t) row->second.stamp));
+                                             "stamp", (json_int_t) row->second.revision));
   bool more = row != rows_.end () && row->first.rfind (prefix, 0) == 0;
   return { 200, json_pack ("{s:o, s:b, s:I}", "pairs", items, "more", more, "ledger", (json_int_t) revision) };
 }
@@ -138,7 +138,7 @@
 Store::changed (const std::string &prefix, guint64 since) const
 {
   return std::any_of (log_.begin (), log_.end (),
-                      [&] (const Event &e) { return e.stamp > since && e.key.rfind (prefix, 0) == 0; });
+                      [&] (const Event &e) { return e.revision > since && e.key.rfind (prefix, 0) == 0; });
 }
 
 std::pair<guint, json_t *>
@@ -146,10 +146,10 @@
 {
   json_t *events = json_array ();
   for (const Event &e : log_) {
-    if (e.stamp <= since || e.key.rfind (prefix, 0) != 0)
+    if (e.revision <= since || e.key.rfind (prefix, 0) != 0)
       continue;
     json_t *event
-        = json_pack ("{s:s, s:I}", e.value ? "write" : "delete", e.key.c_str (), "stamp", (json_int_t) e.stamp);
+        = json_pack ("{s:s, s:I}", e.value ? "write" : "delete", e.key.c_str (), "stamp", (json_int_t) e.revision);
     if (e.value)
       json_object_set (event, "data", e.value);
     json_array_append_new (events, event);
@@ -219,7 +219,7 @@
 }
 
 void
-Worker::mute (Time until)
+Worker::not_reporting (Time until)
 {
   mute_since = world_.now;
   mute_until = until;
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -65,7 +65,7 @@
   void finished (Time now, const std::string &ref, guint index);
   bool needs_done (const Job &job) const;
   // A job that it needs, directly or through others, and of which this holds; NULL: none.
-  const Job *any_before (const Job &job, std::function<bool (const Job &)> holds) const;
+  const Job *any_before (const Job &job, std::function<bool (const Job &)> reserved) const;
   // Called when the last task of a job has ended, before anybody knows.
   std::function<void (const std::string &ref)> on_last_task;
   // Tasks of the job on machines, and how many of them are in that zone.
@@ -157,7 +157,7 @@
 public:
   struct Row {
     json_t *value;
-    guint64 stamp;
+    guint64 revision;
   };
   ~Store ();
   // Executes at once: {status, body}; the body is the caller's.
@@ -180,7 +180,7 @@
   struct Event {
     std::string key;
     json_t *value; // NULL: deleted
-    guint64 stamp;
+    guint64 revision;
   };
   std::vector<Event> log_;
   bool within_limits (const json_t *txn);
@@ -218,7 +218,7 @@
     deaf_until = until;
   }
   // It can open no connection to a controller, while /commands reaches it.
-  void mute (Time until);
+  void not_reporting (Time until);
   FtReport *report ();
   // /commands: status and report
   std::pair<guint, FtReport *> commands (guint64 token, guint64 session, const GArray *orders);
@@ -304,7 +304,7 @@
 
   void submit (const std::string &ref, guint tasks, double cpus, double run_s, const std::string &team, bool one_zone,
                bool spread, bool spot, std::vector<std::string> needs = {});
-  void withdraw (const std::string &ref);
+  void cancel (const std::string &ref);
   void poll (const std::string &ref);
   // A submission that can never run, or lacks a field; true: it was accepted.
   bool odd_request (const std::string &ref);
@@ -336,7 +336,7 @@
   guint late_refused = 0;                   // of them, those that a worker refused for their token
   guint starts_on_mute = 0;                 // starts on machines that were mute for three leases: one, and a takeover
   guint reports_after_takeover = 0;         // reports sent to a former leader that reached a newer one
-  bool hints = true;                        // controllers tell each other of withdrawals
+  bool hints = true;                        // controllers tell each other of cancellations
   bool polls_find_cancelled = true;         // a poll looks whether a job before the polled one is cancelled
   guint cancelled_by_poll = 0;              // jobs cancelled so
   guint ends_read = 0;                      // ends of needed jobs that a leader had to read
@@ -410,7 +410,7 @@
   Time cannot_claim_until = 0; // its acquisitions come to nothing
   // The state service would answer it now.
   bool served () const;
-  // It has committed a withdrawal.
+  // It has committed a cancellation.
   void confirmed (const std::string &ref);
   // It would answer a worker's report now.
   bool entitled () const;
@@ -468,7 +468,7 @@
   void commit (json_t *txn, Reply reply);
   // `began`: when the first page was asked for.
   void load (const std::string &prefix, const std::string &after, Time began);
-  void begin (guint64 stamp);
+  void begin (guint64 revision);
   void step_down ();
   void pump ();
   void commit_batch ();
@@ -477,7 +477,7 @@
   void read_needs ();
   void send_directs ();
   void call_cloud ();
-  void know (Time at);
+  void cancellations_known (Time at);
   void watch ();
   void list_machines ();
   World &world_;
@@ -489,7 +489,7 @@
   std::unique_ptr<FtScheduler, SchedulerFree> scheduler_;
   guint64 journal_stamp_ = 0, batch_ = 0, watch_since_ = 0;
   bool sweeping_ = false, renewing_ = false, batching_ = false, watching_ = false, cloud_busy_ = false;
-  Time hold_ = 0, next_list_ = 0, now_refused_ = 0;
+  Time answer_grace_ = 0, next_list_ = 0, now_refused_ = 0;
   Time withdrawals_read_at_ = 0; // when the reading of the open jobs' rows began
 };
 
--- a/tests/test_dependency.cpp
+++ b/tests/test_dependency.cpp
@@ -166,7 +166,7 @@
   FtJobSpec *s = spec (ref, tasks);
   needs.push_back (nullptr);
   s->awaits = g_strdupv ((char **) needs.data ());
-  s->sent = 0;
+  s->dispatch_watermark = 0;
   s->estimate_s = 10;
   return s;
 }
@@ -178,10 +178,10 @@
     machine_up (100 * kS);
   }
   FtJob *
-  add (FtJobSpec *job_spec, gint64 now, guint64 stamp)
+  add (FtJobSpec *job_spec, gint64 now, guint64 revision)
   {
     std::string ref = job_spec->ref;
-    ft_scheduler_job_added (s, job_spec, stamp, now, now / 1000);
+    ft_scheduler_job_added (s, job_spec, revision, now, now / 1000);
     return job (ref.c_str ());
   }
   // The writes due now, committed or not by the caller.
@@ -205,7 +205,7 @@
   run_to_its_end (const char *ref, gint64 at, guint64 sequence)
   {
     g_autoptr (GArray) first = exchange (at, sequence);
-    write (at); // the mark
+    write (at); // the dispatch watermark
     g_autoptr (GArray) starts = exchange (at + kS, sequence + 1);
     ASSERT_NE (job (ref)->tasks[0].attempt, nullptr);
     guint64 attempt = job (ref)->tasks[0].attempt->id;
@@ -242,7 +242,7 @@
   FtJob *waiting = p.add (waiting_spec ("req-2", { "req-1" }, 4), 101 * kS, 6);
   for (gint64 at = 102; at < 400; at++) {
     ft_scheduler_tick (p.s, at * kS, TRUE);
-    ASSERT_FALSE (waiting->overlong) << "it does not wait to begin";
+    ASSERT_FALSE (waiting->starved) << "it does not wait to begin";
   }
   EXPECT_FALSE (g_ptr_array_find (p.s->order, waiting, nullptr)) << "neither guarantee nor rentals see it";
   EXPECT_FALSE (waiting->guaranteed);
@@ -256,10 +256,10 @@
   p.add (spec ("req-1", 1), 101 * kS, 5);
   p.add (waiting_spec ("req-2", { "req-1" }), 101 * kS, 6);
   p.add (waiting_spec ("req-3", { "req-2" }), 101 * kS, 7);
-  ft_scheduler_withdrawal_hinted (p.s, "req-1", 102 * kS);
+  ft_scheduler_cancellation_advised (p.s, "req-1", 102 * kS);
   g_autoptr (GPtrArray) none = p.writes (102 * kS);
   EXPECT_FALSE (p.has (none, FT_WRITE_JOB_CANCELLED, "req-2")) << "a hint proves nothing";
-  ft_scheduler_job_withdrawn (p.s, "req-1", 0, 103 * kS);
+  ft_scheduler_job_cancelled (p.s, "req-1", 0, 103 * kS);
   g_autoptr (GPtrArray) writes = p.writes (103 * kS);
   EXPECT_TRUE (p.has (writes, FT_WRITE_JOB_CANCELLED, "req-2"));
   EXPECT_TRUE (p.has (writes, FT_WRITE_JOB_CANCELLED, "req-3"));
@@ -276,7 +276,7 @@
   Pipeline p;
   p.add (spec ("req-1", 1), 101 * kS, 5);
   p.add (waiting_spec ("req-2", { "req-1" }), 101 * kS, 6);
-  ft_scheduler_job_withdrawn (p.s, "req-1", 0, 103 * kS);
+  ft_scheduler_job_cancelled (p.s, "req-1", 0, 103 * kS);
   g_autoptr (GPtrArray) writes = p.writes (103 * kS);
   ASSERT_TRUE (p.has (writes, FT_WRITE_JOB_CANCELLED, "req-2"));
   json_t *body = json_pack ("{s:[s]}", "failed", "j/req-2");
@@ -284,7 +284,7 @@
   json_decref (body);
   ft_scheduler_unwritten (p.s, writes, "req-2", 103 * kS);
   ft_scheduler_job_resolved (p.s, "req-2", FALSE, 104 * kS);
-  ft_scheduler_job_withdrawn (p.s, "req-2", 0, 104 * kS);
+  ft_scheduler_job_cancelled (p.s, "req-2", 0, 104 * kS);
   g_autoptr (GPtrArray) next = p.writes (104 * kS);
   EXPECT_TRUE (p.has (next, FT_WRITE_JOB_GONE, "req-2"));
   EXPECT_FALSE (p.has (next, FT_WRITE_JOB_CANCELLED, "req-2"));
@@ -305,7 +305,7 @@
   EXPECT_EQ (b.job ("req-2")->state, FT_JOB_WAITING);
   ft_scheduler_job_end_read (b.s, "req-3", FT_JOB_END_DONE, 0, 101 * kS);
   EXPECT_EQ (b.job ("req-2")->state, FT_JOB_WAITING) << "an open job's end comes by its own write";
-  ft_scheduler_job_withdrawn (b.s, "req-3", 0, 102 * kS);
+  ft_scheduler_job_cancelled (b.s, "req-3", 0, 102 * kS);
   EXPECT_TRUE (b.job ("req-2")->needs_cancelled);
 }
 
@@ -323,12 +323,12 @@
   EXPECT_EQ (b.job ("req-2")->deadline_at, 210 * kS) << "from the submission";
 }
 
-// A raised mark is committed evidence that all needs were done: nothing is read again.
+// A raised dispatch watermark is committed evidence that all needs were done: nothing is read again.
 TEST (Waiting, AJobThatHasStartedNeedsNothingToBeRead)
 {
   SchedulerHarness b;
   FtJobSpec *job = waiting_spec ("req-2", { "req-1" }, 4);
-  job->sent = 2;
+  job->dispatch_watermark = 2;
   ft_scheduler_load_job (b.s, job, 6, 100 * kS, 100000);
   ft_scheduler_loaded (b.s, 100 * kS);
   EXPECT_EQ (b.job ("req-2")->state, FT_JOB_OPEN);
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -34,11 +34,11 @@
     return machine (name (i).c_str ());
   }
   void
-  add_job (const char *ref, guint tasks, guint64 stamp)
+  add_job (const char *ref, guint tasks, guint64 revision)
   {
     FtJobSpec *wanted = spec (ref, tasks);
     wanted->cpus = 0.1;
-    ft_scheduler_job_added (s, wanted, stamp, now, 0);
+    ft_scheduler_job_added (s, wanted, revision, now, 0);
   }
   // The attempt ends, or shows that it runs, on that machine, wherever the scheduler would have put it.
   void
@@ -47,7 +47,7 @@
     static guint64 attempt = 1000;
     FtReportedTask t = { (char *) ref, index, ++attempt, state, why, FALSE };
     FtAttempt *a = ft_attempt_new (at (on), job (ref), ref, index, t.attempt);
-    ft_attempt_hold (a);
+    ft_attempt_reserve (a);
     ft_attempt_bind (a, FT_TASK_STARTING);
     s->may_start = FALSE;
     g_autoptr (FtReport) r = report (1, ++sequence, 3, name (on).c_str ());
@@ -136,11 +136,11 @@
   fleet.show ("req-1", 0, 1, FT_REPORTED_EXITED, FT_WHY_DONE);
   FtAttempt *running = ft_attempt_new (fleet.at (0), fleet.job ("req-1"), "req-1", 9, 77);
   running->shown = running->running = TRUE;
-  ft_attempt_hold (running);
+  ft_attempt_reserve (running);
   ft_attempt_bind (running, FT_TASK_RUNNING);
   for (guint task : { 1, 2 }) {
     FtAttempt *a = ft_attempt_new (fleet.at (0), fleet.job ("req-1"), "req-1", task, 80 + task);
-    ft_attempt_hold (a);
+    ft_attempt_reserve (a);
     ft_attempt_bind (a, FT_TASK_STARTING);
     ft_fault_task_failed (fleet.s, a);
     ft_attempt_over (fleet.s, a);
@@ -175,7 +175,7 @@
     world.mistaken.insert ("req-30");
     world.submit ("req-30", 40, 1, 10, "blue", false, false, true);
   });
-  world.at (150 * sim::kSecond, [&] { world.withdraw ("req-30"); });
+  world.at (150 * sim::kSecond, [&] { world.cancel ("req-30"); });
   for (const char *ref : { "req-10", "req-11", "req-12", "req-20", "req-21", "req-22", "req-30" })
     for (sim::Time at = 50 * sim::kSecond; at < day.length; at += 7 * sim::kSecond)
       world.at (at, [&world, ref] { world.poll (ref); });
--- a/tests/test_fuzz.cpp
+++ b/tests/test_fuzz.cpp
@@ -77,13 +77,13 @@
   for (guint i = 0; i < rows->len; i++) {
     const FtRow *row = &g_array_index (rows, FtRow, i);
     g_autofree char *ref = nullptr;
-    gboolean withdrawn;
+    gboolean cancelled;
     guint number;
-    g_autofree char *open = ft_key_open_ref (row->key, &withdrawn);
+    g_autofree char *open = ft_key_open_ref (row->key, &cancelled);
     if (open != nullptr && row->value != nullptr) {
       FtJobSpec *spec = ft_row_open_parse (open, row->value);
       if (spec != nullptr)
-        ft_scheduler_load_job (s, spec, row->stamp, 1, 1);
+        ft_scheduler_load_job (s, spec, row->revision, 1, 1);
     }
     if (row->value != nullptr)
       ft_row_machine_parse (s, row);
--- a/tests/test_meetings.cpp
+++ b/tests/test_meetings.cpp
@@ -77,7 +77,7 @@
   EXPECT_TRUE (reading) << "the outage did not fall into the reading";
 }
 
-// It has read which jobs are withdrawn, and not yet the roster: it knows of the tasks, and
+// It has read which jobs are cancelled, and not yet the registry: it knows of the tasks, and
 // could stop none.
 TEST_P (Meeting, OutageBetweenTheWithdrawalsAndTheRosterOfANewLeader)
 {
@@ -366,7 +366,7 @@
     for (int i = 0; i < 6; i++) {
       world.after (about (0, 4), [&, ref] { world.poll (ref); });
       if (i < 2 && ends % 2 == 0)
-        world.after (about (0, 2.5), [&, ref] { world.withdraw (ref); });
+        world.after (about (0, 2.5), [&, ref] { world.cancel (ref); });
     }
   };
   day.finish ();
@@ -548,20 +548,20 @@
 // They could be given work directly for ever, and each time their leases run out.
 TEST_P (Meeting, MachinesReachNoControllerWhileCommandsReachThem)
 {
-  guint mute = 0;
+  guint not_reporting = 0;
   day.load_long (40, 3, 45);
   world.at (40 * kSecond, [&] {
     for (auto &[name, machine] : world.machines)
-      if (machine->alive && machine->up && (mute == 0 || world.chance (0.5))) {
-        machine->mute (world.now + 300 * kSecond);
-        mute++;
+      if (machine->alive && machine->up && (not_reporting == 0 || world.chance (0.5))) {
+        machine->not_reporting (world.now + 300 * kSecond);
+        not_reporting++;
       }
   });
   day.cancel_running (45 * kSecond, 3);
   if (GetParam () % 2)
     day.crash (50 * kSecond, world.below (3));
   day.finish ();
-  EXPECT_GT (mute, 0u);
+  EXPECT_GT (not_reporting, 0u);
   EXPECT_EQ (world.starts_on_mute, 0u) << "work went on to machines that nobody hears";
 }
 
@@ -600,7 +600,7 @@
     world.at (about (30, 140), [&] {
       for (const auto &[ref, job] : world.checker->jobs ())
         if (job.final_told == "done") { // called off too late: it stays done
-          world.withdraw (ref);
+          world.cancel (ref);
           return;
         }
     });
@@ -676,7 +676,7 @@
     world.at (when, [&, ref] { world.submit (ref, 1, 1, 4, world.chance (0.6) ? "red" : "blue", false, false, true); });
     if (i % 4 == 0) {
       day.cancelled.push_back (ref);
-      world.at (when + about (0.05, 6), [&, ref] { world.withdraw (ref); });
+      world.at (when + about (0.05, 6), [&, ref] { world.cancel (ref); });
     }
     for (Time t = when + 2 * kSecond; t < day.length; t += 20 * kSecond)
       world.at (t, [&, ref] { world.poll (ref); });
--- a/tests/test_pipelines.cpp
+++ b/tests/test_pipelines.cpp
@@ -78,7 +78,7 @@
     guint n = 0;
     for (const auto &[ref, job] : day.world.checker->jobs ())
       if (n < 6 && ref.rfind ("req-8", 0) == 0 && job.accepted && job.final_told.empty () && job.tasks > 2) {
-        day.world.after ((Time) (day.world.uniform (0, 2) * kSecond), [&day, ref = ref] { day.world.withdraw (ref); });
+        day.world.after ((Time) (day.world.uniform (0, 2) * kSecond), [&day, ref = ref] { day.world.cancel (ref); });
         n++;
       }
   });
--- a/tests/test_program.cpp
+++ b/tests/test_program.cpp
@@ -134,8 +134,8 @@
 
   // A message between controllers beyond the limit is refused, and no more than that.
   std::string long_text (70000, 'x');
-  json_t *overlong = json_pack ("{s:s, s:s}", "member", "hearth-1", "more", long_text.c_str ());
-  EXPECT_EQ (call ("POST", c.mesh[0], "/mesh/beat", overlong, FT_BODY_JSON)->status, 400u);
+  json_t *starved = json_pack ("{s:s, s:s}", "member", "hearth-1", "more", long_text.c_str ());
+  EXPECT_EQ (call ("POST", c.mesh[0], "/mesh/beat", starved, FT_BODY_JSON)->status, 400u);
   json_t *beat = json_pack ("{s:s, s:i}", "member", "hearth-1", "served_ms_ago", 1);
   EXPECT_EQ (call ("POST", c.mesh[0], "/mesh/beat", beat, FT_BODY_JSON)->status, 200u);
 
--- a/tests/test_random_runs.cpp
+++ b/tests/test_random_runs.cpp
@@ -195,7 +195,7 @@
   EXPECT_GT (day.world.machine_count, 200u);
 }
 
-// Thousands of machines whose roster is in rows of 2 KiB, under the lowest limits: the fleet
+// Thousands of machines whose registry is in rows of 2 KiB, under the lowest limits: the fleet
 // grows, controllers end one after the other with all machines reporting, and one more at random.
 TEST (LargeRun, ThousandsOfMachinesInSmallRows)
 {
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -42,7 +42,7 @@
 }
 
 // Captured from a running controller of the version that deploy/service.toml names: a job that
-// runs, one partly done, one that waits for a mark, one cancelled, two machines, settings.
+// runs, one partly done, one that waits for a dispatch watermark, one cancelled, two machines, settings.
 class ProductionRows : public testing::Test {
 protected:
   json_t *all = json_load_file (FT_CORPUS "/production_rows.json", 0, nullptr);
@@ -63,13 +63,13 @@
     json_t *value = row (key);
     ASSERT_NE (value, nullptr) << key;
     FtRow row = { key, value, 7 };
-    gboolean withdrawn;
+    gboolean cancelled;
     guint chunk;
-    g_autofree char *ref = nullptr, *open = ft_key_open_ref (key, &withdrawn);
-    if (open != nullptr && !withdrawn)
-      ft_scheduler_load_job (b.s, ft_row_open_parse (open, value), ft_row_open_stamp (&row), 100 * kS, 0);
+    g_autofree char *ref = nullptr, *open = ft_key_open_ref (key, &cancelled);
+    if (open != nullptr && !cancelled)
+      ft_scheduler_load_job (b.s, ft_row_open_parse (open, value), ft_row_open_revision (&row), 100 * kS, 0);
     else if (open != nullptr)
-      ft_scheduler_job_withdrawn (b.s, open, 0, 100 * kS);
+      ft_scheduler_job_cancelled (b.s, open, 0, 100 * kS);
     else if (ft_key_chunk_parse (key, &ref, &chunk))
       ft_scheduler_load_done (b.s, ref, chunk, ft_row_chunk_bits (value));
     else if (g_str_has_prefix (key, "m/"))
@@ -81,7 +81,7 @@
   EXPECT_EQ (ft_job_finished (b.job ("req-5")), 2u) << "its done-set";
   EXPECT_EQ (b.job ("req-3")->state, FT_JOB_OPEN);
   EXPECT_EQ (b.job ("req-3")->counts[FT_TASK_UNKNOWN], 2u) << "sent, and so perhaps running";
-  EXPECT_EQ (b.job ("req-8")->state, FT_JOB_WITHDRAWN);
+  EXPECT_EQ (b.job ("req-8")->state, FT_JOB_CANCELLING);
   EXPECT_NE (b.machine ("n-000001"), nullptr);
   EXPECT_NE (b.machine ("n-000002"), nullptr);
 }
--- a/tests/test_roster.cpp
+++ b/tests/test_registry.cpp
@@ -1,4 +1,4 @@
-// The roster: rows of machines that may have been sent commands.
+// The registry: rows of machines that may have been sent commands.
 #include "scheduler_harness.hpp"
 
 #include <set>
@@ -20,7 +20,7 @@
     g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (b.s, 11, TRUE, now);
     for (guint i = 0; i < writes->len; i++) {
       auto w = (FtWrite *) g_ptr_array_index (writes, i);
-      text += std::string (w->kind == FT_WRITE_ROSTER ? "put " : "drop ") + w->name;
+      text += std::string (w->kind == FT_WRITE_REGISTRY_ROW ? "put " : "drop ") + w->name;
       for (guint k = 0; k < w->machines->len; k++)
         text += std::string (" ") + g_array_index (w->machines, FtListedMachine, k).name;
     }
@@ -117,9 +117,9 @@
   void
   apply (const FtWrite *write)
   {
-    if (write->kind == FT_WRITE_ROSTER_DROP)
+    if (write->kind == FT_WRITE_REGISTRY_ROW_DELETE)
       stored.erase (write->name);
-    if (write->kind != FT_WRITE_ROSTER)
+    if (write->kind != FT_WRITE_REGISTRY_ROW)
       return;
     std::set<std::string> names;
     for (guint i = 0; i < write->machines->len; i++)
@@ -192,7 +192,7 @@
   g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (again.s, 3, TRUE, 110 * kS);
   ASSERT_EQ (writes->len, 1u);
   auto write = (const FtWrite *) g_ptr_array_index (writes, 0);
-  EXPECT_EQ (write->kind, FT_WRITE_ROSTER_DROP);
+  EXPECT_EQ (write->kind, FT_WRITE_REGISTRY_ROW_DELETE);
   EXPECT_STREQ (write->name, "old-0");
 }
 
@@ -204,7 +204,7 @@
   ft_scheduler_loaded (again.s, 100 * kS);
   for (guint i = 0; i < 50; i++)
     again.machine_up (100 * kS, 1, name (i).c_str ());
-  FtRosterRow *row = again.machine (name (0).c_str ())->row;
+  FtRegistryRow *row = again.machine (name (0).c_str ())->row;
   EXPECT_EQ (row->machines->len, 50u);
   for (int i = 0; i < 4; i++)
     ft_scheduler_lower_value_limit (again.s); // 1 KiB at the least
@@ -223,7 +223,7 @@
   ft_scheduler_loaded (b.s, 100 * kS);
   b.machine_up (100 * kS);
   ft_scheduler_job_added (b.s, spec ("req-1", 1), 5, 101 * kS, 0);
-  ft_scheduler_job_withdrawn (b.s, "req-1", 0, 102 * kS);
+  ft_scheduler_job_cancelled (b.s, "req-1", 0, 102 * kS);
   for (guint i = 0; i < 200; i++) {
     g_autofree char *name = g_strdup_printf ("m-%06u", i);
     g_autoptr (FtReport) r = b.report (1, 1, 3, name);
--- a/tests/test_units.cpp
+++ b/tests/test_units.cpp
@@ -60,7 +60,7 @@
   };
   for (const auto &bytes : bad)
     EXPECT_EQ (ft_cbor_decode (bytes.data (), bytes.size ()), nullptr) << testing::PrintToString (bytes);
-  std::vector<guint8> deep (FT_NESTING_MOST + 1, 0x81);
+  std::vector<guint8> deep (FT_NESTING_MAX + 1, 0x81);
   deep.push_back (0x01);
   EXPECT_EQ (ft_cbor_decode (deep.data (), deep.size ()), nullptr);
   json_t *allowed = ft_cbor_decode (deep.data () + 1, deep.size () - 1);
@@ -92,7 +92,7 @@
   EXPECT_TRUE (ft_lease_acquire_due (l.lease, 18 * kS));
   FtLeaseClaim c = ft_lease_claim (l.lease, 18 * kS);
   EXPECT_EQ (c.token, 5u);
-  EXPECT_EQ (c.fence_stamp, 10u);
+  EXPECT_EQ (c.fence_revision, 10u);
   EXPECT_TRUE (c.check_renewal);
 }
 
@@ -100,7 +100,7 @@
 {
   Lease l;
   l.see (0, 4, "other", 10, 20);
-  ft_lease_blind (l.lease, 8 * kS);
+  ft_lease_sweep_failed (l.lease, 8 * kS);
   EXPECT_FALSE (ft_lease_acquire_due (l.lease, 16 * kS));
   EXPECT_TRUE (ft_lease_acquire_due (l.lease, 18 * kS));
 }
@@ -109,7 +109,7 @@
 TEST (Lease, AFailedSweepIsRepeatedSoon)
 {
   g_autoptr (FtLease) lease = ft_lease_new ("hearth-0", 1, 9 * kS, 3 * kS, 18 * kS, 1);
-  ft_lease_blind (lease, 100 * kS);
+  ft_lease_sweep_failed (lease, 100 * kS);
   EXPECT_FALSE (ft_lease_sweep_due (lease, 100 * kS + kS / 10));
   EXPECT_TRUE (ft_lease_sweep_due (lease, 101 * kS));
 }
@@ -129,13 +129,13 @@
   l.see (0, 0, nullptr, 0, 0);
   ft_lease_claim (l.lease, 0);
   ft_lease_acquired (l.lease, 1 * kS, 10);
-  ft_lease_knows (l.lease, 8 * kS);
+  ft_lease_cancellations_known (l.lease, 8 * kS);
   EXPECT_TRUE (ft_lease_may_start (l.lease, 9 * kS));
   EXPECT_FALSE (ft_lease_may_start (l.lease, 10 * kS));
   ft_lease_tick (l.lease, 10 * kS);
-  EXPECT_EQ (ft_lease_state (l.lease), FT_LEASE_LAPSED);
-  // A lapsed holder answers reports for the hold, counted from the older contact.
-  ft_lease_knows (l.lease, 18 * kS);
+  EXPECT_EQ (ft_lease_state (l.lease), FT_LEASE_EXPIRED);
+  // A expired holder answers reports for the hold, counted from the older contact.
+  ft_lease_cancellations_known (l.lease, 18 * kS);
   EXPECT_TRUE (ft_lease_may_answer (l.lease, 18 * kS));
   EXPECT_FALSE (ft_lease_may_answer (l.lease, 19 * kS));
   // Nobody acquired in between: the renewal makes it go on.
@@ -146,42 +146,42 @@
   EXPECT_FALSE (ft_lease_may_answer (l.lease, 21 * kS));
 }
 
-// Its answers would keep tasks alive that were withdrawn before it was the holder.
+// Its answers would keep tasks alive that were cancelled before it was the holder.
 TEST (Lease, ANewHolderAnswersNobodyBeforeItHasReadTheWithdrawals)
 {
   Lease l;
   l.see (0, 4, "me", 10, 20);
-  for (guint64 stamp : { 30u, 40u }) { // again after each acquisition
+  for (guint64 revision : { 30u, 40u }) { // again after each acquisition
     ft_lease_claim (l.lease, 0);
-    ft_lease_acquired (l.lease, 0, stamp);
+    ft_lease_acquired (l.lease, 0, revision);
     EXPECT_FALSE (ft_lease_may_answer (l.lease, kS));
     EXPECT_FALSE (ft_lease_may_start (l.lease, kS));
-    ft_lease_knows (l.lease, kS);
+    ft_lease_cancellations_known (l.lease, kS);
     EXPECT_TRUE (ft_lease_may_answer (l.lease, 2 * kS));
     EXPECT_TRUE (ft_lease_may_start (l.lease, 2 * kS));
     ft_lease_lost (l.lease, 3 * kS);
-    l.see (3 * kS, 5, "me", stamp, 50);
+    l.see (3 * kS, 5, "me", revision, 50);
   }
 }
 
-// A renewal that succeeds after an outage tells nothing of the withdrawals meanwhile.
+// A renewal that succeeds after an outage tells nothing of the cancellations meanwhile.
 TEST (Lease, ARenewalAloneProlongsNoHoldAndStartsNothing)
 {
   Lease l;
   l.see (0, 0, nullptr, 0, 0);
   ft_lease_claim (l.lease, 0);
   ft_lease_acquired (l.lease, 0, 10);
-  ft_lease_knows (l.lease, 2 * kS);
+  ft_lease_cancellations_known (l.lease, 2 * kS);
   ft_lease_tick (l.lease, 10 * kS);
   ft_lease_renewed (l.lease, 30 * kS);
   EXPECT_EQ (ft_lease_state (l.lease), FT_LEASE_HOLDING);
   EXPECT_FALSE (ft_lease_may_start (l.lease, 31 * kS));
   EXPECT_FALSE (ft_lease_may_answer (l.lease, 31 * kS));
-  ft_lease_knows (l.lease, 31 * kS);
+  ft_lease_cancellations_known (l.lease, 31 * kS);
   EXPECT_TRUE (ft_lease_may_start (l.lease, 32 * kS));
   EXPECT_TRUE (ft_lease_may_answer (l.lease, 32 * kS));
   // An answer that comes late, of a request sent before, takes nothing back.
-  ft_lease_knows (l.lease, 5 * kS);
+  ft_lease_cancellations_known (l.lease, 5 * kS);
   EXPECT_TRUE (ft_lease_may_start (l.lease, 32 * kS));
 }
 
@@ -191,9 +191,9 @@
   l.see (0, 0, nullptr, 0, 0);
   ft_lease_claim (l.lease, 0);
   ft_lease_acquired (l.lease, 0, 10);
-  ft_lease_knows (l.lease, kS);
-  ft_lease_cede (l.lease, 2 * kS);
-  EXPECT_EQ (ft_lease_state (l.lease), FT_LEASE_LAPSED);
+  ft_lease_cancellations_known (l.lease, kS);
+  ft_lease_yield (l.lease, 2 * kS);
+  EXPECT_EQ (ft_lease_state (l.lease), FT_LEASE_EXPIRED);
   EXPECT_FALSE (ft_lease_may_start (l.lease, 2 * kS));
   EXPECT_TRUE (ft_lease_may_answer (l.lease, 17 * kS));
   EXPECT_FALSE (ft_lease_may_answer (l.lease, 18 * kS));
@@ -269,15 +269,15 @@
     EXPECT_FALSE (ft_task_set_state (job, 0, to));
   EXPECT_EQ (job->counts[FT_TASK_DONE], 1u);
   EXPECT_EQ (job->counts[FT_TASK_QUEUED], 1u);
-  EXPECT_TRUE (ft_job_set_state (job, FT_JOB_WITHDRAWN));
+  EXPECT_TRUE (ft_job_set_state (job, FT_JOB_CANCELLING));
   EXPECT_FALSE (ft_job_set_state (job, FT_JOB_OPEN));
   ft_job_free (job);
 }
 
 TEST (Job, DoneSetsAreChunkedToFitTheValueLimit)
 {
-  FtJob *job = ft_job_new (spec ("req-1", FT_JOB_TASKS_MOST), nullptr, 1, FT_TASK_QUEUED);
-  ASSERT_EQ (ft_job_chunks (job), (FT_JOB_TASKS_MOST + FT_DONE_CHUNK - 1) / FT_DONE_CHUNK);
+  FtJob *job = ft_job_new (spec ("req-1", FT_JOB_TASKS_MAX), nullptr, 1, FT_TASK_QUEUED);
+  ASSERT_EQ (ft_job_chunks (job), (FT_JOB_TASKS_MAX + FT_DONE_CHUNK - 1) / FT_DONE_CHUNK);
   ft_task_set_state (job, FT_DONE_CHUNK + 9, FT_TASK_STARTING);
   ft_task_set_state (job, FT_DONE_CHUNK + 9, FT_TASK_FINISHED);
   g_autofree char *bits = ft_job_chunk_bits (job, 1);
@@ -319,15 +319,15 @@
     g_autoptr (GArray) starts = b.exchange (at, sequence);
   b.other_up (at); // most others are heard
   FtMachine *m = (FtMachine *) g_hash_table_lookup (b.s->machines, "n-1");
-  EXPECT_TRUE (ft_machine_deaf (m));
+  EXPECT_TRUE (ft_machine_not_receiving (m));
   EXPECT_FALSE (ft_machine_usable (b.s, m));
-  b.s->hearing_since = at - 5 * kS; // we were late ourselves
+  b.s->on_time_since = at - 5 * kS; // we were late ourselves
   ft_scheduler_tick (b.s, at, TRUE);
   EXPECT_EQ (m->state, FT_MACHINE_UP);
-  b.s->hearing_since = 0;
+  b.s->on_time_since = 0;
   ft_scheduler_tick (b.s, at, TRUE);
   EXPECT_EQ (m->state, FT_MACHINE_UP) << "the store was not seen since 100 s: we may be cut off ourselves";
-  ft_scheduler_informed (b.s, at);
+  ft_scheduler_cancellations_known (b.s, at);
   ft_scheduler_tick (b.s, at, TRUE);
   EXPECT_EQ (m->state, FT_MACHINE_RETURNING);
 }
@@ -348,7 +348,7 @@
   b.other_up (at);
   ft_scheduler_tick (b.s, at, TRUE);
   EXPECT_EQ (b.machine ("n-1")->state, FT_MACHINE_UP) << "the store was not seen since 100 s";
-  ft_scheduler_informed (b.s, at);
+  ft_scheduler_cancellations_known (b.s, at);
   ft_scheduler_tick (b.s, at, TRUE);
   EXPECT_EQ (b.machine ("n-1")->state, FT_MACHINE_RETURNING);
 }
@@ -460,7 +460,7 @@
   ASSERT_EQ (count (starts, FT_COMMAND_START), 2u);
   guint64 id = g_array_index (starts, FtCommand, 0).attempt;
   ft_scheduler_tick (b.s, 102 * kS, FALSE);
-  ft_scheduler_job_withdrawn (b.s, "req-1", 0, 102 * kS);
+  ft_scheduler_job_cancelled (b.s, "req-1", 0, 102 * kS);
   g_autoptr (FtReport) r = b.report (1, 3, 3);
   FtReportedTask t
       = { g_strdup ("req-1"), g_array_index (starts, FtCommand, 0).index, id, FT_REPORTED_RUNNING, FT_WHY_NONE, FALSE };
@@ -485,10 +485,10 @@
     ft_scheduler_written (b.s, writes, at);
     return n;
   };
-  ft_scheduler_withdrawal_hinted (b.s, "req-1", 101 * kS);
-  EXPECT_TRUE (ft_scheduler_view (b.s, "req-1").withdrawn);
+  ft_scheduler_cancellation_advised (b.s, "req-1", 101 * kS);
+  EXPECT_TRUE (ft_scheduler_view (b.s, "req-1").cancelled);
   EXPECT_EQ (ends (101 * kS), 0u);
-  ft_scheduler_job_withdrawn (b.s, "req-1", kS, 102 * kS);
+  ft_scheduler_job_cancelled (b.s, "req-1", kS, 102 * kS);
   EXPECT_EQ (ends (102 * kS), 1u);
   EXPECT_FALSE (ft_scheduler_view (b.s, "req-1").known);
 }
@@ -533,18 +533,18 @@
   EXPECT_GT (g_array_index (commands, FtCommand, 0).attempt, 77u);
 }
 
-// A former leader may live on for a while: it can start nothing beyond the mark, so
-// that is placed at once, and the rest when each machine is accounted for.
+// A former leader may live on for a while: it can start nothing beyond the dispatch watermark, so
+// that is placed at once, and the rest when each machine is reconciled.
 TEST (Scheduler, TasksBeyondTheMarkDoNotWaitForRecovery)
 {
   SchedulerHarness b;
   FtJobSpec *partly = spec ("req-1", 4);
-  partly->sent = 3;
+  partly->dispatch_watermark = 3;
   ft_scheduler_load_job (b.s, partly, 5, 100 * kS, 0);
   ft_scheduler_load_machine (b.s, "row-1", "n-9", "10.1.0.9:9000", "std", "a", FALSE);
   ft_scheduler_loaded (b.s, 100 * kS);
   b.machine_up (100 * kS);
-  // Placed at once, but not sent before the mark that covers it is committed.
+  // Placed at once, but not sent before the dispatch watermark that covers it is committed.
   g_autoptr (GArray) none = b.exchange (101 * kS, 2);
   EXPECT_EQ (none->len, 0u);
   EXPECT_EQ (ft_scheduler_next_direct (b.s, 101 * kS), nullptr);
@@ -568,7 +568,7 @@
       = { (char *) "req-1", 0, g_array_index (starts, FtCommand, 0).attempt, FT_REPORTED_RUNNING, FT_WHY_NONE, FALSE };
   g_autoptr (GArray) more = b.exchange (102 * kS, 3, { t });
   for (gint64 at = 103; at < 160; at++) {
-    ft_scheduler_informed (b.s, at * kS);
+    ft_scheduler_cancellations_known (b.s, at * kS);
     ft_scheduler_tick (b.s, at * kS, TRUE);
   }
   EXPECT_EQ (ft_scheduler_view (b.s, "req-1").running, 1u);
@@ -646,10 +646,10 @@
   SchedulerHarness b;
   ft_scheduler_loaded (b.s, 100 * kS);
   b.machine_up (100 * kS);
-  guint64 sequence = 2, stamp = 5;
+  guint64 sequence = 2, revision = 5;
   gint64 now = 100 * kS;
   for (const char *ref : { "req-1", "req-2" }) {
-    ft_scheduler_job_added (b.s, spec (ref, 1), stamp++, now += kS, 0);
+    ft_scheduler_job_added (b.s, spec (ref, 1), revision++, now += kS, 0);
     g_autoptr (GArray) starts = b.exchange (now, sequence++);
     ASSERT_EQ (count (starts, FT_COMMAND_START), 1u);
     FtReportedTask t
@@ -890,13 +890,13 @@
   l.see (0, 0, nullptr, 0, 0);
   ft_lease_claim (l.lease, 0);
   ft_lease_acquired (l.lease, 0, 10);
-  ft_lease_knows (l.lease, 9 * kS);
+  ft_lease_cancellations_known (l.lease, 9 * kS);
   ft_lease_set_times (l.lease, 18 * kS, kS, 0.25, 3);
   EXPECT_FALSE (ft_lease_may_start (l.lease, 10 * kS));
   ft_lease_renew_sent (l.lease, 8 * kS);
   ft_lease_set_times (l.lease, 30 * kS, kS, 0.25, 3);
   ft_lease_renewed (l.lease, 8 * kS);
-  ft_lease_knows (l.lease, 24 * kS);
+  ft_lease_cancellations_known (l.lease, 24 * kS);
   EXPECT_TRUE (ft_lease_may_start (l.lease, 25 * kS));
   EXPECT_FALSE (ft_lease_may_start (l.lease, 26 * kS));
 }
@@ -908,8 +908,8 @@
   ft_tuning_defaults (&t);
   EXPECT_EQ (ft_tuning_check (&t, &w.settings), nullptr);
   t.lease_s = 25;
-  g_autofree char *withdrawals = ft_tuning_check (&t, &w.settings);
-  EXPECT_NE (withdrawals, nullptr);
+  g_autofree char *cancellations = ft_tuning_check (&t, &w.settings);
+  EXPECT_NE (cancellations, nullptr);
   t.lease_s = 2;
   t.sweep_s = 1;
   t.renew_fraction = 2;
--- a/tests/test_upgrade.cpp
+++ b/tests/test_upgrade.cpp
@@ -53,9 +53,9 @@
   }
 }
 
-// Names in the rows of the roster; the largest row in `largest`.
+// Names in the rows of the registry; the largest row in `largest`.
 std::set<std::string>
-roster (const Services &services, size_t *largest)
+registry (const Services &services, size_t *largest)
 {
   std::set<std::string> names;
   json_t *all = services.store.dump (), *value, *item;
@@ -169,13 +169,13 @@
     machines.push_back (std::make_unique<Machine> (c.front, name, 300, 2, 2));
   }
   size_t largest;
-  ASSERT_TRUE (wait_for ([&] { return roster (services, &largest).size () == kMachines; }));
+  ASSERT_TRUE (wait_for ([&] { return registry (services, &largest).size () == kMachines; }));
   ASSERT_GT (largest, 2048u) << "the old version wrote no large row";
   for (size_t i = 0; i < 3; i++)
     replace (c, i, kNew);
   ASSERT_LT (c.leader (), 3u);
   services.store.limit (site.next_value_kb, site.next_txn_ops, site.next_write_rps);
-  roster (services, &largest);
+  registry (services, &largest);
   EXPECT_GT (largest, 2048u) << "a row that does not change stays as it is";
 
   // A machine of it goes.
@@ -185,7 +185,7 @@
     alive.insert (machine->name);
   bool complete = true;
   EXPECT_TRUE (wait_for ([&] {
-    auto names = roster (services, &largest);
+    auto names = registry (services, &largest);
     complete &= std::includes (names.begin (), names.end (), alive.begin (), alive.end ());
     return names == alive && largest <= 2048;
   })) << largest;
--- a/tests/test_zone.cpp
+++ b/tests/test_zone.cpp
@@ -40,7 +40,7 @@
     for (int i = 0; now < end; i++) {
       now += kS / 2;
       if (store_seen)
-        ft_scheduler_informed (s, now);
+        ft_scheduler_cancellations_known (s, now);
       for (const std::string &zone : heard)
         if (i % 4 == 0)
           hear (zone);
