--- a/src/config.c
+++ b/src/config.c
@@ -126,18 +126,18 @@
 }
 
 static gboolean
-read_state_limits (const json_t *state, FtSettings *s, GError **error)
+read_store_limits (const json_t *state, FtSettings *s, GError **error)
 {
-  if (!amount (state, "settings.state", "rps", FT_STATE_RPS_MIN, &s->state_rps, error)
-      || !amount (state, "settings.state", "write_rps", FT_STATE_RPS_MIN, &s->state_write_rps, error)
+  if (!amount (state, "settings.state", "rps", FT_STORE_RPS_MIN, &s->store_rps, error)
+      || !amount (state, "settings.state", "write_rps", FT_STORE_RPS_MIN, &s->store_write_rps, error)
       || !amount (state, "settings.state", "value_kb", FT_VALUE_KB_MIN, &s->value_kb, error)
       || !whole (state, "settings.state", "txn_ops", FT_TXN_OPS_MIN, &s->txn_ops, error))
     return FALSE;
   if (ft_field_is_null (state, "next"))
     return TRUE;
   const json_t *next = section (state, "settings.state", "next", FALSE, error);
-  return next != NULL && lower_amount (next, "rps", FT_STATE_RPS_MIN, &s->state_rps, error)
-         && lower_amount (next, "write_rps", FT_STATE_RPS_MIN, &s->state_write_rps, error)
+  return next != NULL && lower_amount (next, "rps", FT_STORE_RPS_MIN, &s->store_rps, error)
+         && lower_amount (next, "write_rps", FT_STORE_RPS_MIN, &s->store_write_rps, error)
          && lower_amount (next, "value_kb", FT_VALUE_KB_MIN, &s->value_kb, error)
          && lower_whole (next, "txn_ops", FT_TXN_OPS_MIN, &s->txn_ops, error);
 }
@@ -156,7 +156,7 @@
          && amount (workers, "settings.workers", "report_s", 0.01, &s->report_s, error)
          && amount (workers, "settings.workers", "lease_s", 0.1, &s->lease_s, error)
          && amount (workers, "settings.workers", "cancel_s", 0.1, &s->cancel_s, error)
-         && read_state_limits (state, s, error) && amount (cloud, "settings.cloud", "rps", 0.01, &s->cloud_rps, error)
+         && read_store_limits (state, s, error) && amount (cloud, "settings.cloud", "rps", 0.01, &s->cloud_rps, error)
          && amount (cloud, "settings.cloud", "list_lag_s", 0, &s->list_lag_s, error)
          && amount (limits, "settings.resources", "cpu_share", 0.0001, &c->cpu_share, error)
          && amount (limits, "settings.resources", "ram_mb", 1, &c->memory_mb, error)
@@ -178,9 +178,9 @@
   const json_t *services = section (root, "", "services", FALSE, error);
   gboolean ok = services != NULL && text (root, "", "member", &c->member, error)
                 && address (root, "", "front", &c->listen, error)
-                && address (root, "", "mesh_addr", &c->mesh_listen, error)
-                && address (services, "services", "cloud", &c->cloud, error)
-                && address (services, "services", "state", &c->state, error) && read_peers (root, c, error)
+                && address (root, "", "mesh_addr", &c->peer_listen, error)
+                && address (services, "services", "cloud", &c->cloud_addr, error)
+                && address (services, "services", "state", &c->store_addr, error) && read_peers (root, c, error)
                 && read_params (root, c, error);
   c->core.member = c->member;
   json_decref (root);
@@ -213,8 +213,8 @@
   g_free (c->core.teams);
   g_free (c->member);
   g_free (c->listen);
-  g_free (c->mesh_listen);
-  g_free (c->cloud);
-  g_free (c->state);
+  g_free (c->peer_listen);
+  g_free (c->cloud_addr);
+  g_free (c->store_addr);
   g_free (c);
 }
--- a/src/config.h
+++ b/src/config.h
@@ -10,8 +10,8 @@
 
 typedef struct {
   char *member, *area;
-  char *listen, *mesh_listen;
-  char *cloud, *state;
+  char *listen, *peer_listen;
+  char *cloud_addr, *store_addr;
   GArray *peers; /* FtPeer */
   FtSettings core;
   double cpu_share, memory_mb, clock_off_ms;
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -267,21 +267,21 @@
  * need in one transaction, KiB for a job's row with ordinary texts, and requests a second. */
 #define FT_TXN_OPS_MIN 4
 #define FT_VALUE_KB_MIN 1
-#define FT_STATE_RPS_MIN 1
+#define FT_STORE_RPS_MIN 1
 /* Seconds until a batch that the state service refused as invalid is tried again, smaller. */
 #define FT_BATCH_INVALID_PAUSE_S 1.0
 
 /* ---- jobs that wait for others ---- */
 /* Seconds until the row of a job that others wait for is read again, if it was open and the job
  * has not come by the watch. */
-#define FT_NEED_READ_EVERY_S 1.0
+#define FT_DEPENDENCY_READ_EVERY_S 1.0
 /* Such readings under way at once. */
-#define FT_NEED_READS_MAX 8
+#define FT_DEPENDENCY_READS_MAX 8
 /* Share of cancel_s for which a controller tells that a job is open without looking again
  * whether something that it needs was cancelled. */
-#define FT_LINEAGE_FRESH 0.5
+#define FT_ANCESTORS_FRESH 0.5
 /* Jobs that one request looks at at once. */
-#define FT_LINEAGE_READS_MAX 16
+#define FT_ANCESTORS_READS_MAX 16
 
 /* ---- registry ---- */
 /* Bytes of a machine's entry in a registry row beside its texts, as JSON with spaces. */
@@ -319,7 +319,7 @@
 /* Deepest nesting accepted in a message. */
 #define FT_NESTING_MAX 16
 /* Seconds a state request may take before it counts as unanswered. */
-#define FT_STATE_TIMEOUT_S 1.5
+#define FT_STORE_TIMEOUT_S 1.5
 /* Seconds a watch waits on the server, and we on it beyond that. */
 #define FT_WATCH_S 2.0
 #define FT_WATCH_SLACK_S 2.0
@@ -337,11 +337,11 @@
 #define FT_BUDGET_RECOVERY 0.1
 #define FT_BUDGET_MIN 0.05
 /* Times that a request is sent again by itself after such refusals. */
-#define FT_STATE_RESENDS 3
+#define FT_STORE_RESENDS 3
 /* Share of the cloud limit the leader allows itself. */
 #define FT_CLOUD_SHARE 0.8
 /* Requests waiting for the state service before new user requests get 503. */
-#define FT_STATE_QUEUE_MAX 64
+#define FT_STORE_QUEUE_MAX 64
 /* Seconds for which a submission may have to wait for the changes before it; beyond that its
  * user is told at once to come back. */
 #define FT_SUBMIT_WAIT_MAX_S 2.0
@@ -359,22 +359,22 @@
 #define FT_HISTOGRAM_BUCKETS 48
 #define FT_HISTOGRAM_MIN_MS 0.1
 #define FT_HISTOGRAM_MAX_MS 100000.0
-/* Seconds between mesh heartbeats, and their time limit. */
-#define FT_MESH_EVERY_S 1.0
-#define FT_MESH_TIMEOUT_S 1.0
+/* Seconds between peer heartbeats, and their time limit. */
+#define FT_PEER_EVERY_S 1.0
+#define FT_PEER_TIMEOUT_S 1.0
 /* Seconds within which a heartbeat that fails was refused, not lost; seconds until
  * the next one then; and refusals in a row after which a leader is suspected. */
-#define FT_MESH_REFUSED_S 0.3
-#define FT_MESH_AGAIN_S 0.3
+#define FT_PEER_REFUSED_S 0.3
+#define FT_PEER_RETRY_S 0.3
 /* Seconds for which heartbeats name a cancellation, so that one that is lost does not
  * matter, and cancellations in one heartbeat, whose body is bounded. */
 #define FT_PEER_CANCELLATIONS_S 5.0
 #define FT_PEER_CANCELLATIONS_MAX 200
-#define FT_MESH_REFUSALS 2
-/* Seconds for which a peer's answer shows that the mesh works. */
-#define FT_MESH_WITNESS_S 1.5
+#define FT_PEER_REFUSALS 2
+/* Seconds for which a peer's answer shows that the peers works. */
+#define FT_PEER_WITNESS_S 1.5
 /* Seconds after which what a peer said no longer counts. */
-#define FT_MESH_FRESH_S 3.5
+#define FT_PEER_FRESH_S 3.5
 /* Seconds without a state answer after which contact counts as lost. */
 #define FT_CONTACT_LOST_S 2.0
 /* Seconds by which a peer must have been served later than we were refused. */
@@ -382,7 +382,7 @@
 /* Seconds named in Retry-After. */
 #define FT_RETRY_AFTER_S 1
 /* Open jobs whose revision is kept for polls; polls that wait at once. */
-#define FT_KNOWN_OPEN_MAX 16384
+#define FT_JOB_CACHE_OPEN_MAX 16384
 #define FT_POLLS_MAX 4096
 /* Conditions that a transaction may have for each change it may have (protocol). */
 #define FT_CONDITIONS_PER_CHANGE 4
@@ -390,9 +390,9 @@
  * must not fill the log. */
 #define FT_MALFORMED_LOG_S 10.0
 /* Open jobs in one heartbeat: its body stays well within the largest. */
-#define FT_MESH_JOBS_MAX 1000
+#define FT_PEER_JOBS_MAX 1000
 /* Final states kept in memory. */
-#define FT_FINAL_CACHE 4096
+#define FT_JOB_CACHE_ENDED_MAX 4096
 /* Connections that are still taken in beyond the share below, to be told to close. */
 #define FT_CONNECTIONS_SPARE 64
 /* Bytes the server keeps for a connection: headers and a piece of the body. */
--- a/src/core/dependency.c
+++ b/src/core/dependency.c
@@ -8,11 +8,11 @@
   gint64 read_at;     /* earliest next reading */
   gint64 met_at;
   FtUrgency own, urgency;
-  GPtrArray *needs;      /* Node, not settled */
-  GPtrArray *dependents; /* Node */
+  GPtrArray *dependencies; /* Node, not settled */
+  GPtrArray *dependents;   /* Node */
 } Node;
 
-struct _FtDependencies {
+struct _FtDependencyGraph {
   GHashTable *nodes; /* ref -> Node, owned */
   GQueue unread;     /* refs, owned, oldest reading first */
   FtDependencyChanged changed;
@@ -23,15 +23,15 @@
 node_free (Node *node)
 {
   g_free (node->ref);
-  g_ptr_array_unref (node->needs);
+  g_ptr_array_unref (node->dependencies);
   g_ptr_array_unref (node->dependents);
   g_free (node);
 }
 
-FtDependencies *
-ft_dependencies_new (FtDependencyChanged changed, gpointer data)
+FtDependencyGraph *
+ft_dependency_graph_new (FtDependencyChanged changed, gpointer data)
 {
-  FtDependencies *d = g_new0 (FtDependencies, 1);
+  FtDependencyGraph *d = g_new0 (FtDependencyGraph, 1);
   d->nodes = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) node_free);
   g_queue_init (&d->unread);
   d->changed = changed;
@@ -40,7 +40,7 @@
 }
 
 void
-ft_dependencies_free (FtDependencies *d)
+ft_dependency_graph_free (FtDependencyGraph *d)
 {
   if (d == NULL)
     return;
@@ -50,20 +50,20 @@
 }
 
 static Node *
-find (const FtDependencies *d, const char *ref)
+find (const FtDependencyGraph *d, const char *ref)
 {
   return g_hash_table_lookup (d->nodes, ref);
 }
 
 static Node *
-find_or_add (FtDependencies *d, const char *ref)
+find_or_add (FtDependencyGraph *d, const char *ref)
 {
   Node *node = find (d, ref);
   if (node != NULL)
     return node;
   node = g_new0 (Node, 1);
   node->ref = g_strdup (ref);
-  node->needs = g_ptr_array_new ();
+  node->dependencies = g_ptr_array_new ();
   node->dependents = g_ptr_array_new ();
   g_hash_table_insert (d->nodes, node->ref, node);
   return node;
@@ -90,7 +90,7 @@
 /* The urgency of these jobs may have changed, and then that of what they need. Frees the
  * array. */
 static void
-update_urgencies (FtDependencies *d, GPtrArray *nodes)
+update_urgencies (FtDependencyGraph *d, GPtrArray *nodes)
 {
   while (nodes->len > 0) {
     Node *node = g_ptr_array_steal_index_fast (nodes, nodes->len - 1);
@@ -99,8 +99,8 @@
       continue;
     node->urgency = urgency;
     d->changed (node->ref, d->data);
-    for (guint i = 0; i < node->needs->len; i++)
-      g_ptr_array_add (nodes, g_ptr_array_index (node->needs, i));
+    for (guint i = 0; i < node->dependencies->len; i++)
+      g_ptr_array_add (nodes, g_ptr_array_index (node->dependencies, i));
   }
   g_ptr_array_unref (nodes);
 }
@@ -108,7 +108,7 @@
 /* ---- jobs ---- */
 
 static void
-list_unread (FtDependencies *d, Node *node)
+list_unread (FtDependencyGraph *d, Node *node)
 {
   if (node->known || node->listed)
     return;
@@ -117,21 +117,21 @@
 }
 
 static void
-link_needs (FtDependencies *d, Node *node, const char *const *needs)
+link_dependencies (FtDependencyGraph *d, Node *node, const char *const *dependencies)
 {
-  for (guint i = 0; needs != NULL && needs[i] != NULL; i++) {
-    Node *need = find_or_add (d, needs[i]);
-    if (need == node || g_ptr_array_find (node->needs, need, NULL))
+  for (guint i = 0; dependencies != NULL && dependencies[i] != NULL; i++) {
+    Node *dependency = find_or_add (d, dependencies[i]);
+    if (dependency == node || g_ptr_array_find (node->dependencies, dependency, NULL))
       continue;
-    g_ptr_array_add (node->needs, need);
-    g_ptr_array_add (need->dependents, node);
-    list_unread (d, need);
+    g_ptr_array_add (node->dependencies, dependency);
+    g_ptr_array_add (dependency->dependents, node);
+    list_unread (d, dependency);
   }
 }
 
 /* Marks what needs the job as cancelled, however indirectly. */
 static void
-cancel_dependents (FtDependencies *d, Node *first)
+cancel_dependents (FtDependencyGraph *d, Node *first)
 {
   g_autoptr (GPtrArray) nodes = g_ptr_array_new ();
   g_ptr_array_add (nodes, first);
@@ -149,8 +149,8 @@
 }
 
 void
-ft_dependencies_add (FtDependencies *d, const char *ref, const char *const *needs, gboolean cancelled,
-                     const FtUrgency *own)
+ft_dependency_graph_add (FtDependencyGraph *d, const char *ref, const char *const *dependencies, gboolean cancelled,
+                         const FtUrgency *own)
 {
   Node *node = find_or_add (d, ref);
   if (node->known)
@@ -158,78 +158,78 @@
   node->known = TRUE;
   node->own = *own;
   node->urgency = with_dependents (node);
-  link_needs (d, node, needs);
-  for (guint i = 0; i < node->needs->len; i++)
-    cancelled |= ((const Node *) g_ptr_array_index (node->needs, i))->cancelled;
+  link_dependencies (d, node, dependencies);
+  for (guint i = 0; i < node->dependencies->len; i++)
+    cancelled |= ((const Node *) g_ptr_array_index (node->dependencies, i))->cancelled;
   node->cancelled = cancelled;
   d->changed (node->ref, d->data);
   if (cancelled)
     cancel_dependents (d, node);
-  update_urgencies (d, g_ptr_array_copy (node->needs, NULL, NULL));
+  update_urgencies (d, g_ptr_array_copy (node->dependencies, NULL, NULL));
 }
 
 /* Takes the node out of what it needs; what nobody else needs and nobody knows goes. */
 static void
-unlink_needs (FtDependencies *d, Node *node)
+unlink_dependencies (FtDependencyGraph *d, Node *node)
 {
   GPtrArray *kept = g_ptr_array_new ();
-  for (guint i = 0; i < node->needs->len; i++) {
-    Node *need = g_ptr_array_index (node->needs, i);
-    g_ptr_array_remove_fast (need->dependents, node);
-    if (!need->known && need->dependents->len == 0)
-      g_hash_table_remove (d->nodes, need->ref);
+  for (guint i = 0; i < node->dependencies->len; i++) {
+    Node *dependency = g_ptr_array_index (node->dependencies, i);
+    g_ptr_array_remove_fast (dependency->dependents, node);
+    if (!dependency->known && dependency->dependents->len == 0)
+      g_hash_table_remove (d->nodes, dependency->ref);
     else
-      g_ptr_array_add (kept, need);
+      g_ptr_array_add (kept, dependency);
   }
-  g_ptr_array_set_size (node->needs, 0);
+  g_ptr_array_set_size (node->dependencies, 0);
   update_urgencies (d, kept);
 }
 
 static void
-meet (FtDependencies *d, Node *node, gint64 at)
+meet (FtDependencyGraph *d, Node *node, gint64 at)
 {
   for (guint i = 0; i < node->dependents->len; i++) {
     Node *dependent = g_ptr_array_index (node->dependents, i);
-    g_ptr_array_remove_fast (dependent->needs, node);
+    g_ptr_array_remove_fast (dependent->dependencies, node);
     dependent->met_at = MAX (dependent->met_at, at);
-    if (dependent->needs->len == 0)
+    if (dependent->dependencies->len == 0)
       d->changed (dependent->ref, d->data);
   }
 }
 
 void
-ft_dependencies_settled (FtDependencies *d, const char *ref, FtJobEnd end, gint64 at)
+ft_dependency_graph_settle (FtDependencyGraph *d, const char *ref, FtJobEnd end, gint64 at)
 {
   Node *node = find (d, ref);
   if (node == NULL)
     return;
   if (end == FT_JOB_END_CANCELLED)
     cancel_dependents (d, node);
-  unlink_needs (d, node);
+  unlink_dependencies (d, node);
   meet (d, node, at); /* those of a cancelled one stay cancelled */
   g_hash_table_remove (d->nodes, ref);
 }
 
 FtWait
-ft_dependencies_wait (const FtDependencies *d, const char *ref)
+ft_dependency_graph_wait (const FtDependencyGraph *d, const char *ref)
 {
   const Node *node = find (d, ref);
   if (node == NULL)
     return FT_WAIT_NONE;
   if (node->cancelled)
     return FT_WAIT_CANCELLED;
-  return node->needs->len > 0 ? FT_WAIT_OTHERS : FT_WAIT_NONE;
+  return node->dependencies->len > 0 ? FT_WAIT_OTHERS : FT_WAIT_NONE;
 }
 
 gint64
-ft_dependencies_met_at (const FtDependencies *d, const char *ref)
+ft_dependency_graph_met_at (const FtDependencyGraph *d, const char *ref)
 {
   const Node *node = find (d, ref);
   return node != NULL ? node->met_at : 0;
 }
 
 const FtUrgency *
-ft_dependencies_urgency (const FtDependencies *d, const char *ref)
+ft_dependency_graph_urgency (const FtDependencyGraph *d, const char *ref)
 {
   const Node *node = find (d, ref);
   return node != NULL ? &node->urgency : NULL;
@@ -238,7 +238,7 @@
 /* ---- reading ---- */
 
 const char *
-ft_dependencies_next_unread (FtDependencies *d, gint64 now, gint64 retry_us)
+ft_dependency_graph_next_unread (FtDependencyGraph *d, gint64 now, gint64 retry_us)
 {
   char *ref;
   while ((ref = g_queue_peek_head (&d->unread)) != NULL) {
@@ -270,14 +270,14 @@
 }
 
 GStrv
-ft_dependencies_needs (const FtDependencies *d, const char *ref)
+ft_dependency_graph_dependencies (const FtDependencyGraph *d, const char *ref)
 {
   const Node *node = find (d, ref);
-  return node != NULL ? refs_of (node->needs) : g_new0 (char *, 1);
+  return node != NULL ? refs_of (node->dependencies) : g_new0 (char *, 1);
 }
 
 GStrv
-ft_dependencies_dependents (const FtDependencies *d, const char *ref)
+ft_dependency_graph_dependents (const FtDependencyGraph *d, const char *ref)
 {
   const Node *node = find (d, ref);
   return node != NULL ? refs_of (node->dependents) : g_new0 (char *, 1);
--- a/src/core/explain.c
+++ b/src/core/explain.c
@@ -4,7 +4,7 @@
 static const char *
 why_waiting (const FtScheduler *s, const FtJob *job)
 {
-  if (job->needs_cancelled)
+  if (job->dependency_cancelled)
     return "a job that it needs is cancelled: it is being cancelled";
   if (job->state == FT_JOB_WAITING)
     return "jobs that it needs are not done";
@@ -39,15 +39,15 @@
 }
 
 GStrv
-ft_scheduler_awaits (const FtScheduler *s, const char *ref)
+ft_scheduler_job_dependencies (const FtScheduler *s, const char *ref)
 {
-  return ft_dependencies_needs (s->dependencies, ref);
+  return ft_dependency_graph_dependencies (s->dependencies, ref);
 }
 
 GStrv
-ft_scheduler_awaited_by (const FtScheduler *s, const char *ref)
+ft_scheduler_job_dependents (const FtScheduler *s, const char *ref)
 {
-  return ft_dependencies_dependents (s->dependencies, ref);
+  return ft_dependency_graph_dependents (s->dependencies, ref);
 }
 
 void
--- a/src/core/fleet.c
+++ b/src/core/fleet.c
@@ -53,7 +53,7 @@
   gboolean spot;
   double machines;
   gboolean blocked; /* a job found no room at all */
-} Need;
+} Demand;
 
 static guint
 per_machine (const FtMachineType *type, const FtJobSpec *spec)
@@ -89,18 +89,19 @@
 }
 
 static void
-add_need (GArray *needs, const FtMachineType *type, const char *zone, gboolean spot, double machines, gboolean blocked)
-{
-  for (guint i = 0; i < needs->len; i++) {
-    Need *need = &g_array_index (needs, Need, i);
-    if (need->type == type && need->spot == spot && g_strcmp0 (need->zone, zone) == 0) {
-      need->machines += machines;
-      need->blocked |= blocked;
+add_demand (GArray *dependencies, const FtMachineType *type, const char *zone, gboolean spot, double machines,
+            gboolean blocked)
+{
+  for (guint i = 0; i < dependencies->len; i++) {
+    Demand *dependency = &g_array_index (dependencies, Demand, i);
+    if (dependency->type == type && dependency->spot == spot && g_strcmp0 (dependency->zone, zone) == 0) {
+      dependency->machines += machines;
+      dependency->blocked |= blocked;
       return;
     }
   }
-  Need need = { type, zone, spot, machines, blocked };
-  g_array_append_val (needs, need);
+  Demand dependency = { type, zone, spot, machines, blocked };
+  g_array_append_val (dependencies, dependency);
 }
 
 /* How many of a job's tasks one place can run after each other in time: what has
@@ -116,9 +117,9 @@
 }
 
 static GArray *
-find_needs (FtScheduler *s)
+find_demand (FtScheduler *s)
 {
-  GArray *needs = g_array_new (FALSE, TRUE, sizeof (Need));
+  GArray *dependencies = g_array_new (FALSE, TRUE, sizeof (Demand));
   guint n_teams = s->settings->n_teams;
   g_autofree double *room = g_new0 (double, n_teams);
   for (guint t = 0; t < n_teams; t++)
@@ -133,18 +134,18 @@
     if (type == NULL)
       continue;
     room[t] -= tasks * job->spec->cpus;
-    add_need (needs, type, job->spec->zone, job->spec->spot,
-              tasks / per_machine (type, job->spec) / waves (s, job, type), job->no_room_pass == s->pass);
+    add_demand (dependencies, type, job->spec->zone, job->spec->spot,
+                tasks / per_machine (type, job->spec) / waves (s, job, type), job->no_room_pass == s->pass);
   }
   // NOLINTNEXTLINE(clang-analyzer-unix.Malloc): freed by g_auto cleanup, which the analyzer does not follow
-  return needs;
+  return dependencies;
 }
 
 static gboolean
-serves (const FtMachine *machine, const Need *need)
+serves (const FtMachine *machine, const Demand *dependency)
 {
-  return machine->type == need->type && (need->spot || !machine->spot)
-         && (need->zone == NULL || g_strcmp0 (need->zone, machine->zone) == 0);
+  return machine->type == dependency->type && (dependency->spot || !machine->spot)
+         && (dependency->zone == NULL || g_strcmp0 (dependency->zone, machine->zone) == 0);
 }
 
 /* Share of the machine that is free, by its scarcest resource. */
@@ -161,7 +162,7 @@
 } Supply;
 
 static Supply
-find_supply (FtScheduler *s, const Need *need)
+find_supply (FtScheduler *s, const Demand *dependency)
 {
   Supply supply = { 0 };
   GHashTableIter it;
@@ -169,7 +170,7 @@
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *m = value;
-    if (m->type == NULL || (need != NULL && !serves (m, need)))
+    if (m->type == NULL || (dependency != NULL && !serves (m, dependency)))
       continue;
     if (m->state == FT_MACHINE_BOOTING) {
       /* Listed as running but never heard from: probably gone already. */
@@ -184,7 +185,8 @@
   g_hash_table_iter_init (&it, s->pools);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtPool *pool = value;
-    if (need == NULL || (g_strcmp0 (pool->type, need->type->name) == 0 && (need->spot || !pool->spot)))
+    if (dependency == NULL
+        || (g_strcmp0 (pool->type, dependency->type->name) == 0 && (dependency->spot || !pool->spot)))
       supply.booting += pool->booking != NULL ? pool->asked : 0;
   }
   return supply;
@@ -237,21 +239,22 @@
 }
 
 static FtPool *
-best_pool (FtScheduler *s, const Need *need)
+best_pool (FtScheduler *s, const Demand *dependency)
 {
   FtPool *best = NULL;
   double best_cost = INFINITY;
-  gboolean spot_ok = need->spot && spot_allowed (s);
-  for (guint z = 0; need->type->zones != NULL && need->type->zones[z] != NULL; z++) {
-    const char *zone = need->type->zones[z];
-    if (need->zone != NULL && g_strcmp0 (zone, need->zone) != 0)
+  gboolean spot_ok = dependency->spot && spot_allowed (s);
+  for (guint z = 0; dependency->type->zones != NULL && dependency->type->zones[z] != NULL; z++) {
+    const char *zone = dependency->type->zones[z];
+    if (dependency->zone != NULL && g_strcmp0 (zone, dependency->zone) != 0)
       continue;
     for (int spot = spot_ok ? 1 : 0; spot >= 0; spot--) {
-      FtPool *pool = get_pool (s, need->type->name, zone, spot);
+      FtPool *pool = get_pool (s, dependency->type->name, zone, spot);
       if (pool->booking != NULL || pool->refused_until > s->now
           || ft_zone_rentable (ft_zone_get (s->zones, zone), s->now) == 0)
         continue;
-      double cost = (spot ? need->type->spot_price : need->type->price) * FT_POOL_PRICE_WEIGHT + machines_in (s, pool);
+      double cost = (spot ? dependency->type->spot_price : dependency->type->price) * FT_POOL_PRICE_WEIGHT
+                    + machines_in (s, pool);
       if (cost < best_cost) {
         best_cost = cost;
         best = pool;
@@ -262,9 +265,9 @@
 }
 
 static void
-rent (FtScheduler *s, const Need *need, guint count)
+rent (FtScheduler *s, const Demand *dependency, guint count)
 {
-  FtPool *pool = best_pool (s, need);
+  FtPool *pool = best_pool (s, dependency);
   if (pool == NULL || count == 0)
     return;
   FtZone *zone = ft_zone_get (s->zones, pool->zone);
@@ -280,12 +283,13 @@
 
 /* TRUE if a job of this need has found no room for a while. */
 static gboolean
-blocked_long (const FtScheduler *s, const Need *need)
+blocked_long (const FtScheduler *s, const Demand *dependency)
 {
   for (guint i = 0; i < s->order->len; i++) {
     const FtJob *job = g_ptr_array_index (s->order, i);
-    if (job->no_room_pass == s->pass && job->spec->spot == need->spot && g_strcmp0 (job->spec->zone, need->zone) == 0
-        && s->now - job->ready_at > (gint64) (need->type->boot_s * FT_SECOND))
+    if (job->no_room_pass == s->pass && job->spec->spot == dependency->spot
+        && g_strcmp0 (job->spec->zone, dependency->zone) == 0
+        && s->now - job->ready_at > (gint64) (dependency->type->boot_s * FT_SECOND))
       return TRUE;
   }
   return FALSE;
@@ -295,17 +299,17 @@
 static void
 plan_rentals (FtScheduler *s)
 {
-  g_autoptr (GArray) needs = find_needs (s);
-  for (guint i = 0; i < needs->len; i++) {
-    const Need *need = &g_array_index (needs, Need, i);
-    Supply supply = find_supply (s, need);
+  g_autoptr (GArray) dependencies = find_demand (s);
+  for (guint i = 0; i < dependencies->len; i++) {
+    const Demand *dependency = &g_array_index (dependencies, Demand, i);
+    Supply supply = find_supply (s, dependency);
     double reserve = headroom (s) * supply.in_use;
-    double want = need->machines + reserve - supply.free - supply.booting;
+    double want = dependency->machines + reserve - supply.free - supply.booting;
     /* A small rest waits for room to come free, unless none can come: the one
      * small job of a site without a machine must get one too. */
-    gboolean stuck = need->blocked && supply.booting < 1 && (supply.in_use <= 0 || blocked_long (s, need));
+    gboolean stuck = dependency->blocked && supply.booting < 1 && (supply.in_use <= 0 || blocked_long (s, dependency));
     if (want > FT_RENT_FROM || stuck)
-      rent (s, need, (guint) MAX (1, ceil (want)));
+      rent (s, dependency, (guint) MAX (1, ceil (want)));
   }
 }
 
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -8,7 +8,7 @@
   job->team = team;
   job->revision = revision;
   job->priority = spec->priority;
-  job->state = spec->awaits != NULL ? FT_JOB_WAITING : FT_JOB_OPEN;
+  job->state = spec->dependencies != NULL ? FT_JOB_WAITING : FT_JOB_OPEN;
   job->tasks = g_new0 (FtTask, spec->tasks);
   for (guint i = 0; i < spec->tasks; i++)
     job->tasks[i].state = initial;
--- a/src/core/journal.c
+++ b/src/core/journal.c
@@ -124,7 +124,7 @@
 static double
 chunk_every_s (const FtScheduler *s)
 {
-  double rate = s->settings->state_write_rps * FT_CHUNK_WRITE_SHARE;
+  double rate = s->settings->store_write_rps * FT_CHUNK_WRITE_SHARE;
   return MAX (FT_CHUNK_EVERY_S, rate > 0 ? g_queue_get_length ((GQueue *) &s->pending_jobs) / rate : 0);
 }
 
@@ -154,16 +154,16 @@
 
 /* Nothing of it was ever placed: what it needs was never all done. */
 static gboolean
-job_cancelled_with_need (const FtJob *job)
+cancelled_by_dependency (const FtJob *job)
 {
-  return job->state == FT_JOB_WAITING && job->needs_cancelled;
+  return job->state == FT_JOB_WAITING && job->dependency_cancelled;
 }
 
 static gboolean
 job_ends (const FtJob *job)
 {
   return !job->final_in_flight && !job->conflicted
-         && (job_complete (job) || job_all_gone (job) || job_cancelled_with_need (job));
+         && (job_complete (job) || job_all_gone (job) || cancelled_by_dependency (job));
 }
 
 static FtWriteKind
@@ -171,7 +171,7 @@
 {
   if (job_complete (job))
     return FT_WRITE_JOB_DONE;
-  return job_cancelled_with_need (job) ? FT_WRITE_JOB_CANCELLED : FT_WRITE_JOB_GONE;
+  return cancelled_by_dependency (job) ? FT_WRITE_JOB_CANCELLED : FT_WRITE_JOB_GONE;
 }
 
 static void
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -172,7 +172,7 @@
 
 /* Where connections between controllers are refused, a live leader looks like a dead
  * one from all sides, and claims at first sight made a new leader twice a second:
- * only a witness for the mesh, and a leader that is not new, allow that. */
+ * only a witness for the peers, and a leader that is not new, allow that. */
 void
 ft_lease_suspect (FtLease *lease, const char *holder, gboolean confirmed, gint64 now)
 {
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -61,12 +61,12 @@
   gint64 chunk_at; /* earliest next write of a chunk */
   gboolean final_in_flight, conflicted;
   gint64 accepted_at;
-  gint64 ready_at;            /* from when it could be placed: accepted, and all that it needs done */
-  gint64 deadline_at;         /* its own, or the earliest of those that need it; 0: none */
-  FtPriority priority;        /* its own, or the highest of those that need it */
-  gboolean needs_cancelled;   /* a job that it needs is cancelled, and so it will be */
-  gint64 cancelled_at;        /* when its cancellation was committed, for all we know */
-  gboolean cancellation_read; /* from its row, not from a hint */
+  gint64 ready_at;               /* from when it could be placed: accepted, and all that it needs done */
+  gint64 deadline_at;            /* its own, or the earliest of those that need it; 0: none */
+  FtPriority priority;           /* its own, or the highest of those that need it */
+  gboolean dependency_cancelled; /* a job that it needs is cancelled, and so it will be */
+  gint64 cancelled_at;           /* when its cancellation was committed, for all we know */
+  gboolean cancellation_read;    /* from its row, not from a hint */
   gboolean guaranteed, too_late;
   gboolean begun;   /* a task of it has been placed, or was found done or on a machine */
   gboolean starved; /* it has waited to begin for as long as any may */
@@ -175,15 +175,15 @@
   gboolean loaded, recovered, may_start, placement_due;
   gint64 pass;
   FtTeam *teams;
-  GHashTable *jobs;             /* ref -> FtJob, owned */
-  FtRecentMap *closed;          /* jobs whose end this leader has committed or read: ref -> FtJobEnd */
-  FtDependencies *dependencies; /* of the open jobs */
-  GHashTable *machines;         /* name -> FtMachine, owned */
-  GHashTable *zones;            /* name -> FtZone, owned */
-  GHashTable *gone;             /* names returned or failed */
-  GHashTable *pools;            /* "type/zone/kind" -> FtPool, owned */
-  GPtrArray *order;             /* open jobs in order of placement, as of the last pass */
-  GPtrArray *waiting;           /* those of them that had tasks to place */
+  GHashTable *jobs;                /* ref -> FtJob, owned */
+  FtRecentMap *closed;             /* jobs whose end this leader has committed or read: ref -> FtJobEnd */
+  FtDependencyGraph *dependencies; /* of the open jobs */
+  GHashTable *machines;            /* name -> FtMachine, owned */
+  GHashTable *zones;               /* name -> FtZone, owned */
+  GHashTable *gone;                /* names returned or failed */
+  GHashTable *pools;               /* "type/zone/kind" -> FtPool, owned */
+  GPtrArray *order;                /* open jobs in order of placement, as of the last pass */
+  GPtrArray *waiting;              /* those of them that had tasks to place */
   gint64 next_pass, next_preempt;
   GPtrArray *victims;  /* scratch of a pass: FtAttempt that may be stopped, youngest first; NULL: not made */
   guint stops_pending; /* with `victims`: stops under way */
--- a/src/core/open_jobs.c
+++ b/src/core/open_jobs.c
@@ -7,7 +7,7 @@
 open_job (FtScheduler *s, FtJob *job)
 {
   ft_job_set_state (job, FT_JOB_OPEN);
-  job->ready_at = MAX (job->accepted_at, ft_dependencies_met_at (s->dependencies, job->spec->ref));
+  job->ready_at = MAX (job->accepted_at, ft_dependency_graph_met_at (s->dependencies, job->spec->ref));
   s->placement_due = TRUE;
 }
 
@@ -17,16 +17,16 @@
 {
   FtScheduler *s = data;
   FtJob *job = g_hash_table_lookup (s->jobs, ref);
-  const FtUrgency *urgency = ft_dependencies_urgency (s->dependencies, ref);
+  const FtUrgency *urgency = ft_dependency_graph_urgency (s->dependencies, ref);
   if (job == NULL || urgency == NULL)
     return;
   job->priority = urgency->priority;
   job->deadline_at = urgency->deadline_at;
-  FtWait wait = ft_dependencies_wait (s->dependencies, ref);
+  FtWait wait = ft_dependency_graph_wait (s->dependencies, ref);
   if (wait == FT_WAIT_NONE && job->state == FT_JOB_WAITING)
     open_job (s, job);
-  if (wait == FT_WAIT_CANCELLED && !job->needs_cancelled) {
-    job->needs_cancelled = TRUE;
+  if (wait == FT_WAIT_CANCELLED && !job->dependency_cancelled) {
+    job->dependency_cancelled = TRUE;
     ft_job_queue_write (job);
   }
 }
@@ -51,27 +51,28 @@
 add_dependencies (FtScheduler *s, FtJob *job)
 {
   const FtJobSpec *spec = job->spec;
-  g_autoptr (GPtrArray) needs = g_ptr_array_new ();
+  g_autoptr (GPtrArray) unsettled = g_ptr_array_new ();
   gboolean cancelled = FALSE;
   /* Marks are only raised for jobs whose needs were done: then there is nothing to read. */
-  GStrv awaits = spec->dispatch_watermark > 0 ? NULL : spec->awaits;
-  for (guint i = 0; awaits != NULL && awaits[i] != NULL; i++) {
+  GStrv dependencies = spec->dispatch_watermark > 0 ? NULL : spec->dependencies;
+  for (guint i = 0; dependencies != NULL && dependencies[i] != NULL; i++) {
     FtJobEnd end;
-    if (!known_end (s, awaits[i], &end))
-      g_ptr_array_add (needs, awaits[i]);
+    if (!known_end (s, dependencies[i], &end))
+      g_ptr_array_add (unsettled, dependencies[i]);
     else
       cancelled |= end == FT_JOB_END_CANCELLED;
   }
-  g_ptr_array_add (needs, NULL);
+  g_ptr_array_add (unsettled, NULL);
   FtUrgency own = { spec->priority, job->deadline_at };
-  ft_dependencies_add (s->dependencies, spec->ref, (const char *const *) needs->pdata, cancelled, &own);
+  ft_dependency_graph_add (s->dependencies, spec->ref, (const char *const *) unsettled->pdata, cancelled, &own);
 }
 
 const char *
 ft_scheduler_next_unread_job (FtScheduler *s, gint64 now)
 {
   s->now = now;
-  return s->loaded ? ft_dependencies_next_unread (s->dependencies, now, ft_seconds (FT_NEED_READ_EVERY_S)) : NULL;
+  return s->loaded ? ft_dependency_graph_next_unread (s->dependencies, now, ft_seconds (FT_DEPENDENCY_READ_EVERY_S))
+                   : NULL;
 }
 
 void
@@ -82,7 +83,7 @@
   if (g_hash_table_contains (s->jobs, ref))
     return;
   ft_recent_map_add (s->closed, ref, end);
-  ft_dependencies_settled (s->dependencies, ref, end, age_us >= 0 ? now - age_us : 0);
+  ft_dependency_graph_settle (s->dependencies, ref, end, age_us >= 0 ? now - age_us : 0);
 }
 
 /* ---- life of a job ---- */
@@ -91,8 +92,8 @@
 ft_open_jobs_init (FtScheduler *s)
 {
   s->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_job_free);
-  s->closed = ft_recent_map_new (FT_FINAL_CACHE);
-  s->dependencies = ft_dependencies_new (on_dependency_changed, s);
+  s->closed = ft_recent_map_new (FT_JOB_CACHE_ENDED_MAX);
+  s->dependencies = ft_dependency_graph_new (on_dependency_changed, s);
 }
 
 void
@@ -100,7 +101,7 @@
 {
   g_hash_table_unref (s->jobs);
   ft_recent_map_free (s->closed);
-  ft_dependencies_free (s->dependencies);
+  ft_dependency_graph_free (s->dependencies);
 }
 
 static FtJob *
@@ -194,7 +195,7 @@
   ft_job_cancel (s, job, now - age_us);
   job->cancellation_read = TRUE;
   ft_job_queue_write (job);
-  ft_dependencies_settled (s->dependencies, ref, FT_JOB_END_CANCELLED, now);
+  ft_dependency_graph_settle (s->dependencies, ref, FT_JOB_END_CANCELLED, now);
 }
 
 void
@@ -230,13 +231,13 @@
     g_queue_remove (&s->pending_jobs, job);
   g_autofree char *ref = g_strdup (job->spec->ref);
   g_hash_table_remove (s->jobs, ref);
-  ft_dependencies_settled (s->dependencies, ref, end, s->now);
+  ft_dependency_graph_settle (s->dependencies, ref, end, s->now);
 }
 
-FtJobView
+FtJobProgress
 ft_scheduler_view (const FtScheduler *s, const char *ref)
 {
-  FtJobView view = { 0 };
+  FtJobProgress view = { 0 };
   const FtJob *job = g_hash_table_lookup (s->jobs, ref);
   if (job == NULL)
     return view;
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -29,9 +29,9 @@
 {
   if (job->deadline_at == 0)
     return FALSE;
-  gint64 needs = (gint64) (job->spec->estimate_s * FT_TOO_LATE_SHARE * FT_SECOND);
+  gint64 dependencies = (gint64) (job->spec->estimate_s * FT_TOO_LATE_SHARE * FT_SECOND);
   gint64 patience = (gint64) (FT_TOO_LATE_PATIENCE * (double) (job->deadline_at - job->accepted_at));
-  return s->now + needs > job->deadline_at && s->now < job->deadline_at + patience;
+  return s->now + dependencies > job->deadline_at && s->now < job->deadline_at + patience;
 }
 
 static gboolean
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -43,8 +43,8 @@
 typedef struct {
   gboolean known, cancelled;
   guint done, running;
-} FtJobView;
-FtJobView ft_scheduler_view (const FtScheduler *s, const char *ref);
+} FtJobProgress;
+FtJobProgress ft_scheduler_view (const FtScheduler *s, const char *ref);
 
 /* ---- workers ---- */
 /* A report to us. The answer carries ft_scheduler_answer()'s commands. Returns
@@ -149,7 +149,7 @@
 /* Machines that should be reporting. */
 guint ft_scheduler_up (const FtScheduler *s);
 
-/* ---- for operators and the mesh ---- */
+/* ---- for operators and the peers ---- */
 /* An open job as operators see it; all borrowed. */
 typedef struct {
   const char *ref, *job_class, *state;
@@ -159,8 +159,8 @@
 typedef void (*FtJobVisitor) (const FtJobInfo *job, gpointer data);
 void ft_scheduler_each_job (FtScheduler *s, FtJobVisitor visit, gpointer data);
 /* The jobs that a job needs and that are not done, and those that need it: new. */
-GStrv ft_scheduler_awaits (const FtScheduler *s, const char *ref);
-GStrv ft_scheduler_awaited_by (const FtScheduler *s, const char *ref);
+GStrv ft_scheduler_job_dependencies (const FtScheduler *s, const char *ref);
+GStrv ft_scheduler_job_dependents (const FtScheduler *s, const char *ref);
 /* Jobs that are known to be open, and of them those that wait for others. */
 void ft_scheduler_count_jobs (const FtScheduler *s, guint *open, guint *waiting);
 typedef void (*FtMachineVisitor) (const char *name, const char *state, const char *type, const char *zone,
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -61,7 +61,7 @@
   g_free (spec->image);
   g_free (spec->zone);
   g_strfreev (spec->types);
-  g_strfreev (spec->awaits);
+  g_strfreev (spec->dependencies);
   g_free (spec);
 }
 
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -29,7 +29,7 @@
   double report_s, lease_s, cancel_s; /* workers */
   double list_lag_s, cloud_rps;       /* cloud */
   /* Limits of the state service: the lower of those in force and of those announced for later. */
-  double state_rps, state_write_rps;
+  double store_rps, store_write_rps;
   double value_kb; /* largest value of a row */
   guint txn_ops;   /* most changes of a transaction */
   guint size;      /* number of controllers */
@@ -74,7 +74,7 @@
   double estimate_s, checkpoint_s, save_s;
   double deadline_s;        /* from the submission; 0: none */
   gint64 submitted_wall_ms; /* wall time of the acceptance */
-  GStrv awaits;             /* refs of the jobs that must be done before it; NULL: none */
+  GStrv dependencies;       /* refs of the jobs that must be done before it; NULL: none */
   /* The mark: no task from here on has ever been sent to a machine. Raised by the
    * leader, and committed before it sends one. */
   guint dispatch_watermark;
--- a/src/net/admin.c
+++ b/src/net/admin.c
@@ -1,4 +1,4 @@
-/* The administration API, on the mesh listener only; users never reach it.
+/* The administration API, on the peers listener only; users never reach it.
  * Reads answer with what this node knows; what only the leader knows is
  * answered with 421 and the leader's name and address elsewhere. */
 #include <math.h>
@@ -39,7 +39,7 @@
 {
   json_t *list = json_array ();
   for (guint i = 0; i < node->peers->len; i++) {
-    const FtPeerView *view = &g_array_index (node->peers, FtPeerView, i);
+    const FtPeerState *view = &g_array_index (node->peers, FtPeerState, i);
     json_array_append_new (
         list, json_pack ("{s:s, s:s, s:o}", "member", view->peer->member, "addr", view->peer->addr, "heard_s_ago",
                          view->heard_at > 0 ? json_real (round ((double) (now - view->heard_at) / 10000) / 100)
@@ -52,13 +52,13 @@
 get_status (FtNode *node, FtHttpRequest *request)
 {
   gint64 now = g_get_monotonic_time ();
-  json_t *body
-      = json_pack ("{s:s, s:s, s:b, s:b, s:s, s:s?, s:I, s:b, s:i, s:o}", "member", node->config->member, "version",
-                   FT_VERSION, "ready", ft_node_ready (node, now), "state_service", ft_state_contact (node->state, now),
-                   "lease", ft_lease_state_name (ft_lease_state (node->lease)), "leader", ft_node_leader (node),
-                   "token", (json_int_t) (node->scheduler != NULL ? ft_lease_token (node->lease) : node->mesh_token),
-                   "recovered", node->scheduler != NULL && ft_scheduler_is_loaded (node->scheduler), "user_connections",
-                   (int) ft_http_server_connections (node->front), "peers", peers_body (node, now));
+  json_t *body = json_pack (
+      "{s:s, s:s, s:b, s:b, s:s, s:s?, s:I, s:b, s:i, s:o}", "member", node->config->member, "version", FT_VERSION,
+      "ready", ft_node_ready (node, now), "state_service", ft_store_client_contact (node->store, now), "lease",
+      ft_lease_state_name (ft_lease_state (node->lease)), "leader", ft_node_leader (node), "token",
+      (json_int_t) (node->scheduler != NULL ? ft_lease_token (node->lease) : node->peer_leader_token), "recovered",
+      node->scheduler != NULL && ft_scheduler_is_loaded (node->scheduler), "user_connections",
+      (int) ft_http_server_connections (node->front), "peers", peers_body (node, now));
   if (node->scheduler != NULL)
     json_object_set_new (body, "lease_age_s", json_real ((double) (now - node->led_since) / FT_SECOND));
   ft_http_respond (request, 200, body);
@@ -96,12 +96,12 @@
 add_job (const FtJobInfo *job, gpointer data)
 {
   JobList *jobs = data;
-  g_autofree char *awaits = some_refs (ft_scheduler_awaits (jobs->scheduler, job->ref));
-  g_autofree char *awaited_by = some_refs (ft_scheduler_awaited_by (jobs->scheduler, job->ref));
+  g_autofree char *dependencies = some_refs (ft_scheduler_job_dependencies (jobs->scheduler, job->ref));
+  g_autofree char *awaited_by = some_refs (ft_scheduler_job_dependents (jobs->scheduler, job->ref));
   json_array_append_new (jobs->list, json_pack ("{s:s, s:s, s:s, s:i, s:i, s:i, s:s, s:s, s:s}", "job", job->ref,
                                                 "class", job->job_class, "state", job->state, "tasks", (int) job->tasks,
                                                 "done", (int) job->done, "running", (int) job->running, "waits_for",
-                                                job->why_waiting, "awaits", awaits, "awaited_by", awaited_by));
+                                                job->why_waiting, "awaits", dependencies, "awaited_by", awaited_by));
 }
 
 static void
@@ -227,7 +227,7 @@
     return;
   node->next_settings = now + (gint64) (FT_SETTINGS_EVERY_S * FT_SECOND);
   node->settings_in_flight = TRUE;
-  ft_state_get (node->state, FT_KEY_SETTINGS, FT_STATE_READ, on_settings, node);
+  ft_store_client_get (node->store, FT_KEY_SETTINGS, FT_STORE_PRIORITY_READ, on_settings, node);
 }
 
 static void
@@ -294,7 +294,7 @@
     refuse (request, 422, "%s", why);
     return;
   }
-  if (!ft_state_contact (node->state, g_get_monotonic_time ())) {
+  if (!ft_store_client_contact (node->store, g_get_monotonic_time ())) {
     refuse (request, 503, "the state service does not answer");
     return;
   }
@@ -309,7 +309,7 @@
   call->node = node;
   call->request = request;
   call->tuning = tuning;
-  ft_state_commit (node->state, txn, FT_STATE_COMMIT, on_put, call);
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, on_put, call);
   json_decref (txn);
 }
 
@@ -349,7 +349,7 @@
     ft_txn_put (txn, key, json_object ());
   else
     ft_txn_delete (txn, key);
-  ft_state_commit (node->state, txn, FT_STATE_COMMIT, on_drained, call);
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, on_drained, call);
   json_decref (txn);
 }
 
--- a/src/net/lineage.c
+++ b/src/net/ancestors.c
@@ -1,4 +1,4 @@
-#include "net/lineage.h"
+#include "net/ancestors.h"
 
 #include "core/constants.h"
 #include "wire/store.h"
@@ -11,9 +11,9 @@
   guint reads;      /* under way */
   gint64 began;
   gint64 as_of; /* the oldest reading that the result rests on */
-  FtLineageResult result;
+  FtAncestorsResult result;
   char *found; /* the job that decided it */
-  FtLineageDone done;
+  FtAncestorsDone done;
   gpointer data;
 } Walk;
 
@@ -23,25 +23,25 @@
   char *ref;
 } Step;
 
-static FtKnownJob *
-known_job (const Walk *walk, const char *ref)
+static FtCachedJob *
+cached_job (const Walk *walk, const char *ref)
 {
-  return ft_known_jobs_find (walk->node->known, ref);
+  return ft_job_cache_find (walk->node->job_cache, ref);
 }
 
 static gboolean
-is_fresh (const FtNode *node, const FtKnownJob *job, gint64 now)
+is_fresh (const FtNode *node, const FtCachedJob *job, gint64 now)
 {
-  gint64 fresh_us = (gint64) (node->config->core.cancel_s * FT_LINEAGE_FRESH * FT_SECOND);
+  gint64 fresh_us = (gint64) (node->config->core.cancel_s * FT_ANCESTORS_FRESH * FT_SECOND);
   return job->checked_at > 0 && now - job->checked_at < fresh_us;
 }
 
 static gboolean
-all_done (const FtNode *node, GStrv needs)
+all_done (const FtNode *node, GStrv dependencies)
 {
   FtJobEnd end;
-  for (guint i = 0; needs[i] != NULL; i++)
-    if (!ft_known_jobs_end (node->known, needs[i], &end, NULL) || end != FT_JOB_END_DONE)
+  for (guint i = 0; dependencies[i] != NULL; i++)
+    if (!ft_job_cache_end (node->job_cache, dependencies[i], &end, NULL) || end != FT_JOB_END_DONE)
       return FALSE;
   return TRUE;
 }
@@ -51,18 +51,18 @@
 remember_open (const Walk *walk)
 {
   for (guint i = 0; i < walk->open->len; i++) {
-    FtKnownJob *job = known_job (walk, g_ptr_array_index (walk->open, i));
+    FtCachedJob *job = cached_job (walk, g_ptr_array_index (walk->open, i));
     if (job == NULL)
       continue;
     job->checked_at = MAX (job->checked_at, walk->as_of);
-    job->needs_met = job->needs != NULL && all_done (walk->node, job->needs);
+    job->dependencies_met = job->dependencies != NULL && all_done (walk->node, job->dependencies);
   }
 }
 
 static void
 walk_finish (Walk *walk)
 {
-  if (walk->result == FT_LINEAGE_OPEN)
+  if (walk->result == FT_ANCESTORS_OPEN)
     remember_open (walk);
   walk->done (walk->result, walk->found, walk->data);
   g_queue_clear_full (&walk->todo, g_free);
@@ -73,7 +73,7 @@
 }
 
 static void
-decide (Walk *walk, FtLineageResult result, const char *ref)
+decide (Walk *walk, FtAncestorsResult result, const char *ref)
 {
   if (result <= walk->result)
     return;
@@ -106,18 +106,18 @@
 static void
 step_failed (Step *step)
 {
-  decide (step->walk, FT_LINEAGE_UNREAD, NULL);
+  decide (step->walk, FT_ANCESTORS_UNREAD, NULL);
   step_over (step);
 }
 
 static void
-visit_needs (Walk *walk, const char *ref, const FtKnownJob *job)
+visit_dependencies (Walk *walk, const char *ref, const FtCachedJob *job)
 {
   gpointer owned;
   g_hash_table_lookup_extended (walk->seen, ref, &owned, NULL);
   g_ptr_array_add (walk->open, owned);
-  for (guint i = 0; job->needs != NULL && job->needs[i] != NULL; i++)
-    visit (walk, job->needs[i]);
+  for (guint i = 0; job->dependencies != NULL && job->dependencies[i] != NULL; i++)
+    visit (walk, job->dependencies[i]);
 }
 
 static void read_own_row (Step *step);
@@ -131,29 +131,29 @@
     read_own_row (step); /* ended since */
     return;
   }
-  FtKnownJob *job = known_job (step->walk, step->ref);
+  FtCachedJob *job = cached_job (step->walk, step->ref);
   g_autoptr (FtJobSpec) spec
       = status == 200 && ft_store_row (body, &row) ? ft_row_open_parse (step->ref, row.value) : NULL;
   if (spec == NULL || job == NULL) {
     step_failed (step);
     return;
   }
-  g_strfreev (job->needs);
-  job->needs = spec->awaits != NULL ? g_strdupv (spec->awaits) : g_new0 (char *, 1);
-  visit_needs (step->walk, step->ref, job);
+  g_strfreev (job->dependencies);
+  job->dependencies = spec->dependencies != NULL ? g_strdupv (spec->dependencies) : g_new0 (char *, 1);
+  visit_dependencies (step->walk, step->ref, job);
   step_over (step);
 }
 
 /* Its own row is open. */
 static void
-step_open (Step *step, const FtKnownJob *job)
+step_open (Step *step, const FtCachedJob *job)
 {
-  if (job->has_needs && job->needs == NULL) {
+  if (job->has_dependencies && job->dependencies == NULL) {
     g_autofree char *key = ft_key_open (step->ref);
-    ft_state_get (step->walk->node->state, key, FT_STATE_READ, on_open_row, step);
+    ft_store_client_get (step->walk->node->store, key, FT_STORE_PRIORITY_READ, on_open_row, step);
     return;
   }
-  visit_needs (step->walk, step->ref, job);
+  visit_dependencies (step->walk, step->ref, job);
   step_over (step);
 }
 
@@ -165,16 +165,16 @@
   FtRow row;
   FtJobRow state;
   if (status == 404) {
-    decide (step->walk, FT_LINEAGE_MISSING, step->ref);
+    decide (step->walk, FT_ANCESTORS_MISSING, step->ref);
     step_over (step);
   } else if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
     step_failed (step);
   } else if (state.open) {
-    step_open (step, ft_known_jobs_open (node->known, step->ref, row.revision, state.has_needs));
+    step_open (step, ft_job_cache_open (node->job_cache, step->ref, row.revision, state.has_dependencies));
   } else {
-    ft_known_jobs_ended (node->known, step->ref, state.end, state.tasks);
+    ft_job_cache_ended (node->job_cache, step->ref, state.end, state.tasks);
     if (state.end == FT_JOB_END_CANCELLED)
-      decide (step->walk, FT_LINEAGE_CANCELLED, step->ref);
+      decide (step->walk, FT_ANCESTORS_CANCELLED, step->ref);
     step_over (step);
   }
 }
@@ -183,14 +183,14 @@
 read_own_row (Step *step)
 {
   g_autofree char *key = ft_key_job (step->ref);
-  ft_state_get (step->walk->node->state, key, FT_STATE_READ, on_own_row, step);
+  ft_store_client_get (step->walk->node->store, key, FT_STORE_PRIORITY_READ, on_own_row, step);
 }
 
 static void
 on_compared (FtPollResult result, gpointer data)
 {
   Step *step = data;
-  const FtKnownJob *job = known_job (step->walk, step->ref);
+  const FtCachedJob *job = cached_job (step->walk, step->ref);
   if (result == FT_POLL_FAILED)
     step_failed (step);
   else if (result == FT_POLL_OPEN && job != NULL)
@@ -204,12 +204,12 @@
 known_enough (Walk *walk, const char *ref)
 {
   FtJobEnd end;
-  if (ft_known_jobs_end (walk->node->known, ref, &end, NULL)) {
+  if (ft_job_cache_end (walk->node->job_cache, ref, &end, NULL)) {
     if (end == FT_JOB_END_CANCELLED)
-      decide (walk, FT_LINEAGE_CANCELLED, ref);
+      decide (walk, FT_ANCESTORS_CANCELLED, ref);
     return TRUE;
   }
-  const FtKnownJob *job = known_job (walk, ref);
+  const FtCachedJob *job = cached_job (walk, ref);
   if (job == NULL || !is_fresh (walk->node, job, walk->began))
     return FALSE;
   walk->as_of = MIN (walk->as_of, job->checked_at);
@@ -238,8 +238,9 @@
 walk_on (Walk *walk)
 {
   if (walk_too_long (walk))
-    decide (walk, FT_LINEAGE_UNREAD, NULL);
-  while (walk->result < FT_LINEAGE_UNREAD && walk->reads < FT_LINEAGE_READS_MAX && !g_queue_is_empty (&walk->todo)) {
+    decide (walk, FT_ANCESTORS_UNREAD, NULL);
+  while (walk->result < FT_ANCESTORS_UNREAD && walk->reads < FT_ANCESTORS_READS_MAX
+         && !g_queue_is_empty (&walk->todo)) {
     g_autofree char *ref = g_queue_pop_head (&walk->todo);
     if (!known_enough (walk, ref))
       look_at (walk, ref);
@@ -249,7 +250,7 @@
 }
 
 static Walk *
-walk_new (FtNode *node, FtLineageDone done, gpointer data)
+walk_new (FtNode *node, FtAncestorsDone done, gpointer data)
 {
   Walk *walk = g_new0 (Walk, 1);
   walk->node = node;
@@ -262,23 +263,23 @@
 }
 
 void
-ft_lineage_check_needs (FtNode *node, const char *const *needs, FtLineageDone done, gpointer data)
+ft_ancestors_check_named (FtNode *node, const char *const *dependencies, FtAncestorsDone done, gpointer data)
 {
   Walk *walk = walk_new (node, done, data);
-  for (guint i = 0; needs != NULL && needs[i] != NULL; i++)
-    visit (walk, needs[i]);
+  for (guint i = 0; dependencies != NULL && dependencies[i] != NULL; i++)
+    visit (walk, dependencies[i]);
   walk_on (walk);
 }
 
 void
-ft_lineage_check (FtNode *node, const char *ref, FtLineageDone done, gpointer data)
+ft_ancestors_check (FtNode *node, const char *ref, FtAncestorsDone done, gpointer data)
 {
-  FtKnownJob *job = ft_known_jobs_find (node->known, ref);
+  FtCachedJob *job = ft_job_cache_find (node->job_cache, ref);
   gint64 now = g_get_monotonic_time ();
-  if (job != NULL && (!job->has_needs || job->needs_met || is_fresh (node, job, now))) {
-    if (!job->has_needs || job->needs_met)
+  if (job != NULL && (!job->has_dependencies || job->dependencies_met || is_fresh (node, job, now))) {
+    if (!job->has_dependencies || job->dependencies_met)
       job->checked_at = now;
-    done (FT_LINEAGE_OPEN, NULL, data);
+    done (FT_ANCESTORS_OPEN, NULL, data);
     return;
   }
   Walk *walk = walk_new (node, done, data);
--- a/src/net/front.c
+++ b/src/net/front.c
@@ -5,16 +5,16 @@
 #include "net/node.h"
 
 static gboolean
-peer_fresh (const FtPeerView *view, gint64 now)
+peer_fresh (const FtPeerState *view, gint64 now)
 {
-  return view->heard_at > 0 && now - view->heard_at <= (gint64) (FT_MESH_FRESH_S * FT_SECOND);
+  return view->heard_at > 0 && now - view->heard_at <= (gint64) (FT_PEER_FRESH_S * FT_SECOND);
 }
 
 gboolean
 ft_node_peer_served (const FtNode *node, gint64 after, gint64 now)
 {
   for (guint i = 0; i < node->peers->len; i++) {
-    const FtPeerView *view = &g_array_index (node->peers, FtPeerView, i);
+    const FtPeerState *view = &g_array_index (node->peers, FtPeerState, i);
     if (peer_fresh (view, now) && view->served_at > after)
       return TRUE;
   }
@@ -25,8 +25,8 @@
 ft_node_has_older_peer (const FtNode *node, gint64 now)
 {
   for (guint i = 0; i < node->peers->len; i++) {
-    const FtPeerView *view = &g_array_index (node->peers, FtPeerView, i);
-    if (peer_fresh (view, now) && !view->knows_needs)
+    const FtPeerState *view = &g_array_index (node->peers, FtPeerState, i);
+    if (peer_fresh (view, now) && !view->supports_dependencies)
       return TRUE;
   }
   return FALSE;
@@ -35,8 +35,8 @@
 gboolean
 ft_node_alone_unserved (const FtNode *node, gint64 now)
 {
-  gint64 lost = ft_state_failing_since (node->state) + (gint64) (FT_READY_MARGIN_S * FT_SECOND);
-  return !ft_state_contact (node->state, now) && ft_node_peer_served (node, lost, now);
+  gint64 lost = ft_store_client_failing_since (node->store) + (gint64) (FT_READY_MARGIN_S * FT_SECOND);
+  return !ft_store_client_contact (node->store, now) && ft_node_peer_served (node, lost, now);
 }
 
 /* A node that cannot reach the state service is ready all the same while no
@@ -45,14 +45,14 @@
 gboolean
 ft_node_ready (const FtNode *node, gint64 now)
 {
-  if (ft_state_contact (node->state, now))
+  if (ft_store_client_contact (node->store, now))
     return TRUE;
   if (ft_node_alone_unserved (node, now))
     return FALSE;
   gboolean heard = FALSE;
   for (guint i = 0; i < node->peers->len; i++)
-    heard |= peer_fresh (&g_array_index (node->peers, FtPeerView, i), now);
-  return heard && ft_state_last_served (node->state) > 0;
+    heard |= peer_fresh (&g_array_index (node->peers, FtPeerState, i), now);
+  return heard && ft_store_client_last_served (node->store) > 0;
 }
 
 static void
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,5 +1,5 @@
 /* HTTP server on libmicrohttpd, client on libcurl. Bodies are value trees; users,
- * workers, cloud and state service speak CBOR, the mesh and the admin API JSON. */
+ * workers, cloud and state service speak CBOR, the peers and the admin API JSON. */
 #pragma once
 #include <glib.h>
 #include <jansson.h>
--- a/src/net/leader.c
+++ b/src/net/leader.c
@@ -185,7 +185,7 @@
   g_autoptr (GArray) rows = status == 200 ? ft_store_rows (body, &more) : NULL;
   if (rows == NULL) {
     if (status == 200)
-      ft_node_malformed (node, FT_COUNT_MALFORMED_STATE, "list of rows");
+      ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of rows");
     try_again (call, load_page);
     return;
   }
@@ -203,7 +203,7 @@
 static void
 load_page (Call *call)
 {
-  ft_state_list (call->node->state, call->prefix, call->text, FT_STATE_LEASE, on_load, call);
+  ft_store_client_list (call->node->store, call->prefix, call->text, FT_STORE_PRIORITY_LEASE, on_load, call);
 }
 
 /* `began_at`: when the first page was asked for; 0: this is the first. */
@@ -234,7 +234,7 @@
   g_autoptr (GArray) rows = status == 200 ? ft_store_events (body) : NULL;
   if (rows == NULL || !ft_store_revision (body, &node->watch_since)) {
     if (status == 200)
-      ft_node_malformed (node, FT_COUNT_MALFORMED_STATE, "list of events");
+      ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of events");
     node->next_watch = soon (node);
     return;
   }
@@ -250,7 +250,7 @@
   if (node->watch_in_flight || now < node->next_watch || !ft_scheduler_is_loaded (node->scheduler))
     return;
   node->watch_in_flight = TRUE;
-  ft_state_follow (node->state, FT_PREFIX_OPEN, node->watch_since, on_watch, call_new (node));
+  ft_store_client_follow (node->store, FT_PREFIX_OPEN, node->watch_since, on_watch, call_new (node));
 }
 
 /* ---- batches ---- */
@@ -298,7 +298,7 @@
 static void
 read_journal (Call *call)
 {
-  ft_state_get (call->node->state, FT_KEY_JOURNAL, FT_STATE_COMMIT, on_journal, call);
+  ft_store_client_get (call->node->store, FT_KEY_JOURNAL, FT_STORE_PRIORITY_COMMIT, on_journal, call);
 }
 
 static void ask_job (Call *call);
@@ -331,7 +331,7 @@
 ask_job (Call *call)
 {
   g_autofree char *key = ft_key_job (call->text);
-  ft_state_get (call->node->state, key, FT_STATE_COMMIT, on_conflicted_job, call);
+  ft_store_client_get (call->node->store, key, FT_STORE_PRIORITY_COMMIT, on_conflicted_job, call);
 }
 
 static void
@@ -410,8 +410,8 @@
 {
   if (node->batch_in_flight || now < node->next_batch)
     return;
-  GPtrArray *writes
-      = ft_scheduler_next_writes (node->scheduler, node->batch_ops_most - 1, ft_state_spare_writes (node->state), now);
+  GPtrArray *writes = ft_scheduler_next_writes (node->scheduler, node->batch_ops_most - 1,
+                                                ft_store_client_spare_writes (node->store), now);
   if (writes->len == 0) {
     g_ptr_array_unref (writes);
     return;
@@ -426,14 +426,14 @@
   for (guint i = 0; i < writes->len; i++)
     ft_txn_add_write (txn, g_ptr_array_index (writes, i), wall_ms ());
   node->batch_in_flight = TRUE;
-  ft_state_commit (node->state, txn, FT_STATE_COMMIT, on_batch, call);
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, on_batch, call);
   json_decref (txn);
 }
 
 /* ---- jobs that others wait for ---- */
 
 static void
-on_need_read (guint status, const json_t *body, gpointer data)
+on_dependency_read (guint status, const json_t *body, gpointer data)
 {
   g_autoptr (Call) call = data;
   FtNode *node = call->node;
@@ -441,7 +441,7 @@
   FtJobRow state;
   if (stale (call))
     return;
-  node->need_reads--;
+  node->dependency_reads--;
   /* Open, or not answered: the scheduler names it again. */
   if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state) || state.open)
     return;
@@ -453,17 +453,17 @@
 /* Jobs that others need and that are not among the open ones: only their rows tell how they
  * have ended. */
 static void
-read_needs (FtNode *node, gint64 now)
+read_dependencies (FtNode *node, gint64 now)
 {
-  while (node->need_reads < FT_NEED_READS_MAX) {
+  while (node->dependency_reads < FT_DEPENDENCY_READS_MAX) {
     const char *ref = ft_scheduler_next_unread_job (node->scheduler, now);
     if (ref == NULL)
       return;
     Call *call = call_new (node);
     call->text = g_strdup (ref);
-    node->need_reads++;
+    node->dependency_reads++;
     g_autofree char *key = ft_key_job (ref);
-    ft_state_get (node->state, key, FT_STATE_COMMIT, on_need_read, call);
+    ft_store_client_get (node->store, key, FT_STORE_PRIORITY_COMMIT, on_dependency_read, call);
   }
 }
 
@@ -505,8 +505,8 @@
     call->direct = direct;
     json_t *body = ft_message_commands (ft_lease_token (node->lease), direct->session, direct->commands);
     node->directs++;
-    ft_http_send_raw (node->workers, "POST", direct->addr, "/commands", FT_BODY_CBOR, body, FT_COMMAND_TIMEOUT_S, TRUE,
-                      on_direct, call);
+    ft_http_send_raw (node->worker_client, "POST", direct->addr, "/commands", FT_BODY_CBOR, body, FT_COMMAND_TIMEOUT_S,
+                      TRUE, on_direct, call);
     json_decref (body);
   }
 }
@@ -546,8 +546,8 @@
     json_t *body = rent ? ft_cloud_rent_body (cloud) : ft_cloud_return_body (cloud);
     node->cloud_calls++;
     ft_budget_take (&node->cloud_budget, 1);
-    ft_http_send (node->cloud, "POST", node->config->cloud, rent ? "/rentals" : "/rentals/return", FT_BODY_CBOR, body,
-                  FT_CLOUD_TIMEOUT_S, FALSE, on_cloud, call);
+    ft_http_send (node->cloud_client, "POST", node->config->cloud_addr, rent ? "/rentals" : "/rentals/return",
+                  FT_BODY_CBOR, body, FT_CLOUD_TIMEOUT_S, FALSE, on_cloud, call);
     json_decref (body);
   }
 }
@@ -588,8 +588,8 @@
   call->list = list;
   node->list_in_flight = TRUE;
   ft_budget_take (&node->cloud_budget, 1);
-  ft_http_send (node->cloud, "GET", node->config->cloud, path, FT_BODY_CBOR, NULL, FT_CLOUD_TIMEOUT_S, FALSE, on_list,
-                call);
+  ft_http_send (node->cloud_client, "GET", node->config->cloud_addr, path, FT_BODY_CBOR, NULL, FT_CLOUD_TIMEOUT_S,
+                FALSE, on_list, call);
 }
 
 /* ---- leadership ---- */
@@ -609,7 +609,7 @@
   node->batch_ops_most = node->config->core.txn_ops;
   node->led_since = now;
   node->next_list = node->next_scheduler_tick = now;
-  ft_state_set_leading (node->state, TRUE);
+  ft_store_client_set_leading (node->store, TRUE);
   load_next (node, FT_PREFIX_OPEN, NULL, 0);
 }
 
@@ -618,11 +618,11 @@
 {
   node->term++;
   node->batch_in_flight = node->renew_in_flight = node->watch_in_flight = node->list_in_flight = FALSE;
-  node->directs = node->cloud_calls = node->need_reads = 0;
+  node->directs = node->cloud_calls = node->dependency_reads = 0;
   node->overrun_since = 0;
   node->next_batch = node->next_watch = 0;
   g_clear_pointer (&node->scheduler, ft_scheduler_free);
-  ft_state_set_leading (node->state, FALSE);
+  ft_store_client_set_leading (node->store, FALSE);
 }
 
 void
@@ -632,7 +632,7 @@
     return;
   ft_scheduler_place (node->scheduler, now, ft_lease_may_start (node->lease, now));
   commit_batch (node, now);
-  read_needs (node, now);
+  read_dependencies (node, now);
   send_directs (node, now);
   call_cloud (node, now);
 }
--- a/src/net/metrics.h
+++ b/src/net/metrics.h
@@ -11,7 +11,7 @@
   FT_COUNT_UNAVAILABLE, /* 503 to users */
   FT_COUNT_POLLS,
   FT_COUNT_CANCELLED,
-  FT_COUNT_CANCELLED_WITH_NEED, /* found on a poll: a job that it needs is cancelled */
+  FT_COUNT_CANCELLED_BY_DEPENDENCY, /* found on a poll: a job that it needs is cancelled */
   FT_COUNT_REPORTS,
   FT_COUNT_REDIRECTS,
   FT_COUNT_TAKEOVERS,
@@ -22,7 +22,7 @@
   FT_COUNT_BATCHES_INVALID,   /* refused by the state service as such, not for a condition */
   FT_COUNT_MALFORMED_WORKERS, /* messages that were refused; see ft_node_malformed() */
   FT_COUNT_MALFORMED_CLOUD,
-  FT_COUNT_MALFORMED_STATE,
+  FT_COUNT_MALFORMED_STORE,
   FT_COUNT_MALFORMED_PEERS,
   FT_COUNTERS,
 } FtCounter;
--- a/src/net/node.c
+++ b/src/net/node.c
@@ -9,7 +9,7 @@
 {
   if (node->scheduler != NULL)
     return node->config->member;
-  return node->mesh_leader != NULL ? node->mesh_leader : ft_lease_holder (node->lease);
+  return node->peer_leader != NULL ? node->peer_leader : ft_lease_holder (node->lease);
 }
 
 void
@@ -74,7 +74,7 @@
   else
     ft_lease_sweep_failed (node->lease, now);
   if (status == 200 && rows == NULL)
-    ft_node_malformed (node, FT_COUNT_MALFORMED_STATE, "list of rows");
+    ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of rows");
   ft_lease_rows_clear (&seen);
 }
 
@@ -105,7 +105,7 @@
   ft_txn_put (txn, FT_KEY_FENCE, ft_row_fence (c.token, node->config->member, node->incarnation));
   ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (c.token, ft_lease_time (node->lease), FALSE));
   ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (c.token, 0));
-  ft_state_commit (node->state, txn, FT_STATE_LEASE, on_claimed, lease_call (node));
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_LEASE, on_claimed, lease_call (node));
   json_decref (txn);
 }
 
@@ -132,7 +132,7 @@
   json_t *txn = ft_txn_new ();
   ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
   ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (ft_lease_token (node->lease), ft_lease_time (node->lease), release));
-  ft_state_commit (node->state, txn, FT_STATE_LEASE, done, lease_call (node));
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_LEASE, done, lease_call (node));
   json_decref (txn);
 }
 
@@ -168,7 +168,7 @@
 static gboolean
 overrun (const FtNode *node, gint64 now)
 {
-  return node->overrun_since > 0 && ft_node_peer_served (node, now - (gint64) (FT_MESH_FRESH_S * FT_SECOND), now)
+  return node->overrun_since > 0 && ft_node_peer_served (node, now - (gint64) (FT_PEER_FRESH_S * FT_SECOND), now)
          && now - node->overrun_since > (gint64) (FT_OVERRUN_S * FT_SECOND)
          && now - node->led_since > (gint64) (FT_OVERRUN_LED_S * FT_SECOND);
 }
@@ -201,7 +201,7 @@
 {
   g_warning ("node %s: cannot reach the state service, which others reach: starts nothing more", node->config->member);
   ft_lease_yield (node->lease, now);
-  node->yielded_at = node->next_mesh = now;
+  node->yielded_at = node->next_peer_heartbeat = now;
 }
 
 /* The peers are told as well, and look at once: a hint like any other. */
@@ -213,7 +213,7 @@
     renew (node, TRUE, on_released);
   ft_lease_released (node->lease, now);
   ft_leader_end (node);
-  node->yielded_at = node->next_mesh = now;
+  node->yielded_at = node->next_peer_heartbeat = now;
 }
 
 static void
@@ -227,9 +227,9 @@
   }
   if (ft_lease_sweep_due (node->lease, now) && !node->sweep_in_flight) {
     node->sweep_in_flight = TRUE;
-    ft_state_list (node->state, FT_PREFIX_LEASE, NULL, FT_STATE_LEASE, on_sweep, lease_call (node));
+    ft_store_client_list (node->store, FT_PREFIX_LEASE, NULL, FT_STORE_PRIORITY_LEASE, on_sweep, lease_call (node));
   }
-  if (ft_lease_acquire_due (node->lease, now) && ft_state_contact (node->state, now)) {
+  if (ft_lease_acquire_due (node->lease, now) && ft_store_client_contact (node->store, now)) {
     claim (node, now);
   } else if (ft_lease_renew_due (node->lease, now) && !node->renew_in_flight) {
     node->renew_in_flight = TRUE;
@@ -268,8 +268,8 @@
   if (node->catalog_in_flight || now < node->next_catalog)
     return;
   node->catalog_in_flight = TRUE;
-  ft_http_send (node->cloud, "GET", node->config->cloud, "/catalog", FT_BODY_CBOR, NULL, FT_CLOUD_TIMEOUT_S, FALSE,
-                on_catalog, node);
+  ft_http_send (node->cloud_client, "GET", node->config->cloud_addr, "/catalog", FT_BODY_CBOR, NULL, FT_CLOUD_TIMEOUT_S,
+                FALSE, on_catalog, node);
 }
 
 static gboolean
@@ -285,7 +285,7 @@
   }
   lease_tick (node, now);
   catalog_tick (node, now);
-  ft_mesh_tick (node, now);
+  ft_peers_tick (node, now);
   ft_admin_tick (node, now);
   if (node->scheduler != NULL)
     ft_leader_tick (node, now);
@@ -307,33 +307,33 @@
                               (gint64) (FT_SWEEP_S * FT_SECOND), node->answer_grace_us, g_rand_int (node->random));
   node->metrics = ft_metrics_new ();
   ft_tuning_defaults (&node->tuning);
-  node->state = ft_state_new (config);
-  node->workers = ft_http_client_new (2, config->max_connections / 4);
-  node->mesh = ft_http_client_new (2, 16);
-  node->cloud = ft_http_client_new (4, 4);
+  node->store = ft_store_client_new (config);
+  node->worker_client = ft_http_client_new (2, config->max_connections / 4);
+  node->peer_client = ft_http_client_new (2, 16);
+  node->cloud_client = ft_http_client_new (4, 4);
   ft_budget_init (&node->cloud_budget, config->core.cloud_rps * FT_CLOUD_SHARE, config->core.cloud_rps, now);
-  node->peers = g_array_new (FALSE, TRUE, sizeof (FtPeerView));
+  node->peers = g_array_new (FALSE, TRUE, sizeof (FtPeerState));
   for (guint i = 0; i < config->peers->len; i++) {
-    FtPeerView view = { .peer = &g_array_index (config->peers, FtPeer, i) };
+    FtPeerState view = { .peer = &g_array_index (config->peers, FtPeer, i) };
     g_array_append_val (node->peers, view);
   }
-  node->mesh_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  node->peer_job_progress = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   g_queue_init (&node->recent_cancellations);
   node->polls = ft_polls_new (node);
-  node->known = ft_known_jobs_new ();
+  node->job_cache = ft_job_cache_new ();
   g_queue_init (&node->reports);
   guint most = (guint) (config->max_connections * FT_SOCKET_SHARE) - FT_CONNECTIONS_PER_HOST;
   node->front = ft_http_server_new (config->listen, FT_BODY_CBOR, most, ft_front_handle, node, error);
   if (node->front != NULL)
-    node->mesh_server = ft_http_server_new (config->mesh_listen, FT_BODY_JSON, most, ft_mesh_handle, node, error);
-  if (node->mesh_server == NULL) {
+    node->peer_server = ft_http_server_new (config->peer_listen, FT_BODY_JSON, most, ft_peers_handle, node, error);
+  if (node->peer_server == NULL) {
     ft_node_free (node);
     return NULL;
   }
   node->timer = g_timeout_add (FT_TICK_MS, on_tick, node);
   on_tick (node);
   g_message ("node %s: started, users and workers on %s, mesh on %s", config->member, config->listen,
-             config->mesh_listen);
+             config->peer_listen);
   return node;
 }
 
@@ -346,21 +346,21 @@
     g_source_remove (node->timer);
   ft_http_server_free (node->front);
   ft_worker_refuse_all (node);
-  ft_http_server_free (node->mesh_server);
+  ft_http_server_free (node->peer_server);
   ft_leader_end (node);
-  ft_state_free (node->state);
+  ft_store_client_free (node->store);
   ft_polls_free (node->polls);
-  ft_http_client_free (node->workers);
-  ft_http_client_free (node->mesh);
-  ft_http_client_free (node->cloud);
+  ft_http_client_free (node->worker_client);
+  ft_http_client_free (node->peer_client);
+  ft_http_client_free (node->cloud_client);
   ft_lease_free (node->lease);
   ft_metrics_free (node->metrics);
   ft_catalog_unref (node->catalog);
   g_array_unref (node->peers);
-  g_hash_table_unref (node->mesh_jobs);
-  ft_known_jobs_free (node->known);
+  g_hash_table_unref (node->peer_job_progress);
+  ft_job_cache_free (node->job_cache);
   ft_peers_forget_cancellations (node, G_MAXINT64);
-  g_free (node->mesh_leader);
+  g_free (node->peer_leader);
   g_rand_free (node->random);
   g_free (node);
 }
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -6,9 +6,9 @@
 #include "core/scheduler.h"
 #include "net/budget.h"
 #include "net/http.h"
-#include "net/known_jobs.h"
+#include "net/job_cache.h"
 #include "net/metrics.h"
-#include "net/state_client.h"
+#include "net/store_client.h"
 
 typedef struct _FtNode FtNode;
 typedef struct _FtPolls FtPolls;
@@ -17,20 +17,20 @@
 typedef struct {
   const FtPeer *peer; /* borrowed */
   gint64 heard_at;
-  gboolean knows_needs; /* its version knows of jobs that wait for others */
-  gint64 served_at;     /* when the state service last answered it, on our clock */
+  gboolean supports_dependencies; /* its version knows of jobs that wait for others */
+  gint64 served_at;               /* when the state service last answered it, on our clock */
   gboolean in_flight;
   gint64 sent_at;
   gint64 answered_at; /* its last answer to a heartbeat of ours */
   guint refused;      /* heartbeats in a row that were refused at once */
-} FtPeerView;
+} FtPeerState;
 
 struct _FtNode {
   const FtConfig *config;
   FtLease *lease;
-  FtState *state;
-  FtHttpClient *workers, *mesh, *cloud;
-  FtHttpServer *front, *mesh_server;
+  FtStoreClient *store;
+  FtHttpClient *worker_client, *peer_client, *cloud_client;
+  FtHttpServer *front, *peer_server;
   FtCatalog *catalog; /* NULL until known */
   guint64 incarnation;
   gint64 answer_grace_us;
@@ -43,11 +43,11 @@
   guint64 journal_revision, journal_batch;
   guint batch_ops_most; /* changes in a batch, the journal's row included */
   gboolean sweep_in_flight, renew_in_flight, batch_in_flight, list_in_flight, catalog_in_flight, watch_in_flight;
-  guint directs, cloud_calls, need_reads;
+  guint directs, cloud_calls, dependency_reads;
   guint64 watch_since;
   gint64 cancellations_read_at; /* when the reading of the open jobs' rows began */
   gint64 last_tick;
-  gint64 next_scheduler_tick, next_list, next_catalog, next_mesh, next_batch, next_watch;
+  gint64 next_scheduler_tick, next_list, next_catalog, next_peer_heartbeat, next_batch, next_watch;
   gint64 led_since;
   gint64 answering_since; /* workers got no answer of ours until then */
   gint64 on_time_since;   /* our timers were late until then */
@@ -58,11 +58,11 @@
   GQueue reports; /* requests of workers that wait for a later turn */
   guint reports_source, reports_turn, reports_in_turn;
 
-  GArray *peers;     /* FtPeerView */
-  char *mesh_leader; /* as the mesh has it */
-  guint64 mesh_token;
-  GHashTable *mesh_jobs;       /* ref -> FtJobView of the leader's last summary */
-  GQueue recent_cancellations; /* what we have committed of late, for the peers: owned by mesh.c */
+  GArray *peers;     /* FtPeerState */
+  char *peer_leader; /* as the peers has it */
+  guint64 peer_leader_token;
+  GHashTable *peer_job_progress; /* ref -> FtJobProgress of the leader's last summary */
+  GQueue recent_cancellations;   /* what we have committed of late, for the peers: owned by peer.c */
 
   FtMetrics *metrics;
   gint64 malformed_logged[FT_COUNTERS]; /* when a malformed message of that source was logged last */
@@ -72,7 +72,7 @@
   gboolean settings_in_flight;
 
   FtPolls *polls;
-  FtKnownJobs *known; /* what was read of jobs */
+  FtJobCache *job_cache; /* what was read of jobs */
   guint timer;
 };
 
@@ -117,9 +117,9 @@
  * not known to be open or too many wait. */
 gboolean ft_polls_ask (FtPolls *polls, const char *ref, FtPollDone done, gpointer data);
 
-/* mesh.c */
-void ft_mesh_tick (FtNode *node, gint64 now);
-void ft_mesh_handle (FtHttpRequest *request, gpointer node);
+/* peer.c */
+void ft_peers_tick (FtNode *node, gint64 now);
+void ft_peers_handle (FtHttpRequest *request, gpointer node);
 /* We have committed a cancellation: our scheduler and the peers hear of it at once. */
 void ft_node_job_cancelled (FtNode *node, const char *ref);
 /* Drops what was committed before that time. */
--- a/src/net/polls.c
+++ b/src/net/polls.c
@@ -71,7 +71,7 @@
       continue;
     }
     any = TRUE;
-    ft_known_jobs_forget (polls->node->known, poll->ref);
+    ft_job_cache_forget (polls->node->job_cache, poll->ref);
     finish (poll, FT_POLL_CHANGED);
   }
   Poll *poll;
@@ -118,7 +118,7 @@
     g_ptr_array_add (polls->asked, poll);
   }
   if (polls->asked->len > 0)
-    ft_state_commit (polls->node->state, txn, FT_STATE_READ, on_compared, polls);
+    ft_store_client_commit (polls->node->store, txn, FT_STORE_PRIORITY_READ, on_compared, polls);
   else
     g_clear_pointer (&polls->asked, g_ptr_array_unref);
   json_decref (txn);
@@ -127,7 +127,7 @@
 gboolean
 ft_polls_ask (FtPolls *polls, const char *ref, FtPollDone done, gpointer data)
 {
-  const FtKnownJob *job = ft_known_jobs_find (polls->node->known, ref);
+  const FtCachedJob *job = ft_job_cache_find (polls->node->job_cache, ref);
   if (job == NULL || g_queue_get_length (&polls->waiting) >= FT_POLLS_MAX)
     return FALSE;
   Poll *poll = g_new0 (Poll, 1);
--- /dev/null
+++ b/src/net/store_client.c
@@ -0,0 +1,282 @@
+#include "net/store_client.h"
+
+#include "core/constants.h"
+#include "net/budget.h"
+
+typedef struct {
+  FtStoreClient *store;
+  char *method, *path;
+  json_t *body;
+  double timeout_s;
+  FtStorePriority priority;
+  guint writes;
+  guint resends;
+  FtHttpDone done;
+  gpointer data;
+} Request;
+
+struct _FtStoreClient {
+  char *addr;
+  double rps, write_rps;
+  FtHttpClient *client;
+  /* Leases and watches have connections of their own: behind commits a renewal
+   * could wait until the lease is gone. */
+  FtHttpClient *lease_client, *watch_client;
+  FtBudget requests, writes;
+  GQueue queues[FT_STORE_PRIORITY_READ + 1];
+  guint writes_waiting; /* changes of the requests in the queues */
+  guint pump_timer;
+  gint64 last_served, failing_since;
+};
+
+FtStoreClient *
+ft_store_client_new (const FtConfig *config)
+{
+  FtStoreClient *store = g_new0 (FtStoreClient, 1);
+  gint64 now = g_get_monotonic_time ();
+  store->addr = g_strdup (config->store_addr);
+  store->rps = config->core.store_rps;
+  store->write_rps = config->core.store_write_rps;
+  store->client = ft_http_client_new (FT_CONNECTIONS_PER_HOST, FT_CONNECTIONS_PER_HOST);
+  store->lease_client = ft_http_client_new (2, 2);
+  store->watch_client = ft_http_client_new (2, 2);
+  ft_budget_init (&store->requests, store->rps * FT_FOLLOWER_SHARE, store->rps * FT_FOLLOWER_SHARE, now);
+  double writes = store->write_rps * FT_FOLLOWER_WRITE_SHARE;
+  ft_budget_init (&store->writes, writes, writes, now);
+  for (int i = 0; i <= FT_STORE_PRIORITY_READ; i++)
+    g_queue_init (&store->queues[i]);
+  return store;
+}
+
+static void
+request_free (Request *request)
+{
+  g_free (request->method);
+  g_free (request->path);
+  json_decref (request->body);
+  g_free (request);
+}
+
+void
+ft_store_client_free (FtStoreClient *store)
+{
+  if (store == NULL)
+    return;
+  if (store->pump_timer != 0)
+    g_source_remove (store->pump_timer);
+  for (int i = 0; i <= FT_STORE_PRIORITY_READ; i++)
+    g_queue_clear_full (&store->queues[i], (GDestroyNotify) request_free);
+  ft_http_client_free (store->client);
+  ft_http_client_free (store->lease_client);
+  ft_http_client_free (store->watch_client);
+  g_free (store->addr);
+  g_free (store);
+}
+
+void
+ft_store_client_set_leading (FtStoreClient *store, gboolean leading)
+{
+  gint64 now = g_get_monotonic_time ();
+  ft_budget_set_rate (&store->requests, store->rps * (leading ? FT_LEADER_SHARE : FT_FOLLOWER_SHARE), now);
+  ft_budget_set_rate (&store->writes, store->write_rps * (leading ? FT_LEADER_WRITE_SHARE : FT_FOLLOWER_WRITE_SHARE),
+                      now);
+}
+
+static void send_queued (FtStoreClient *store);
+
+/* Refused for the rate: it was not executed, and goes again once the budget allows it. */
+static gboolean
+send_again (Request *request, gint64 now)
+{
+  FtStoreClient *store = request->store;
+  ft_budget_refused (request->writes > 0 ? &store->writes : &store->requests, now);
+  if (request->priority == FT_STORE_PRIORITY_LEASE || request->resends >= FT_STORE_RESENDS)
+    return FALSE;
+  request->resends++;
+  store->writes_waiting += request->writes;
+  g_queue_push_head (&store->queues[request->priority], request);
+  send_queued (store);
+  return TRUE;
+}
+
+static void
+on_done (guint status, const json_t *body, gpointer data)
+{
+  Request *request = data;
+  FtStoreClient *store = request->store;
+  gint64 now = g_get_monotonic_time ();
+  if (status == 429 && send_again (request, now))
+    return;
+  if (status == 200 || status == 404 || status == 409 || status == 410) {
+    store->last_served = now;
+    store->failing_since = 0;
+  } else if (store->failing_since == 0 && status != 429) {
+    store->failing_since = now;
+  }
+  request->done (status, body, request->data);
+  request_free (request);
+}
+
+static void
+send_request (Request *request, FtHttpClient *client)
+{
+  ft_http_send (client, request->method, request->store->addr, request->path, FT_BODY_CBOR, request->body,
+                request->timeout_s, FALSE, on_done, request);
+}
+
+static gboolean
+on_pump_timer (gpointer data)
+{
+  FtStoreClient *store = data;
+  store->pump_timer = 0;
+  send_queued (store);
+  return G_SOURCE_REMOVE;
+}
+
+static void
+take_budgets (FtStoreClient *store, const Request *request)
+{
+  ft_budget_take (&store->requests, 1);
+  ft_budget_take (&store->writes, request->writes);
+}
+
+static void
+pump_again_soon (FtStoreClient *store)
+{
+  if (store->pump_timer == 0)
+    store->pump_timer = g_timeout_add (FT_BUDGET_WAIT_MS, on_pump_timer, store);
+}
+
+/* What waits for changes holds up what comes after it in its queue, and other changes, but
+ * no request that makes none. */
+static void
+send_queued (FtStoreClient *store)
+{
+  gint64 now = g_get_monotonic_time ();
+  gboolean writes_used_up = FALSE;
+  for (int i = 0; i <= FT_STORE_PRIORITY_READ; i++) {
+    Request *request;
+    while ((request = g_queue_peek_head (&store->queues[i])) != NULL) {
+      if (!ft_budget_has (&store->requests, 1, now)) {
+        pump_again_soon (store);
+        return;
+      }
+      if (request->writes > 0 && (writes_used_up || !ft_budget_has (&store->writes, request->writes, now))) {
+        writes_used_up = TRUE;
+        pump_again_soon (store);
+        break;
+      }
+      g_queue_pop_head (&store->queues[i]);
+      store->writes_waiting -= request->writes;
+      take_budgets (store, request);
+      send_request (request, store->client);
+    }
+  }
+}
+
+static void
+submit (FtStoreClient *store, const char *method, char *path, const json_t *body, FtStorePriority priority,
+        FtHttpDone done, gpointer data)
+{
+  if (priority == FT_STORE_PRIORITY_READ
+      && g_queue_get_length (&store->queues[FT_STORE_PRIORITY_READ]) >= FT_STORE_QUEUE_MAX) {
+    g_free (path);
+    done (503, NULL, data);
+    return;
+  }
+  Request *request = g_new0 (Request, 1);
+  request->store = store;
+  request->method = g_strdup (method);
+  request->path = path;
+  request->body = json_incref ((json_t *) body);
+  request->priority = priority;
+  request->writes = body != NULL ? (guint) json_array_size (json_object_get (body, "apply")) : 0;
+  request->timeout_s = FT_STORE_TIMEOUT_S;
+  request->done = done;
+  request->data = data;
+  if (priority == FT_STORE_PRIORITY_LEASE) {
+    take_budgets (store, request);
+    send_request (request, store->lease_client);
+    return;
+  }
+  store->writes_waiting += request->writes;
+  g_queue_push_tail (&store->queues[priority], request);
+  send_queued (store);
+}
+
+void
+ft_store_client_get (FtStoreClient *store, const char *key, FtStorePriority priority, FtHttpDone done, gpointer data)
+{
+  submit (store, "GET", g_strconcat ("/store/", key, NULL), NULL, priority, done, data);
+}
+
+void
+ft_store_client_list (FtStoreClient *store, const char *prefix, const char *after, FtStorePriority priority,
+                      FtHttpDone done, gpointer data)
+{
+  char *path = after != NULL ? g_strdup_printf ("/store?under=%s&since=%s&limit=%d", prefix, after, FT_LIST_LIMIT)
+                             : g_strdup_printf ("/store?under=%s&limit=%d", prefix, FT_LIST_LIMIT);
+  submit (store, "GET", path, NULL, priority, done, data);
+}
+
+void
+ft_store_client_commit (FtStoreClient *store, const json_t *txn, FtStorePriority priority, FtHttpDone done,
+                        gpointer data)
+{
+  submit (store, "POST", g_strdup ("/commit"), txn, priority, done, data);
+}
+
+void
+ft_store_client_follow (FtStoreClient *store, const char *prefix, guint64 since, FtHttpDone done, gpointer data)
+{
+  Request *request = g_new0 (Request, 1);
+  request->store = store;
+  request->method = g_strdup ("GET");
+  request->path = g_strdup_printf ("/follow?under=%s&since=%" G_GUINT64_FORMAT "&block_ms=%d", prefix, since,
+                                   (int) (FT_WATCH_S * 1000));
+  request->timeout_s = FT_WATCH_S + FT_WATCH_SLACK_S;
+  request->done = done;
+  request->data = data;
+  ft_budget_take (&store->requests, 1);
+  send_request (request, store->watch_client);
+}
+
+gboolean
+ft_store_client_contact (const FtStoreClient *store, gint64 now)
+{
+  if (store->last_served == 0)
+    return FALSE;
+  return store->failing_since == 0 || now - store->failing_since < (gint64) (FT_CONTACT_LOST_S * FT_SECOND);
+}
+
+gint64
+ft_store_client_last_served (const FtStoreClient *store)
+{
+  return store->last_served;
+}
+
+guint
+ft_store_client_queued (const FtStoreClient *store)
+{
+  return g_queue_get_length ((GQueue *) &store->queues[FT_STORE_PRIORITY_COMMIT])
+         + g_queue_get_length ((GQueue *) &store->queues[FT_STORE_PRIORITY_READ]);
+}
+
+double
+ft_store_client_write_wait_s (const FtStoreClient *store)
+{
+  return store->writes_waiting > 0 ? (store->writes_waiting - store->writes.level) / store->writes.rate : 0;
+}
+
+gboolean
+ft_store_client_spare_writes (FtStoreClient *store)
+{
+  double least = store->writes.burst * FT_SPARE_WRITES_SHARE;
+  return store->writes_waiting == 0 && ft_budget_has (&store->writes, least, g_get_monotonic_time ());
+}
+
+gint64
+ft_store_client_failing_since (const FtStoreClient *store)
+{
+  return store->failing_since;
+}
--- a/src/net/user_api.c
+++ b/src/net/user_api.c
@@ -4,7 +4,7 @@
 
 #include "core/admission.h"
 #include "core/constants.h"
-#include "net/lineage.h"
+#include "net/ancestors.h"
 #include "net/node.h"
 #include "wire/messages.h"
 #include "wire/store.h"
@@ -15,7 +15,7 @@
   char *ref;
   FtJobSpec *spec; /* submissions */
   gboolean cancel;
-  gboolean with_need; /* cancelled since a job that it needs is */
+  gboolean by_dependency; /* cancelled since a job that it needs is */
   guint tries;
   gint64 as_of; /* until then nothing that a submitted job needs was cancelled; 0: not known */
   gint64 began;
@@ -72,15 +72,15 @@
 {
   FtJobEnd end;
   guint tasks;
-  return ft_known_jobs_end (node->known, ref, &end, &tasks) ? ended_body (ref, end, tasks) : NULL;
+  return ft_job_cache_end (node->job_cache, ref, &end, &tasks) ? ended_body (ref, end, tasks) : NULL;
 }
 
 /* An open job's counts are for display: the leader's own, or its last summary. */
 static json_t *
 open_body (FtNode *node, const char *ref)
 {
-  FtJobView view = { 0 };
-  const FtJobView *seen = g_hash_table_lookup (node->mesh_jobs, ref);
+  FtJobProgress view = { 0 };
+  const FtJobProgress *seen = g_hash_table_lookup (node->peer_job_progress, ref);
   if (node->scheduler != NULL)
     view = ft_scheduler_view (node->scheduler, ref);
   else if (seen != NULL)
@@ -91,24 +91,24 @@
 static void
 answer_ended (UserCall *call, FtJobEnd end, guint tasks)
 {
-  ft_known_jobs_ended (call->node->known, call->ref, end, tasks);
+  ft_job_cache_ended (call->node->job_cache, call->ref, end, tasks);
   finish (call, 200, ended_body (call->ref, end, tasks));
 }
 
 static void read_job (UserCall *call);
 
 static void
-on_lineage (FtLineageResult result, const char *ref, gpointer data)
+on_ancestors_checked (FtAncestorsResult result, const char *ref, gpointer data)
 {
   UserCall *call = data;
   (void) ref;
   json_t *ended = remembered (call->node, call->ref);
   if (ended != NULL) {
     finish (call, 200, ended); /* found out meanwhile */
-  } else if (result == FT_LINEAGE_OPEN) {
+  } else if (result == FT_ANCESTORS_OPEN) {
     finish (call, 200, open_body (call->node, call->ref));
-  } else if (result == FT_LINEAGE_CANCELLED) {
-    call->with_need = call->cancel = TRUE;
+  } else if (result == FT_ANCESTORS_CANCELLED) {
+    call->by_dependency = call->cancel = TRUE;
     read_job (call);
   } else {
     finish (call, 503, NULL);
@@ -119,7 +119,7 @@
 static void
 answer_open (UserCall *call)
 {
-  ft_lineage_check (call->node, call->ref, on_lineage, call);
+  ft_ancestors_check (call->node, call->ref, on_ancestors_checked, call);
 }
 
 /* ---- reading a job ---- */
@@ -144,7 +144,7 @@
   } else if (call->cancel) {
     cancel_open_job (call, &row, state.tasks);
   } else {
-    ft_known_jobs_open (call->node->known, call->ref, row.revision, state.has_needs);
+    ft_job_cache_open (call->node->job_cache, call->ref, row.revision, state.has_dependencies);
     answer_open (call);
   }
 }
@@ -156,7 +156,8 @@
   if (too_late (call))
     finish (call, 503, NULL);
   else
-    ft_state_get (call->node->state, key, call->cancel ? FT_STATE_CANCEL : FT_STATE_READ, on_read, call);
+    ft_store_client_get (call->node->store, key, call->cancel ? FT_STORE_PRIORITY_CANCEL : FT_STORE_PRIORITY_READ,
+                         on_read, call);
 }
 
 /* ---- submission ---- */
@@ -164,10 +165,10 @@
 static void
 remember_created (UserCall *call, guint64 revision)
 {
-  FtKnownJob *job = ft_known_jobs_open (call->node->known, call->ref, revision, call->spec->awaits != NULL);
+  FtCachedJob *job = ft_job_cache_open (call->node->job_cache, call->ref, revision, call->spec->dependencies != NULL);
   job->checked_at = call->as_of;
-  g_strfreev (job->needs);
-  job->needs = g_strdupv (call->spec->awaits);
+  g_strfreev (job->dependencies);
+  job->dependencies = g_strdupv (call->spec->dependencies);
 }
 
 /* The job was not created now: it is known already, or the commit's fate is unknown, or it
@@ -202,7 +203,7 @@
   ft_txn_if (txn, job, 0);
   ft_txn_put (txn, job, ft_row_job_open (call->spec));
   ft_txn_put (txn, open, ft_row_open (call->spec));
-  ft_state_commit (call->node->state, txn, FT_STATE_COMMIT, on_created, call);
+  ft_store_client_commit (call->node->store, txn, FT_STORE_PRIORITY_COMMIT, on_created, call);
   json_decref (txn);
 }
 
@@ -216,8 +217,8 @@
     return;
   }
   g_message ("job %s: accepted as cancelled, since a job that it needs is", call->ref);
-  ft_metrics_count (call->node->metrics, FT_COUNT_CANCELLED_WITH_NEED);
-  ft_known_jobs_ended (call->node->known, call->ref, FT_JOB_END_CANCELLED, call->spec->tasks);
+  ft_metrics_count (call->node->metrics, FT_COUNT_CANCELLED_BY_DEPENDENCY);
+  ft_job_cache_ended (call->node->job_cache, call->ref, FT_JOB_END_CANCELLED, call->spec->tasks);
   finish (call, 201, ended_body (call->ref, FT_JOB_END_CANCELLED, call->spec->tasks));
 }
 
@@ -229,19 +230,19 @@
   json_t *txn = ft_txn_new ();
   ft_txn_if (txn, job, 0);
   ft_txn_put (txn, job, ft_row_job_ended (FT_JOB_END_CANCELLED, call->spec->tasks, g_get_real_time () / 1000));
-  ft_state_commit (call->node->state, txn, FT_STATE_COMMIT, on_created_cancelled, call);
+  ft_store_client_commit (call->node->store, txn, FT_STORE_PRIORITY_COMMIT, on_created_cancelled, call);
   json_decref (txn);
 }
 
 static void
-on_needs_checked (FtLineageResult result, const char *ref, gpointer data)
+on_dependencies_checked (FtAncestorsResult result, const char *ref, gpointer data)
 {
   UserCall *call = data;
-  if (result == FT_LINEAGE_OPEN) {
+  if (result == FT_ANCESTORS_OPEN) {
     create_job (call);
-  } else if (result == FT_LINEAGE_CANCELLED) {
+  } else if (result == FT_ANCESTORS_CANCELLED) {
     create_cancelled (call);
-  } else if (result == FT_LINEAGE_MISSING) {
+  } else if (result == FT_ANCESTORS_MISSING) {
     g_autofree char *why = g_strdup_printf ("it needs job %s, which was never accepted", ref);
     g_message ("job %s: refused: %s", call->ref, why);
     finish (call, 422, json_pack ("{s:s}", "error", why));
@@ -253,8 +254,9 @@
 static gboolean
 overloaded (const FtNode *node)
 {
-  return !ft_state_contact (node->state, g_get_monotonic_time ()) || ft_state_queued (node->state) > FT_STATE_QUEUE_MAX
-         || ft_state_write_wait_s (node->state) > FT_SUBMIT_WAIT_MAX_S
+  return !ft_store_client_contact (node->store, g_get_monotonic_time ())
+         || ft_store_client_queued (node->store) > FT_STORE_QUEUE_MAX
+         || ft_store_client_write_wait_s (node->store) > FT_SUBMIT_WAIT_MAX_S
          || (node->scheduler != NULL && ft_scheduler_open_tasks (node->scheduler) > FT_OPEN_TASKS_MAX);
 }
 
@@ -263,7 +265,7 @@
 static gboolean
 must_wait_for_upgrade (const FtNode *node, const FtJobSpec *spec)
 {
-  return spec->awaits != NULL && ft_node_has_older_peer (node, g_get_monotonic_time ());
+  return spec->dependencies != NULL && ft_node_has_older_peer (node, g_get_monotonic_time ());
 }
 
 /* Whether the job can ever run, as far as its submission alone tells. */
@@ -319,8 +321,8 @@
   UserCall *call = user_call_new (node, request, spec->ref);
   call->spec = g_steal_pointer (&spec);
   /* What it needs is found uncancelled no earlier than that. */
-  call->as_of = call->spec->awaits == NULL ? call->began : 0;
-  ft_lineage_check_needs (node, (const char *const *) call->spec->awaits, on_needs_checked, call);
+  call->as_of = call->spec->dependencies == NULL ? call->began : 0;
+  ft_ancestors_check_named (node, (const char *const *) call->spec->dependencies, on_dependencies_checked, call);
 }
 
 /* ---- cancellation ---- */
@@ -331,8 +333,8 @@
   UserCall *call = data;
   (void) body;
   if (status == 200) {
-    g_message ("job %s: withdrawn%s", call->ref, call->with_need ? ", since a job that it needs is" : "");
-    ft_metrics_count (call->node->metrics, call->with_need ? FT_COUNT_CANCELLED_WITH_NEED : FT_COUNT_CANCELLED);
+    g_message ("job %s: withdrawn%s", call->ref, call->by_dependency ? ", since a job that it needs is" : "");
+    ft_metrics_count (call->node->metrics, call->by_dependency ? FT_COUNT_CANCELLED_BY_DEPENDENCY : FT_COUNT_CANCELLED);
     ft_node_job_cancelled (call->node, call->ref);
     answer_ended (call, FT_JOB_END_CANCELLED, 0);
   } else if ((status == 409 || status == 0) && ++call->tries < FT_CANCEL_TRIES) {
@@ -351,7 +353,7 @@
   ft_txn_if (txn, job, row->revision);
   ft_txn_put (txn, job, ft_row_job_ended (FT_JOB_END_CANCELLED, tasks, wall_ms));
   ft_txn_put (txn, mark, ft_row_cancellation (wall_ms));
-  ft_state_commit (call->node->state, txn, FT_STATE_CANCEL, on_cancelled, call);
+  ft_store_client_commit (call->node->store, txn, FT_STORE_PRIORITY_CANCEL, on_cancelled, call);
   json_decref (txn);
 }
 
@@ -381,7 +383,7 @@
     ft_http_respond (request, 200, known);
     return;
   }
-  if (!ft_state_contact (node->state, g_get_monotonic_time ())) {
+  if (!ft_store_client_contact (node->store, g_get_monotonic_time ())) {
     put_off (node, request);
     return;
   }
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -8,7 +8,7 @@
 static void
 redirect (FtNode *node, FtHttpRequest *request)
 {
-  const char *holder = node->mesh_leader != NULL ? node->mesh_leader : ft_lease_holder (node->lease);
+  const char *holder = node->peer_leader != NULL ? node->peer_leader : ft_lease_holder (node->lease);
   if (g_strcmp0 (holder, node->config->member) == 0)
     holder = NULL;
   ft_metrics_count (node->metrics, FT_COUNT_REDIRECTS);
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -79,25 +79,25 @@
 
 /* The jobs that it needs, each once; none is the same as an empty list. */
 static gboolean
-read_awaits (const json_t *body, FtJobSpec *spec)
+read_dependencies_field (const json_t *body, FtJobSpec *spec)
 {
   g_auto (GStrv) named = NULL;
   if (ft_field_is_null (body, "awaits"))
     return TRUE;
   if (!ft_field_texts (body, "awaits", FT_TEXT_MAX, &named))
     return FALSE;
-  g_autoptr (GPtrArray) needs = g_ptr_array_new_with_free_func (g_free);
+  g_autoptr (GPtrArray) dependencies = g_ptr_array_new_with_free_func (g_free);
   g_autoptr (GHashTable) seen = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint i = 0; named[i] != NULL; i++) {
     if (!ft_ref_valid (named[i]) || strcmp (named[i], spec->ref) == 0)
       return FALSE;
     if (g_hash_table_add (seen, named[i]))
-      g_ptr_array_add (needs, g_strdup (named[i]));
+      g_ptr_array_add (dependencies, g_strdup (named[i]));
   }
-  if (needs->len == 0)
+  if (dependencies->len == 0)
     return TRUE;
-  g_ptr_array_add (needs, NULL);
-  spec->awaits = (GStrv) g_ptr_array_free (g_steal_pointer (&needs), FALSE);
+  g_ptr_array_add (dependencies, NULL);
+  spec->dependencies = (GStrv) g_ptr_array_free (g_steal_pointer (&dependencies), FALSE);
   return TRUE;
 }
 
@@ -109,7 +109,7 @@
   if (!json_is_object (body) || !read_texts (body, spec) || !read_amounts (body, spec)
       || !ft_field_count (body, "pieces", 1, FT_JOB_TASKS_MAX, &tasks)
       || !ft_field_bool (body, "one_zone", &spec->one_zone) || !ft_field_bool (body, "apart", &spec->spread)
-      || !ft_field_bool (body, "loaners", &spec->spot) || !read_awaits (body, spec))
+      || !ft_field_bool (body, "loaners", &spec->spot) || !read_dependencies_field (body, spec))
     // NOLINTNEXTLINE(clang-analyzer-unix.Malloc): freed by g_auto cleanup, which the analyzer does not follow
     return NULL;
   spec->tasks = (guint) tasks;
--- a/src/wire/store.c
+++ b/src/wire/store.c
@@ -215,7 +215,7 @@
 ft_row_job_open (const FtJobSpec *spec)
 {
   json_t *row = json_pack ("{s:s, s:i}", "state", "open", "tasks", (int) spec->tasks);
-  if (spec->awaits != NULL)
+  if (spec->dependencies != NULL)
     json_object_set_new (row, "needs", json_true ());
   return row;
 }
@@ -236,7 +236,7 @@
     return FALSE;
   ft_field_count (value, "ended_ms", 0, G_MAXINT64, &ended_ms);
   *out = (FtJobRow){ .open = strcmp (state, "open") == 0,
-                     .has_needs = json_is_true (json_object_get (value, "needs")),
+                     .has_dependencies = json_is_true (json_object_get (value, "needs")),
                      .end = strcmp (state, "done") == 0 ? FT_JOB_END_DONE : FT_JOB_END_CANCELLED,
                      .tasks = (guint) tasks,
                      .ended_wall_ms = (gint64) ended_ms };
@@ -292,10 +292,10 @@
       "spread", spec->spread, "spot", spec->spot, "estimate_s", spec->estimate_s, "checkpoint_s", spec->checkpoint_s,
       "save_s", spec->save_s, "deadline_s", spec->deadline_s, "submitted_ms", (json_int_t) spec->submitted_wall_ms,
       "sent", (int) spec->dispatch_watermark);
-  if (spec->awaits == NULL)
+  if (spec->dependencies == NULL)
     return row;
-  g_autofree char *awaits = pack_refs (spec->awaits);
-  json_object_set_new (row, "awaits", json_string (awaits));
+  g_autofree char *dependencies = pack_refs (spec->dependencies);
+  json_object_set_new (row, "awaits", json_string (dependencies));
   return row;
 }
 
@@ -361,7 +361,7 @@
   if (!ft_field_is_null (v, "sent") && !ft_field_count (v, "sent", 0, tasks, &sent))
     return NULL;
   /* A job is never started before those that it needs because they could not be read. */
-  if (!ft_field_is_null (v, "awaits") && !unpack_refs (json_object_get (v, "awaits"), &spec->awaits))
+  if (!ft_field_is_null (v, "awaits") && !unpack_refs (json_object_get (v, "awaits"), &spec->dependencies))
     return NULL;
   spec->dispatch_watermark = (guint) sent;
   spec->kind = (FtJobKind) kind;
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -65,8 +65,8 @@
 gboolean ft_row_lease_parse (const GArray *rows, FtLeaseRows *out);
 /* A job's own row. */
 typedef struct {
-  gboolean open, has_needs; /* has_needs: of an open one */
-  FtJobEnd end;             /* if it is not open */
+  gboolean open, has_dependencies; /* has_dependencies: of an open one */
+  FtJobEnd end;                    /* if it is not open */
   guint tasks;
   gint64 ended_wall_ms; /* 0: open, or its row is of an older version */
 } FtJobRow;
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -461,12 +461,12 @@
 
 // A job that needs others.
 inline json_t *
-job_after (const char *ref, std::vector<std::string> needs, int tasks = 1)
+job_after (const char *ref, std::vector<std::string> dependencies, int tasks = 1)
 {
-  json_t *body = job (ref, tasks), *awaits = json_array ();
-  for (const std::string &need : needs)
-    json_array_append_new (awaits, json_string (need.c_str ()));
-  json_object_set_new (body, "awaits", awaits);
+  json_t *body = job (ref, tasks), *refs = json_array ();
+  for (const std::string &dependency : dependencies)
+    json_array_append_new (refs, json_string (dependency.c_str ()));
+  json_object_set_new (body, "awaits", refs);
   return body;
 }
 
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -23,8 +23,8 @@
 bool
 Checker::needs_done (const Job &job) const
 {
-  return std::all_of (job.needs.begin (), job.needs.end (), [&] (const std::string &need) {
-    const Job &before = jobs_.at (need);
+  return std::all_of (job.dependencies.begin (), job.dependencies.end (), [&] (const std::string &dependency) {
+    const Job &before = jobs_.at (dependency);
     return before.done.size () == before.tasks;
   });
 }
@@ -32,16 +32,16 @@
 const Checker::Job *
 Checker::any_before (const Job &job, std::function<bool (const Job &)> reserved) const
 {
-  std::vector<std::string> todo = job.needs;
+  std::vector<std::string> todo = job.dependencies;
   std::set<std::string> seen (todo.begin (), todo.end ());
   while (!todo.empty ()) {
     const Job &before = jobs_.at (todo.back ());
     todo.pop_back ();
     if (reserved (before))
       return &before;
-    for (const std::string &need : before.needs)
-      if (seen.insert (need).second)
-        todo.push_back (need);
+    for (const std::string &dependency : before.dependencies)
+      if (seen.insert (dependency).second)
+        todo.push_back (dependency);
   }
   return nullptr;
 }
@@ -213,8 +213,8 @@
 Checker::ready (const Job &job) const
 {
   Time at = job.submitted;
-  for (const std::string &need : job.needs)
-    at = std::max (at, jobs_.at (need).last_done);
+  for (const std::string &dependency : job.dependencies)
+    at = std::max (at, jobs_.at (dependency).last_done);
   return at;
 }
 
--- a/tests/sim/day.hpp
+++ b/tests/sim/day.hpp
@@ -39,19 +39,20 @@
     world.at (30 * kSecond, [this] { world.poll ("req-999"); });
   }
   bool
-  accepted (const std::vector<std::string> &needs) const
+  accepted (const std::vector<std::string> &dependencies) const
   {
-    return std::all_of (needs.begin (), needs.end (), [this] (const std::string &need) {
-      auto it = world.checker->jobs ().find (need);
+    return std::all_of (dependencies.begin (), dependencies.end (), [this] (const std::string &dependency) {
+      auto it = world.checker->jobs ().find (dependency);
       return it != world.checker->jobs ().end () && it->second.accepted;
     });
   }
   bool
-  over (const std::vector<std::string> &needs) const
+  over (const std::vector<std::string> &dependencies) const
   {
-    return accepted (needs) && std::all_of (needs.begin (), needs.end (), [this] (const std::string &need) {
-             return !world.checker->jobs ().at (need).final_told.empty ();
-           });
+    return accepted (dependencies)
+           && std::all_of (dependencies.begin (), dependencies.end (), [this] (const std::string &dependency) {
+                return !world.checker->jobs ().at (dependency).final_told.empty ();
+              });
   }
   void
   poll_until_end (const std::string &ref, Time from, Time every)
@@ -62,14 +63,15 @@
   // Submits the job once those that it needs are accepted (or over, if `late`), and calls it
   // off a while later, if `cancel`.
   void
-  submit_step (Time when, const std::string &ref, std::vector<std::string> needs, guint tasks, bool late, bool cancel)
+  submit_step (Time when, const std::string &ref, std::vector<std::string> dependencies, guint tasks, bool late,
+               bool cancel)
   {
-    world.at (when, [this, ref, needs, tasks, late, cancel] {
-      if (late ? !over (needs) : !accepted (needs)) {
-        submit_step (world.now + kSecond / 3, ref, needs, tasks, late, cancel);
+    world.at (when, [this, ref, dependencies, tasks, late, cancel] {
+      if (late ? !over (dependencies) : !accepted (dependencies)) {
+        submit_step (world.now + kSecond / 3, ref, dependencies, tasks, late, cancel);
         return;
       }
-      world.submit (ref, tasks, 1 + world.below (2), world.uniform (2, 15), "red", false, false, true, needs);
+      world.submit (ref, tasks, 1 + world.below (2), world.uniform (2, 15), "red", false, false, true, dependencies);
       late_steps += late;
       poll_until_end (ref, world.now + 4 * kSecond, 7 * kSecond);
       if (cancel)
--- a/tests/sim/node.cpp
+++ b/tests/sim/node.cpp
@@ -88,7 +88,7 @@
       world_.deliver ("store", name (), [finish, answer, body] { finish (answer.first, body); });
     });
   });
-  later ((Time) (FT_STATE_TIMEOUT_S * kSecond), [finish] { finish (0, nullptr); });
+  later ((Time) (FT_STORE_TIMEOUT_S * kSecond), [finish] { finish (0, nullptr); });
 }
 
 bool
@@ -115,7 +115,7 @@
       world_.late_applied += status == 200;
       json_decref (body);
     });
-    later ((Time) (FT_STATE_TIMEOUT_S * kSecond), [finish = once (reply)] { finish (0, nullptr); });
+    later ((Time) (FT_STORE_TIMEOUT_S * kSecond), [finish = once (reply)] { finish (0, nullptr); });
     return;
   }
   // Carried out at once, and only the answer is lost.
@@ -123,7 +123,7 @@
     auto [status, body] = world_.store.commit (owned.get (), world_.now);
     world_.answers_lost += status == 200;
     json_decref (body);
-    later ((Time) (FT_STATE_TIMEOUT_S * kSecond), [finish = once (reply)] { finish (0, nullptr); });
+    later ((Time) (FT_STORE_TIMEOUT_S * kSecond), [finish = once (reply)] { finish (0, nullptr); });
     return;
   }
   ask_store ([this, owned] { return world_.store.commit (owned.get (), world_.now); }, reply);
@@ -156,7 +156,7 @@
   later ((Time) ((FT_WATCH_S + FT_WATCH_SLACK_S) * kSecond), [finish] { finish (0, nullptr); });
 }
 
-// What it has committed itself its own scheduler hears at once, the others by the mesh.
+// What it has committed itself its own scheduler hears at once, the others by the peers.
 void
 Node::confirmed (const std::string &ref)
 {
@@ -490,7 +490,7 @@
 
 // The ends of needed jobs that are not among the open ones.
 void
-Node::read_needs ()
+Node::read_dependencies ()
 {
   while (const char *next = ft_scheduler_next_unread_job (scheduler_.get (), clock ())) {
     std::string ref = next;
@@ -658,7 +658,7 @@
     return;
   ft_scheduler_place (scheduler_.get (), clock (), ft_lease_may_start (lease_.get (), clock ()));
   commit_batch ();
-  read_needs ();
+  read_dependencies ();
   send_directs ();
   call_cloud ();
 }
@@ -686,7 +686,7 @@
 
 void
 World::submit (const std::string &ref, guint tasks, double cpus, double run, const std::string &team, bool one_zone,
-               bool spread, bool spot, std::vector<std::string> needs)
+               bool spread, bool spot, std::vector<std::string> dependencies)
 {
   Checker::Job job;
   job.submitted = now;
@@ -697,7 +697,7 @@
   job.spot = spot;
   job.one_zone = one_zone;
   job.spread = spread;
-  job.needs = needs;
+  job.dependencies = dependencies;
   checker->submitted (ref, job);
   run_s[ref] = run;
   FtJobSpec spec{};
@@ -716,11 +716,11 @@
   spec.estimate_s = run;
   spec.deadline_s = run * 3;
   spec.submitted_wall_ms = now / 1000;
-  std::vector<char *> awaits;
-  for (const std::string &need : needs)
-    awaits.push_back ((char *) need.c_str ());
-  awaits.push_back (nullptr);
-  spec.awaits = needs.empty () ? nullptr : awaits.data ();
+  std::vector<char *> refs;
+  for (const std::string &dependency : dependencies)
+    refs.push_back ((char *) dependency.c_str ());
+  refs.push_back (nullptr);
+  spec.dependencies = dependencies.empty () ? nullptr : refs.data ();
   std::shared_ptr<json_t> txn (ft_txn_new (), json_decref);
   g_autofree char *key = ft_key_job (ref.c_str ()), *open = ft_key_open (ref.c_str ());
   ft_txn_if (txn.get (), key, 0);
@@ -731,14 +731,14 @@
   ft_txn_put (over.get (), key, ft_row_job_ended (FT_JOB_END_CANCELLED, tasks, now / 1000));
   auto attempt = std::make_shared<std::function<void ()> > ();
   std::weak_ptr<std::function<void ()> > weak = attempt;
-  *attempt = [this, txn, over, ref, weak, needs] {
+  *attempt = [this, txn, over, ref, weak, dependencies] {
     auto again = weak.lock ();
     if (store.down || chance (0.1)) {
       after (kSecond, [again] { (*again) (); });
       return;
     }
-    bool cancelled = std::any_of (needs.begin (), needs.end (),
-                                  [this] (const std::string &need) { return cancelled_before (need); });
+    bool cancelled = std::any_of (dependencies.begin (), dependencies.end (),
+                                  [this] (const std::string &dependency) { return cancelled_before (dependency); });
     auto [status, body] = store.commit (cancelled ? over.get () : txn.get (), now);
     json_decref (body);
     if (chance (0.05))
@@ -764,7 +764,7 @@
     tell (ref);
 }
 
-// What src/net/lineage.c finds in the rows: something before the job is cancelled.
+// What src/net/ancestors.c finds in the rows: something before the job is cancelled.
 bool
 World::cancelled_before (const std::string &ref) const
 {
@@ -782,12 +782,12 @@
     json_decref (body);
     if (read && !state.open && state.end == FT_JOB_END_CANCELLED)
       return true;
-    if (!read || !state.open || !state.has_needs)
+    if (!read || !state.open || !state.has_dependencies)
       continue;
     auto [code, row] = store.get (open);
     g_autoptr (FtJobSpec) spec = code == 200 ? ft_row_open_parse (at.c_str (), json_object_get (row, "data")) : nullptr;
-    for (guint i = 0; spec != nullptr && spec->awaits != nullptr && spec->awaits[i] != nullptr; i++)
-      todo.push_back (spec->awaits[i]);
+    for (guint i = 0; spec != nullptr && spec->dependencies != nullptr && spec->dependencies[i] != nullptr; i++)
+      todo.push_back (spec->dependencies[i]);
     json_decref (row);
   }
   return false;
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -34,8 +34,8 @@
     double cpus = 0;
     guint tasks = 0;
     bool spot = true, one_zone = false, spread = false;
-    std::string zone;               // empty: any
-    std::vector<std::string> needs; // jobs that must be done before it
+    std::string zone;                      // empty: any
+    std::vector<std::string> dependencies; // jobs that must be done before it
     std::set<guint> done;
     Time last_done = 0; // when its last task completed
     bool accepted = false, cancel_asked = false;
@@ -303,7 +303,7 @@
   }
 
   void submit (const std::string &ref, guint tasks, double cpus, double run_s, const std::string &team, bool one_zone,
-               bool spread, bool spot, std::vector<std::string> needs = {});
+               bool spread, bool spot, std::vector<std::string> dependencies = {});
   void cancel (const std::string &ref);
   void poll (const std::string &ref);
   // A submission that can never run, or lacks a field; true: it was accepted.
@@ -474,7 +474,7 @@
   void commit_batch ();
   void resolve_batch (std::shared_ptr<GPtrArray> writes, guint64 batch);
   void batch_done (std::shared_ptr<GPtrArray> writes, bool applied, const char *conflicted);
-  void read_needs ();
+  void read_dependencies ();
   void send_directs ();
   void call_cloud ();
   void cancellations_known (Time at);
--- a/tests/test_dependency.cpp
+++ b/tests/test_dependency.cpp
@@ -16,38 +16,38 @@
 class Graph : public testing::Test {
 protected:
   std::set<std::string> changed;
-  FtDependencies *graph
-      = ft_dependencies_new ([] (const char *ref, gpointer data) { ((Graph *) data)->changed.insert (ref); }, this);
-  ~Graph () override { ft_dependencies_free (graph); }
+  FtDependencyGraph *graph
+      = ft_dependency_graph_new ([] (const char *ref, gpointer data) { ((Graph *) data)->changed.insert (ref); }, this);
+  ~Graph () override { ft_dependency_graph_free (graph); }
   void
-  add (const std::string &ref, std::vector<std::string> needs = {}, FtUrgency own = { FT_PRIORITY_LOW, 0 },
+  add (const std::string &ref, std::vector<std::string> dependencies = {}, FtUrgency own = { FT_PRIORITY_LOW, 0 },
        bool cancelled = false)
   {
     std::vector<const char *> list;
-    for (const std::string &need : needs)
-      list.push_back (need.c_str ());
+    for (const std::string &dependency : dependencies)
+      list.push_back (dependency.c_str ());
     list.push_back (nullptr);
-    ft_dependencies_add (graph, ref.c_str (), list.data (), cancelled, &own);
+    ft_dependency_graph_add (graph, ref.c_str (), list.data (), cancelled, &own);
   }
   void
   done (const std::string &ref, gint64 at = 5)
   {
-    ft_dependencies_settled (graph, ref.c_str (), FT_JOB_END_DONE, at);
+    ft_dependency_graph_settle (graph, ref.c_str (), FT_JOB_END_DONE, at);
   }
   void
   cancelled (const std::string &ref)
   {
-    ft_dependencies_settled (graph, ref.c_str (), FT_JOB_END_CANCELLED, 5);
+    ft_dependency_graph_settle (graph, ref.c_str (), FT_JOB_END_CANCELLED, 5);
   }
   FtWait
   wait (const std::string &ref)
   {
-    return ft_dependencies_wait (graph, ref.c_str ());
+    return ft_dependency_graph_wait (graph, ref.c_str ());
   }
   const FtUrgency &
   urgency (const std::string &ref)
   {
-    return *ft_dependencies_urgency (graph, ref.c_str ());
+    return *ft_dependency_graph_urgency (graph, ref.c_str ());
   }
 };
 
@@ -64,7 +64,7 @@
   done ("b", 6);
   EXPECT_EQ (wait ("c"), FT_WAIT_NONE);
   EXPECT_EQ (changed.count ("c"), 1u);
-  EXPECT_EQ (ft_dependencies_met_at (graph, "c"), 7) << "the last of them counts";
+  EXPECT_EQ (ft_dependency_graph_met_at (graph, "c"), 7) << "the last of them counts";
 }
 
 TEST_F (Graph, ADiamondWaitsForBothSidesAndIsCancelledOnce)
@@ -129,16 +129,16 @@
 {
   add ("c", { "a", "b" });
   std::set<std::string> named;
-  while (const char *ref = ft_dependencies_next_unread (graph, 100, 50))
+  while (const char *ref = ft_dependency_graph_next_unread (graph, 100, 50))
     ASSERT_TRUE (named.insert (ref).second);
   EXPECT_EQ (named, (std::set<std::string>{ "a", "b" }));
-  EXPECT_EQ (ft_dependencies_next_unread (graph, 149, 50), nullptr);
+  EXPECT_EQ (ft_dependency_graph_next_unread (graph, 149, 50), nullptr);
   add ("a"); // it has come by the watch
   done ("b");
-  EXPECT_EQ (ft_dependencies_next_unread (graph, 200, 50), nullptr);
+  EXPECT_EQ (ft_dependency_graph_next_unread (graph, 200, 50), nullptr);
   EXPECT_EQ (wait ("c"), FT_WAIT_OTHERS);
   add ("e", { "f" });
-  EXPECT_STREQ (ft_dependencies_next_unread (graph, 200, 50), "f") << "a new one does not wait for others' turns";
+  EXPECT_STREQ (ft_dependency_graph_next_unread (graph, 200, 50), "f") << "a new one does not wait for others' turns";
 }
 
 TEST_F (Graph, AJobIsAsUrgentAsWhatNeedsIt)
@@ -161,11 +161,11 @@
 // ---- a scheduler with it ----
 
 FtJobSpec *
-waiting_spec (const char *ref, std::vector<const char *> needs, guint tasks = 1)
+waiting_spec (const char *ref, std::vector<const char *> dependencies, guint tasks = 1)
 {
   FtJobSpec *s = spec (ref, tasks);
-  needs.push_back (nullptr);
-  s->awaits = g_strdupv ((char **) needs.data ());
+  dependencies.push_back (nullptr);
+  s->dependencies = g_strdupv ((char **) dependencies.data ());
   s->dispatch_watermark = 0;
   s->estimate_s = 10;
   return s;
@@ -267,7 +267,7 @@
   EXPECT_EQ (p.job ("req-2"), nullptr);
   FtJob *later = p.add (waiting_spec ("req-4", { "req-3" }), 104 * kS, 9);
   ASSERT_NE (later, nullptr);
-  EXPECT_TRUE (later->needs_cancelled) << "submitted after the cancellation";
+  EXPECT_TRUE (later->dependency_cancelled) << "submitted after the cancellation";
 }
 
 // Cancelled by its own user in the same instant: one of the two commits wins.
@@ -306,7 +306,7 @@
   ft_scheduler_job_end_read (b.s, "req-3", FT_JOB_END_DONE, 0, 101 * kS);
   EXPECT_EQ (b.job ("req-2")->state, FT_JOB_WAITING) << "an open job's end comes by its own write";
   ft_scheduler_job_cancelled (b.s, "req-3", 0, 102 * kS);
-  EXPECT_TRUE (b.job ("req-2")->needs_cancelled);
+  EXPECT_TRUE (b.job ("req-2")->dependency_cancelled);
 }
 
 TEST (Waiting, TimesCountFromTheEndOfTheLastNeedAfterATakeoverToo)
@@ -359,7 +359,7 @@
   json_t *row = ft_row_open (job);
   g_autoptr (FtJobSpec) back = ft_row_open_parse ("req-1", row);
   ASSERT_NE (back, nullptr);
-  EXPECT_TRUE (g_strv_equal ((const char *const *) back->awaits, (const char *const *) job->awaits));
+  EXPECT_TRUE (g_strv_equal ((const char *const *) back->dependencies, (const char *const *) job->dependencies));
   json_object_set_new (row, "awaits", json_string ("no/ref"));
   EXPECT_EQ (ft_row_open_parse ("req-1", row), nullptr) << "never started because its needs cannot be read";
   json_decref (row);
@@ -379,7 +379,7 @@
   FtJobRow state;
   json_t *open = ft_row_job_open (job), *done = ft_row_job_ended (FT_JOB_END_DONE, 3, 77);
   ASSERT_TRUE (ft_row_job_parse (open, &state));
-  EXPECT_TRUE (state.open && state.has_needs && state.tasks == 3);
+  EXPECT_TRUE (state.open && state.has_dependencies && state.tasks == 3);
   ASSERT_TRUE (ft_row_job_parse (done, &state));
   EXPECT_TRUE (!state.open && state.end == FT_JOB_END_DONE && state.ended_wall_ms == 77);
   json_object_set_new (done, "state", json_string ("gone"));
@@ -390,10 +390,10 @@
 
 TEST (Waiting, AListOfNeedsIsCheckedWhole)
 {
-  auto job = [] (const char *awaits) {
+  auto job = [] (const char *dependencies) {
     std::string text = R"({"ref":"req-1","lane":"c","crew":"red","shape":"array","urgency":"high","pieces":1,"cores":1.0,
       "cards":0.0,"mem_gb":1.0,"bundle":"i","pull_gb":1.0,"one_zone":false,"apart":false,"loaners":true,"guess_s":1.0,
-      "bookmark_s":0.0,"shelve_s":0.0,"awaits":)" + std::string (awaits)
+      "bookmark_s":0.0,"shelve_s":0.0,"awaits":)" + std::string (dependencies)
                        + "}";
     json_t *body = json_loads (text.c_str (), 0, nullptr);
     FtJobSpec *spec = ft_message_job (body);
@@ -408,11 +408,11 @@
   for (const char *nothing : { "null", "[]" }) {
     g_autoptr (FtJobSpec) spec = job (nothing);
     ASSERT_NE (spec, nullptr) << nothing;
-    EXPECT_EQ (spec->awaits, nullptr);
+    EXPECT_EQ (spec->dependencies, nullptr);
   }
   g_autoptr (FtJobSpec) twice = job ("[\"req-2\",\"req-3\",\"req-2\"]");
   ASSERT_NE (twice, nullptr);
-  EXPECT_EQ (g_strv_length (twice->awaits), 2u);
+  EXPECT_EQ (g_strv_length (twice->dependencies), 2u);
 }
 
 } // namespace
--- a/tests/test_fuzz.cpp
+++ b/tests/test_fuzz.cpp
@@ -10,7 +10,7 @@
 #include "config.h"
 #include "wire/cbor.h"
 #include "wire/cloud.h"
-#include "wire/heartbeat.h"
+#include "wire/peer_heartbeat.h"
 #include "wire/messages.h"
 #include "wire/store.h"
 }
@@ -117,11 +117,11 @@
 void
 fuzz_heartbeat (const json_t *body)
 {
-  g_autoptr (FtHeartbeat) beat = ft_heartbeat_parse (body);
-  if (beat == nullptr)
+  g_autoptr (FtPeerHeartbeat) heartbeat = ft_peer_heartbeat_parse (body);
+  if (heartbeat == nullptr)
     return;
-  json_t *again = ft_heartbeat_body (beat);
-  g_autoptr (FtHeartbeat) same = ft_heartbeat_parse (again);
+  json_t *again = ft_peer_heartbeat_body (heartbeat);
+  g_autoptr (FtPeerHeartbeat) same = ft_peer_heartbeat_parse (again);
   EXPECT_NE (same, nullptr) << "what was read can be sent";
   json_decref (again);
 }
--- a/tests/test_pipelines.cpp
+++ b/tests/test_pipelines.cpp
@@ -104,7 +104,7 @@
   Day day (GetParam () + 5500, 4);
   day.world.settings.value_kb = 2;
   day.world.settings.txn_ops = 4;
-  day.world.settings.state_write_rps = 28;
+  day.world.settings.store_write_rps = 28;
   day.upgrade (50 * kSecond, 12 * kSecond, 95 * kSecond);
   day.load ();
   day.load_long (12, 20, 30);
@@ -132,9 +132,9 @@
     job.team = "red";
     job.tasks = 1;
     checker.submitted ("req-1", job);
-    job.needs = { "req-1" };
+    job.dependencies = { "req-1" };
     checker.submitted ("req-2", job);
-    job.needs = { "req-2" };
+    job.dependencies = { "req-2" };
     checker.submitted ("req-3", job);
   }
   bool
--- a/tests/test_program.cpp
+++ b/tests/test_program.cpp
@@ -136,8 +136,8 @@
   std::string long_text (70000, 'x');
   json_t *starved = json_pack ("{s:s, s:s}", "member", "hearth-1", "more", long_text.c_str ());
   EXPECT_EQ (call ("POST", c.mesh[0], "/mesh/beat", starved, FT_BODY_JSON)->status, 400u);
-  json_t *beat = json_pack ("{s:s, s:i}", "member", "hearth-1", "served_ms_ago", 1);
-  EXPECT_EQ (call ("POST", c.mesh[0], "/mesh/beat", beat, FT_BODY_JSON)->status, 200u);
+  json_t *heartbeat = json_pack ("{s:s, s:i}", "member", "hearth-1", "served_ms_ago", 1);
+  EXPECT_EQ (call ("POST", c.mesh[0], "/mesh/beat", heartbeat, FT_BODY_JSON)->status, 200u);
 
   // Settings: what is refused, and why.
   EXPECT_EQ (put (other, json_string ("no map"))->status, 400u);
@@ -304,8 +304,8 @@
     json_pack ("{s:s, s:s}", "member", peer.c_str (), "yields", "yes"),
     json_pack ("{s:s}", "member", "hearth-9"),
   };
-  for (json_t *beat : beats)
-    EXPECT_EQ (call ("POST", c.mesh[leader], "/mesh/beat", beat, FT_BODY_JSON)->status, 400u);
+  for (json_t *heartbeat : beats)
+    EXPECT_EQ (call ("POST", c.mesh[leader], "/mesh/beat", heartbeat, FT_BODY_JSON)->status, 400u);
   EXPECT_EQ (counted ("malformed_peers"), (json_int_t) beats.size ());
 
   services.garbled = true;
--- a/tests/test_random_runs.cpp
+++ b/tests/test_random_runs.cpp
@@ -206,7 +206,7 @@
   day.world.worker_step = kSecond;
   day.world.settings.value_kb = 2;
   day.world.settings.txn_ops = 5;
-  day.world.settings.state_write_rps = 42;
+  day.world.settings.store_write_rps = 42;
   day.world.store.limit (2, 5, 0);
   for (int i = 0; i < 3; i++)
     day.crash ((40 + 15 * i) * kSecond, i);
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -5,7 +5,7 @@
 #include "scheduler_harness.hpp"
 
 extern "C" {
-#include "wire/heartbeat.h"
+#include "wire/peer_heartbeat.h"
 #include "wire/store.h"
 }
 
@@ -90,7 +90,7 @@
 {
   FtJobRow state;
   ASSERT_TRUE (ft_row_job_parse (row ("j/req-3"), &state));
-  EXPECT_TRUE (state.open && !state.has_needs);
+  EXPECT_TRUE (state.open && !state.has_dependencies);
   ASSERT_TRUE (ft_row_job_parse (row ("j/req-8"), &state));
   EXPECT_TRUE (!state.open && state.end == FT_JOB_END_CANCELLED && state.ended_wall_ms == 0);
   g_autoptr (GArray) rows = g_array_new (FALSE, TRUE, sizeof (FtRow));
@@ -112,18 +112,18 @@
 TEST (Records, AHeartbeatOfAnOlderVersionIsToldFromANewOne)
 {
   json_t *old_body = parse ("{\"member\":\"hearth-1\",\"served_ms_ago\":5,\"token\":3,\"jobs\":{\"req-1\":[1,2]}}");
-  g_autoptr (FtHeartbeat) old_beat = ft_heartbeat_parse (old_body);
+  g_autoptr (FtPeerHeartbeat) old_beat = ft_peer_heartbeat_parse (old_body);
   ASSERT_NE (old_beat, nullptr);
-  EXPECT_FALSE (old_beat->knows_needs);
+  EXPECT_FALSE (old_beat->supports_dependencies);
   json_decref (old_body);
-  g_autoptr (FtHeartbeat) beat = ft_heartbeat_new ("hearth-1");
-  beat->knows_needs = TRUE;
-  json_t *body = ft_heartbeat_body (beat);
-  g_autoptr (FtHeartbeat) back = ft_heartbeat_parse (body);
+  g_autoptr (FtPeerHeartbeat) heartbeat = ft_peer_heartbeat_new ("hearth-1");
+  heartbeat->supports_dependencies = TRUE;
+  json_t *body = ft_peer_heartbeat_body (heartbeat);
+  g_autoptr (FtPeerHeartbeat) back = ft_peer_heartbeat_parse (body);
   ASSERT_NE (back, nullptr);
-  EXPECT_TRUE (back->knows_needs);
+  EXPECT_TRUE (back->supports_dependencies);
   json_object_set_new (body, "knows_needs", json_integer (1));
-  EXPECT_EQ (ft_heartbeat_parse (body), nullptr);
+  EXPECT_EQ (ft_peer_heartbeat_parse (body), nullptr);
   json_decref (body);
 }
 
