--- a/src/config.c
+++ b/src/config.c
@@ -65,7 +65,7 @@
 }
 
 static gboolean
-read_peers (const json_t *root, FtConfig *c, GError **error)
+read_peers (const json_t *root, FtConfig *config, GError **error)
 {
   const json_t *list = section (root, "", "others", TRUE, error);
   if (list == NULL)
@@ -74,8 +74,8 @@
     const json_t *item = json_array_get (list, i);
     g_autofree char *where = g_strdup_printf ("others[%zu]", i);
     FtPeer none = { 0 };
-    g_array_append_val (c->peers, none);
-    FtPeer *peer = &g_array_index (c->peers, FtPeer, i);
+    g_array_append_val (config->peers, none);
+    FtPeer *peer = &g_array_index (config->peers, FtPeer, i);
     if (!text (item, where, "member", &peer->member, error) || !address (item, where, "peer_addr", &peer->addr, error))
       return FALSE;
   }
@@ -83,17 +83,17 @@
 }
 
 static gboolean
-read_teams (const json_t *params, FtConfig *c, GError **error)
+read_teams (const json_t *params, FtConfig *config, GError **error)
 {
   const json_t *list = section (params, "settings", "teams", TRUE, error);
   if (list == NULL)
     return FALSE;
-  c->core.n_teams = (guint) json_array_size (list);
-  c->core.teams = g_new0 (FtTeamLimit, c->core.n_teams);
-  for (guint i = 0; i < c->core.n_teams; i++) {
+  config->core.n_teams = (guint) json_array_size (list);
+  config->core.teams = g_new0 (FtTeamLimit, config->core.n_teams);
+  for (guint i = 0; i < config->core.n_teams; i++) {
     const json_t *item = json_array_get (list, i);
     g_autofree char *where = g_strdup_printf ("settings.teams[%u]", i);
-    FtTeamLimit *team = &c->core.teams[i];
+    FtTeamLimit *team = &config->core.teams[i];
     if (!text (item, where, "name", &team->name, error) || !amount (item, where, "cpus", 0, &team->cpus, error)
         || !amount (item, where, "cpus_max", 0, &team->cpus_max, error)
         || !amount (item, where, "gpus", 0, &team->gpus, error)
@@ -126,42 +126,43 @@
 }
 
 static gboolean
-read_store_limits (const json_t *state, FtSettings *s, GError **error)
+read_store_limits (const json_t *state, FtSettings *settings, GError **error)
 {
-  if (!amount (state, "settings.state", "rps", FT_STORE_RPS_MIN, &s->store_rps, error)
-      || !amount (state, "settings.state", "write_rps", FT_STORE_RPS_MIN, &s->store_write_rps, error)
-      || !amount (state, "settings.state", "value_kb", FT_VALUE_KB_MIN, &s->value_kb, error)
-      || !whole (state, "settings.state", "txn_ops", FT_TXN_OPS_MIN, &s->txn_ops, error))
+  if (!amount (state, "settings.state", "rps", FT_STORE_RPS_MIN, &settings->store_rps, error)
+      || !amount (state, "settings.state", "write_rps", FT_STORE_RPS_MIN, &settings->store_write_rps, error)
+      || !amount (state, "settings.state", "value_kb", FT_VALUE_KB_MIN, &settings->value_kb, error)
+      || !whole (state, "settings.state", "txn_ops", FT_TXN_OPS_MIN, &settings->txn_ops, error))
     return FALSE;
   if (ft_field_is_null (state, "next"))
     return TRUE;
   const json_t *next = section (state, "settings.state", "next", FALSE, error);
-  return next != NULL && lower_amount (next, "rps", FT_STORE_RPS_MIN, &s->store_rps, error)
-         && lower_amount (next, "write_rps", FT_STORE_RPS_MIN, &s->store_write_rps, error)
-         && lower_amount (next, "value_kb", FT_VALUE_KB_MIN, &s->value_kb, error)
-         && lower_whole (next, "txn_ops", FT_TXN_OPS_MIN, &s->txn_ops, error);
+  return next != NULL && lower_amount (next, "rps", FT_STORE_RPS_MIN, &settings->store_rps, error)
+         && lower_amount (next, "write_rps", FT_STORE_RPS_MIN, &settings->store_write_rps, error)
+         && lower_amount (next, "value_kb", FT_VALUE_KB_MIN, &settings->value_kb, error)
+         && lower_whole (next, "txn_ops", FT_TXN_OPS_MIN, &settings->txn_ops, error);
 }
 
 static gboolean
-read_params (const json_t *root, FtConfig *c, GError **error)
+read_params (const json_t *root, FtConfig *config, GError **error)
 {
   const json_t *params = section (root, "", "settings", FALSE, error);
   const json_t *workers = params ? section (params, "settings", "workers", FALSE, error) : NULL;
   const json_t *state = workers ? section (params, "settings", "state", FALSE, error) : NULL;
   const json_t *cloud = state ? section (params, "settings", "cloud", FALSE, error) : NULL;
   const json_t *limits = cloud ? section (params, "settings", "resources", FALSE, error) : NULL;
-  FtSettings *s = &c->core;
-  return limits != NULL && whole (params, "settings", "size", 1, &s->size, error)
-         && amount (params, "settings", "skew_ms", 0, &c->clock_off_ms, error)
-         && amount (workers, "settings.workers", "report_s", 0.01, &s->heartbeat_s, error)
-         && amount (workers, "settings.workers", "lease_s", 0.1, &s->lease_s, error)
-         && amount (workers, "settings.workers", "cancel_s", 0.1, &s->cancel_s, error)
-         && read_store_limits (state, s, error) && amount (cloud, "settings.cloud", "rps", 0.01, &s->cloud_rps, error)
-         && amount (cloud, "settings.cloud", "list_lag_s", 0, &s->list_lag_s, error)
-         && amount (limits, "settings.resources", "cpu_share", 0.0001, &c->cpu_share, error)
-         && amount (limits, "settings.resources", "ram_mb", 1, &c->memory_mb, error)
-         && whole (limits, "settings.resources", "fd_limit", 16, &c->max_connections, error)
-         && read_teams (params, c, error);
+  FtSettings *settings = &config->core;
+  return limits != NULL && whole (params, "settings", "size", 1, &settings->size, error)
+         && amount (params, "settings", "skew_ms", 0, &config->clock_off_ms, error)
+         && amount (workers, "settings.workers", "report_s", 0.01, &settings->heartbeat_s, error)
+         && amount (workers, "settings.workers", "lease_s", 0.1, &settings->lease_s, error)
+         && amount (workers, "settings.workers", "cancel_s", 0.1, &settings->cancel_s, error)
+         && read_store_limits (state, settings, error)
+         && amount (cloud, "settings.cloud", "rps", 0.01, &settings->cloud_rps, error)
+         && amount (cloud, "settings.cloud", "list_lag_s", 0, &settings->list_lag_s, error)
+         && amount (limits, "settings.resources", "cpu_share", 0.0001, &config->cpu_share, error)
+         && amount (limits, "settings.resources", "ram_mb", 1, &config->memory_mb, error)
+         && whole (limits, "settings.resources", "fd_limit", 16, &config->max_connections, error)
+         && read_teams (params, config, error);
 }
 
 FtConfig *
@@ -199,22 +200,22 @@
 }
 
 void
-ft_config_free (FtConfig *c)
+ft_config_free (FtConfig *config)
 {
-  if (c == NULL)
+  if (config == NULL)
     return;
-  for (guint i = 0; i < c->peers->len; i++) {
-    g_free (g_array_index (c->peers, FtPeer, i).member);
-    g_free (g_array_index (c->peers, FtPeer, i).addr);
+  for (guint i = 0; i < config->peers->len; i++) {
+    g_free (g_array_index (config->peers, FtPeer, i).member);
+    g_free (g_array_index (config->peers, FtPeer, i).addr);
   }
-  g_array_unref (c->peers);
-  for (guint i = 0; i < c->core.n_teams; i++)
-    g_free (c->core.teams[i].name);
-  g_free (c->core.teams);
-  g_free (c->member);
-  g_free (c->listen);
-  g_free (c->peer_listen);
-  g_free (c->cloud_addr);
-  g_free (c->store_addr);
-  g_free (c);
+  g_array_unref (config->peers);
+  for (guint i = 0; i < config->core.n_teams; i++)
+    g_free (config->core.teams[i].name);
+  g_free (config->core.teams);
+  g_free (config->member);
+  g_free (config->listen);
+  g_free (config->peer_listen);
+  g_free (config->cloud_addr);
+  g_free (config->store_addr);
+  g_free (config);
 }
--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -30,16 +30,16 @@
 }
 
 static FtPool *
-get_pool (FtScheduler *s, const char *type, const char *zone, gboolean spot)
+get_pool (FtScheduler *scheduler, const char *type, const char *zone, gboolean spot)
 {
   g_autofree char *key = g_strdup_printf ("%s/%s/%d", type, zone, spot);
-  FtPool *pool = g_hash_table_lookup (s->pools, key);
+  FtPool *pool = g_hash_table_lookup (scheduler->pools, key);
   if (pool == NULL) {
     pool = g_new0 (FtPool, 1);
     pool->type = g_intern_string (type);
     pool->zone = g_intern_string (zone);
     pool->spot = spot;
-    g_hash_table_insert (s->pools, g_steal_pointer (&key), pool);
+    g_hash_table_insert (scheduler->pools, g_steal_pointer (&key), pool);
   }
   return pool;
 }
@@ -68,12 +68,12 @@
 
 /* The allowed type on which a task of the job costs least. */
 static const FtMachineType *
-cheapest_type (const FtScheduler *s, const FtJobSpec *spec)
+cheapest_type (const FtScheduler *scheduler, const FtJobSpec *spec)
 {
   const FtMachineType *best = NULL;
   double best_price = INFINITY;
-  for (guint i = 0; i < s->catalog->types->len; i++) {
-    const FtMachineType *type = g_ptr_array_index (s->catalog->types, i);
+  for (guint i = 0; i < scheduler->catalog->types->len; i++) {
+    const FtMachineType *type = g_ptr_array_index (scheduler->catalog->types, i);
     guint n = per_machine (type, spec);
     if (n == 0 || (spec->types != NULL && !g_strv_contains ((const char *const *) spec->types, type->name)))
       continue;
@@ -107,35 +107,36 @@
 /* How many of a job's tasks one place can run after each other in time: what has
  * time until its deadline needs fewer machines. Urgent work waits for none. */
 static double
-waves (const FtScheduler *s, const FtJob *job, const FtMachineType *type)
+waves (const FtScheduler *scheduler, const FtJob *job, const FtMachineType *type)
 {
   const FtJobSpec *spec = job->spec;
   if (job->deadline_at == 0 || job->priority >= FT_PRIORITY_HIGH || spec->estimate_s <= 0)
     return 1;
-  double left = (double) (job->deadline_at - s->now) / FT_SECOND - spec->estimate_s - type->boot_s;
+  double left = (double) (job->deadline_at - scheduler->now) / FT_SECOND - spec->estimate_s - type->boot_s;
   return 1 + MAX (0, left) / spec->estimate_s;
 }
 
 static GArray *
-find_demand (FtScheduler *s)
+find_demand (FtScheduler *scheduler)
 {
   GArray *dependencies = g_array_new (FALSE, TRUE, sizeof (Demand));
-  guint n_teams = s->settings->n_teams;
+  guint n_teams = scheduler->settings->n_teams;
   g_autofree double *room = g_new0 (double, n_teams);
   for (guint t = 0; t < n_teams; t++)
-    room[t] = ft_team_limit (s->teams[t].limit->cpus_max) - s->teams[t].cpus;
-  for (guint i = 0; i < s->order->len; i++) {
-    const FtJob *job = g_ptr_array_index (s->order, i);
-    guint t = (guint) (job->team - s->teams);
+    room[t] = ft_team_limit (scheduler->teams[t].limit->cpus_max) - scheduler->teams[t].cpus;
+  for (guint i = 0; i < scheduler->order->len; i++) {
+    const FtJob *job = g_ptr_array_index (scheduler->order, i);
+    guint t = (guint) (job->team - scheduler->teams);
     double tasks = job->counts[FT_TASK_QUEUED];
     if (job->spec->cpus > 0)
       tasks = MIN (tasks, room[t] / job->spec->cpus);
-    const FtMachineType *type = tasks > 0 ? cheapest_type (s, job->spec) : NULL;
+    const FtMachineType *type = tasks > 0 ? cheapest_type (scheduler, job->spec) : NULL;
     if (type == NULL)
       continue;
     room[t] -= tasks * job->spec->cpus;
     add_demand (dependencies, type, job->spec->zone, job->spec->spot,
-                tasks / per_machine (type, job->spec) / waves (s, job, type), job->no_room_pass == s->pass);
+                tasks / per_machine (type, job->spec) / waves (scheduler, job, type),
+                job->no_room_pass == scheduler->pass);
   }
   // NOLINTNEXTLINE(clang-analyzer-unix.Malloc): freed by g_auto cleanup, which the analyzer does not follow
   return dependencies;
@@ -162,27 +163,27 @@
 } Supply;
 
 static Supply
-find_supply (FtScheduler *s, const Demand *dependency)
+find_supply (FtScheduler *scheduler, const Demand *dependency)
 {
   Supply supply = { 0 };
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, s->machines);
+  g_hash_table_iter_init (&it, scheduler->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtMachine *m = value;
-    if (m->type == NULL || (dependency != NULL && !serves (m, dependency)))
+    const FtMachine *machine = value;
+    if (machine->type == NULL || (dependency != NULL && !serves (machine, dependency)))
       continue;
-    if (m->state == FT_MACHINE_BOOTING) {
+    if (machine->state == FT_MACHINE_BOOTING) {
       /* Listed as running but never heard from: probably gone already. */
-      supply.booting += m->listed_running || m->zone_view->unreachable ? 0 : 1;
-    } else if (ft_machine_usable (s, m)) {
+      supply.booting += machine->listed_running || machine->zone_view->unreachable ? 0 : 1;
+    } else if (ft_machine_usable (scheduler, machine)) {
       supply.up += 1;
-      supply.free += free_share (m);
-      supply.in_use += 1 - free_share (m);
+      supply.free += free_share (machine);
+      supply.in_use += 1 - free_share (machine);
     }
   }
   /* Requests under way count as machines that will boot. */
-  g_hash_table_iter_init (&it, s->pools);
+  g_hash_table_iter_init (&it, scheduler->pools);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtPool *pool = value;
     if (dependency == NULL
@@ -194,24 +195,25 @@
 
 /* Share of what is in use to keep idle. */
 static double
-headroom (const FtScheduler *s)
+headroom (const FtScheduler *scheduler)
 {
   double boot = 0;
-  for (guint i = 0; i < s->catalog->types->len; i++)
-    boot = MAX (boot, ((const FtMachineType *) g_ptr_array_index (s->catalog->types, i))->boot_s);
-  return boot * s->tuning.headroom_per_boot_s;
+  for (guint i = 0; i < scheduler->catalog->types->len; i++)
+    boot = MAX (boot, ((const FtMachineType *) g_ptr_array_index (scheduler->catalog->types, i))->boot_s);
+  return boot * scheduler->tuning.headroom_per_boot_s;
 }
 
 static guint
-machines_in (const FtScheduler *s, const FtPool *pool)
+machines_in (const FtScheduler *scheduler, const FtPool *pool)
 {
   guint n = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, s->machines);
+  g_hash_table_iter_init (&it, scheduler->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtMachine *m = value;
-    n += m->spot == pool->spot && g_strcmp0 (m->zone, pool->zone) == 0 && g_strcmp0 (m->type_name, pool->type) == 0;
+    const FtMachine *machine = value;
+    n += machine->spot == pool->spot && g_strcmp0 (machine->zone, pool->zone) == 0
+         && g_strcmp0 (machine->type_name, pool->type) == 0;
   }
   return n;
 }
@@ -220,41 +222,41 @@
  * so that a wave that takes one zone's spot machines takes few of ours. */
 /* TRUE if one more spot machine keeps within the operators' share. */
 static gboolean
-spot_allowed (const FtScheduler *s)
+spot_allowed (const FtScheduler *scheduler)
 {
   guint spot = 0, all = 0;
   GHashTableIter it;
   gpointer value;
-  if (s->tuning.spot_share >= 1)
+  if (scheduler->tuning.spot_share >= 1)
     return TRUE;
-  g_hash_table_iter_init (&it, s->machines);
+  g_hash_table_iter_init (&it, scheduler->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtMachine *m = value;
-    if (m->state == FT_MACHINE_GONE || m->state == FT_MACHINE_TERMINATING)
+    const FtMachine *machine = value;
+    if (machine->state == FT_MACHINE_GONE || machine->state == FT_MACHINE_TERMINATING)
       continue;
     all++;
-    spot += m->spot;
+    spot += machine->spot;
   }
-  return spot + 1 <= s->tuning.spot_share * (all + 1);
+  return spot + 1 <= scheduler->tuning.spot_share * (all + 1);
 }
 
 static FtPool *
-best_pool (FtScheduler *s, const Demand *dependency)
+best_pool (FtScheduler *scheduler, const Demand *dependency)
 {
   FtPool *best = NULL;
   double best_cost = INFINITY;
-  gboolean spot_ok = dependency->spot && spot_allowed (s);
+  gboolean spot_ok = dependency->spot && spot_allowed (scheduler);
   for (guint z = 0; dependency->type->zones != NULL && dependency->type->zones[z] != NULL; z++) {
     const char *zone = dependency->type->zones[z];
     if (dependency->zone != NULL && g_strcmp0 (zone, dependency->zone) != 0)
       continue;
     for (int spot = spot_ok ? 1 : 0; spot >= 0; spot--) {
-      FtPool *pool = get_pool (s, dependency->type->name, zone, spot);
-      if (pool->booking != NULL || pool->refused_until > s->now
-          || ft_zone_launchable (ft_zone_get (s->zones, zone), s->now) == 0)
+      FtPool *pool = get_pool (scheduler, dependency->type->name, zone, spot);
+      if (pool->booking != NULL || pool->refused_until > scheduler->now
+          || ft_zone_launchable (ft_zone_get (scheduler->zones, zone), scheduler->now) == 0)
         continue;
       double cost = (spot ? dependency->type->spot_price : dependency->type->price) * FT_POOL_PRICE_WEIGHT
-                    + machines_in (s, pool);
+                    + machines_in (scheduler, pool);
       if (cost < best_cost) {
         best_cost = cost;
         best = pool;
@@ -265,31 +267,32 @@
 }
 
 static void
-scale_out (FtScheduler *s, const Demand *dependency, guint count)
+scale_out (FtScheduler *scheduler, const Demand *dependency, guint count)
 {
-  FtPool *pool = best_pool (s, dependency);
+  FtPool *pool = best_pool (scheduler, dependency);
   if (pool == NULL || count == 0)
     return;
-  FtZone *zone = ft_zone_get (s->zones, pool->zone);
-  pool->asked = MIN (MIN (count, FT_SCALE_OUT_MAX), ft_zone_launchable (zone, s->now));
-  ft_zone_launched (zone, s->now);
-  if (pool->spot && s->tuning.spot_share < 1)
+  FtZone *zone = ft_zone_get (scheduler->zones, pool->zone);
+  pool->asked = MIN (MIN (count, FT_SCALE_OUT_MAX), ft_zone_launchable (zone, scheduler->now));
+  ft_zone_launched (zone, scheduler->now);
+  if (pool->spot && scheduler->tuning.spot_share < 1)
     pool->asked = 1; /* one at a time, to keep within the share */
   /* The token makes the name unique for ever: no other leadership has it. */
-  pool->booking = g_strdup_printf ("flintrack-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, s->token, s->next_booking++);
-  pool->retry_at = s->now;
+  pool->booking = g_strdup_printf ("flintrack-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, scheduler->token,
+                                   scheduler->next_booking++);
+  pool->retry_at = scheduler->now;
   g_message ("rental %s: %u %s in %s%s", pool->booking, pool->asked, pool->type, pool->zone, pool->spot ? " spot" : "");
 }
 
 /* TRUE if a job of this need has found no room for a while. */
 static gboolean
-blocked_long (const FtScheduler *s, const Demand *dependency)
+blocked_long (const FtScheduler *scheduler, const Demand *dependency)
 {
-  for (guint i = 0; i < s->order->len; i++) {
-    const FtJob *job = g_ptr_array_index (s->order, i);
-    if (job->no_room_pass == s->pass && job->spec->spot == dependency->spot
+  for (guint i = 0; i < scheduler->order->len; i++) {
+    const FtJob *job = g_ptr_array_index (scheduler->order, i);
+    if (job->no_room_pass == scheduler->pass && job->spec->spot == dependency->spot
         && g_strcmp0 (job->spec->zone, dependency->zone) == 0
-        && s->now - job->ready_at > (gint64) (dependency->type->boot_s * FT_SECOND))
+        && scheduler->now - job->ready_at > (gint64) (dependency->type->boot_s * FT_SECOND))
       return TRUE;
   }
   return FALSE;
@@ -297,46 +300,47 @@
 
 /* The most wanted machine type gets the idle reserve. */
 static void
-plan_scale_out (FtScheduler *s)
+plan_scale_out (FtScheduler *scheduler)
 {
-  g_autoptr (GArray) dependencies = find_demand (s);
+  g_autoptr (GArray) dependencies = find_demand (scheduler);
   for (guint i = 0; i < dependencies->len; i++) {
     const Demand *dependency = &g_array_index (dependencies, Demand, i);
-    Supply supply = find_supply (s, dependency);
-    double reserve = headroom (s) * supply.in_use;
+    Supply supply = find_supply (scheduler, dependency);
+    double reserve = headroom (scheduler) * supply.in_use;
     double want = dependency->machines + reserve - supply.free - supply.booting;
     /* A small rest waits for room to come free, unless none can come: the one
      * small job of a site without a machine must get one too. */
-    gboolean stuck = dependency->blocked && supply.booting < 1 && (supply.in_use <= 0 || blocked_long (s, dependency));
+    gboolean stuck
+        = dependency->blocked && supply.booting < 1 && (supply.in_use <= 0 || blocked_long (scheduler, dependency));
     if (want > FT_SCALE_OUT_FROM || stuck)
-      scale_out (s, dependency, (guint) MAX (1, ceil (want)));
+      scale_out (scheduler, dependency, (guint) MAX (1, ceil (want)));
   }
 }
 
 /* ---- returns ---- */
 
 static void
-terminate (FtScheduler *s, FtMachine *machine, const char *why)
+terminate (FtScheduler *scheduler, FtMachine *machine, const char *why)
 {
   g_message ("machine %s: to be returned (%s)", machine->name, why);
   ft_machine_set_state (machine, FT_MACHINE_TERMINATING);
-  machine->terminate_at = s->now;
+  machine->terminate_at = scheduler->now;
 }
 
 static gboolean
-boot_failed (const FtScheduler *s, const FtMachine *machine)
+boot_failed (const FtScheduler *scheduler, const FtMachine *machine)
 {
   double boot = machine->type != NULL ? machine->type->boot_s : FT_BOOT_UNKNOWN_S;
   gint64 limit = (gint64) ((boot * FT_BOOT_FACTOR + FT_BOOT_PLUS_S) * FT_SECOND);
-  return machine->state == FT_MACHINE_BOOTING && s->now - machine->launched_at > limit;
+  return machine->state == FT_MACHINE_BOOTING && scheduler->now - machine->launched_at > limit;
 }
 
 /* The store has been seen since the zone was heard last: it is the zone that is cut off. */
 static gboolean
-zone_alone_lost (const FtScheduler *s, const FtZone *zone)
+zone_alone_lost (const FtScheduler *scheduler, const FtZone *zone)
 {
-  gint64 silent_since = MAX (zone->last_heard, s->loaded_at);
-  return s->cancellations_known_until > silent_since + (gint64) (FT_ZONE_STORE_SEEN_S * FT_SECOND);
+  gint64 silent_since = MAX (zone->last_heard, scheduler->loaded_at);
+  return scheduler->cancellations_known_until > silent_since + (gint64) (FT_ZONE_STORE_SEEN_S * FT_SECOND);
 }
 
 /* A controller that is itself cut off must not return a healthy fleet: silence
@@ -344,62 +348,64 @@
  * a few machines are given up within a window, unless their whole zone is
  * unreachable. Machines that do not receive count like silent ones. */
 static gboolean
-may_give_up (FtScheduler *s, const FtMachine *machine, guint up, guint lost)
+may_give_up (FtScheduler *scheduler, const FtMachine *machine, guint up, guint lost)
 {
-  if (s->now - s->silent_window_at > (gint64) (FT_SILENT_SCALE_IN_WINDOW_S * FT_SECOND)) {
-    s->silent_window_at = s->now;
-    s->silent_terminated = 0;
+  if (scheduler->now - scheduler->silent_window_at > (gint64) (FT_SILENT_SCALE_IN_WINDOW_S * FT_SECOND)) {
+    scheduler->silent_window_at = scheduler->now;
+    scheduler->silent_terminated = 0;
   }
   guint most = MAX (FT_SILENT_SCALE_IN_MIN, (guint) (FT_SILENT_SCALE_IN_SHARE * (up + lost)));
-  gint64 long_silent = (gint64) (2 * s->settings->lease_s * FT_SECOND);
-  if (s->now - s->cancellations_known_until > (gint64) (FT_GIVE_UP_STORE_SEEN_S * FT_SECOND))
+  gint64 long_silent = (gint64) (2 * scheduler->settings->lease_s * FT_SECOND);
+  if (scheduler->now - scheduler->cancellations_known_until > (gint64) (FT_GIVE_UP_STORE_SEEN_S * FT_SECOND))
     return FALSE;
-  if (lost > up && s->now - ft_machine_no_heartbeat_since (s, machine) <= long_silent)
+  if (lost > up && scheduler->now - ft_machine_no_heartbeat_since (scheduler, machine) <= long_silent)
     return FALSE;
   if (machine->zone_view->unreachable)
-    return zone_alone_lost (s, machine->zone_view);
-  return s->silent_terminated < most;
+    return zone_alone_lost (scheduler, machine->zone_view);
+  return scheduler->silent_terminated < most;
 }
 
 static gboolean
-not_receiving_long (const FtScheduler *s, const FtMachine *m)
+not_receiving_long (const FtScheduler *scheduler, const FtMachine *machine)
 {
   /* A controller that is late itself answers too late: that is not the machine's. */
-  return m->state == FT_MACHINE_UP && ft_machine_not_receiving (m)
-         && s->now - MAX (m->not_receiving_since, s->on_time_since)
+  return machine->state == FT_MACHINE_UP && ft_machine_not_receiving (machine)
+         && scheduler->now - MAX (machine->not_receiving_since, scheduler->on_time_since)
                 > (gint64) (FT_NOT_RECEIVING_SCALE_IN_S * FT_SECOND);
 }
 
 /* Its lease has run out, and so will the next. */
 static gboolean
-not_reporting_long (const FtScheduler *s, const FtMachine *m)
+not_reporting_long (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  return ft_machine_not_reporting (s, m) && s->now - ft_machine_no_heartbeat_since (s, m) > ft_machine_lease_us (s);
+  return ft_machine_not_reporting (scheduler, machine)
+         && scheduler->now - ft_machine_no_heartbeat_since (scheduler, machine) > ft_machine_lease_us (scheduler);
 }
 
 /* Why a machine is of no use, and may be given up; NULL: it is of use. */
 static const char *
-why_lost (const FtScheduler *s, const FtMachine *m)
+why_lost (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  if (m->state == FT_MACHINE_SILENT)
+  if (machine->state == FT_MACHINE_SILENT)
     return "silent";
-  if (not_receiving_long (s, m))
+  if (not_receiving_long (scheduler, machine))
     return "does not hear us";
-  return not_reporting_long (s, m) ? "reaches no controller" : NULL;
+  return not_reporting_long (scheduler, machine) ? "reaches no controller" : NULL;
 }
 
 static void
-count_heard (FtScheduler *s, guint *up, guint *lost)
+count_heard (FtScheduler *scheduler, guint *up, guint *lost)
 {
   GHashTableIter it;
   gpointer value;
   *up = *lost = 0;
-  g_hash_table_iter_init (&it, s->machines);
+  g_hash_table_iter_init (&it, scheduler->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtMachine *m = value;
-    gboolean heard = m->state == FT_MACHINE_UP && !ft_machine_not_receiving (m) && !ft_machine_not_reporting (s, m);
+    const FtMachine *machine = value;
+    gboolean heard = machine->state == FT_MACHINE_UP && !ft_machine_not_receiving (machine)
+                     && !ft_machine_not_reporting (scheduler, machine);
     *up += heard;
-    *lost += !heard && (m->state == FT_MACHINE_UP || m->state == FT_MACHINE_SILENT);
+    *lost += !heard && (machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT);
   }
 }
 
@@ -411,8 +417,8 @@
   gpointer value;
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtAttempt *a = value;
-    if (a->reserved && a->job != NULL && a->job->state == FT_JOB_CANCELLING)
+    const FtAttempt *attempt = value;
+    if (attempt->reserved && attempt->job != NULL && attempt->job->state == FT_JOB_CANCELLING)
       return TRUE;
   }
   return FALSE;
@@ -420,59 +426,60 @@
 
 /* The age of the oldest cancellation of which tasks may run unseen; 0: none. */
 static gint64
-unseen_cancellation_age (const FtScheduler *s)
+unseen_cancellation_age (const FtScheduler *scheduler)
 {
   gint64 age = 0;
   GHashTableIter it;
   gpointer value;
-  if (s->recovered)
+  if (scheduler->recovered)
     return 0;
-  g_hash_table_iter_init (&it, s->jobs);
+  g_hash_table_iter_init (&it, scheduler->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtJob *job = value;
     if (job->state == FT_JOB_CANCELLING && job->counts[FT_TASK_UNKNOWN] > 0)
-      age = MAX (age, s->now - job->cancelled_at);
+      age = MAX (age, scheduler->now - job->cancelled_at);
   }
   return age;
 }
 
 /* A cancellation as old as that leaves no time to wait for the machine. */
 static gboolean
-pressing (const FtScheduler *s, gint64 age)
+pressing (const FtScheduler *scheduler, gint64 age)
 {
-  return age > (gint64) (FT_CANCELLED_SCALE_IN_SHARE * s->settings->cancel_s * FT_SECOND);
+  return age > (gint64) (FT_CANCELLED_SCALE_IN_SHARE * scheduler->settings->cancel_s * FT_SECOND);
 }
 
 /* What an unreconciled machine holds nobody knows, and without the store nobody knows what
  * was cancelled. Given back for that alone, a cut zone would go with each cancellation:
  * not before half of the time is over. */
 static gboolean
-may_hold_cancelled (const FtScheduler *s, const FtMachine *machine)
+may_hold_cancelled (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  return holds_cancelled (machine) || (!machine->reconciled && pressing (s, s->unseen_cancellation_us))
-         || (s->store_unreachable && !ft_machine_idle (machine));
+  return holds_cancelled (machine) || (!machine->reconciled && pressing (scheduler, scheduler->unseen_cancellation_us))
+         || (scheduler->store_unreachable && !ft_machine_idle (machine));
 }
 
 static gboolean
-cloud_answers (const FtScheduler *s)
+cloud_answers (const FtScheduler *scheduler)
 {
-  return s->cloud_answered_at > 0 && s->now - s->cloud_answered_at < (gint64) (FT_CLOUD_SEEN_S * FT_SECOND);
+  return scheduler->cloud_answered_at > 0
+         && scheduler->now - scheduler->cloud_answered_at < (gint64) (FT_CLOUD_SEEN_S * FT_SECOND);
 }
 
 /* Any task may have been cancelled since the store was seen last, and one on a machine
  * that hangs outlives its lease. A leader that is cut off itself hears few machines and
  * no cloud, and must not give back, late, what its successor uses. */
 static gboolean
-is_store_unreachable (const FtScheduler *s, guint up, guint lost)
+is_store_unreachable (const FtScheduler *scheduler, guint up, guint lost)
 {
-  return pressing (s, s->now - s->cancellations_known_until)
-         && (FT_STORE_UNREACHABLE_HEARD_RATIO * lost <= up || cloud_answers (s));
+  return pressing (scheduler, scheduler->now - scheduler->cancellations_known_until)
+         && (FT_STORE_UNREACHABLE_HEARD_RATIO * lost <= up || cloud_answers (scheduler));
 }
 
 /* A cancelled task whose direct start got no answer may still start, late, as
  * long as the machine's incarnation lasts: such a machine is emptied and returned. */
 static double
-doubt_age (const FtScheduler *s, const FtMachine *machine, gboolean *others)
+doubt_age (const FtScheduler *scheduler, const FtMachine *machine, gboolean *others)
 {
   double age = 0;
   GHashTableIter it;
@@ -480,136 +487,140 @@
   *others = FALSE;
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtAttempt *a = value;
-    gboolean doubt = a->direct_unanswered && !a->shown && !a->exited && a->stop_wanted;
+    const FtAttempt *attempt = value;
+    gboolean doubt = attempt->direct_unanswered && !attempt->shown && !attempt->exited && attempt->stop_wanted;
     if (doubt)
-      age = MAX (age, (double) (s->now - a->placed_at) / FT_SECOND);
+      age = MAX (age, (double) (scheduler->now - attempt->placed_at) / FT_SECOND);
     else
-      *others |= !a->exited || a->bound;
+      *others |= !attempt->exited || attempt->bound;
   }
   return age;
 }
 
 static gboolean
-in_doubt (const FtScheduler *s, FtMachine *machine)
+in_doubt (const FtScheduler *scheduler, FtMachine *machine)
 {
   gboolean others;
   if (!machine->in_doubt)
     return FALSE; /* nearly all: their attempts need no look */
-  double age = doubt_age (s, machine, &others);
+  double age = doubt_age (scheduler, machine, &others);
   if (age > FT_DOUBT_S)
     machine->quarantined = TRUE; /* no more starts */
-  return age > FT_DOUBT_S && (!others || age > FT_DOUBT_MAX * s->settings->cancel_s);
+  return age > FT_DOUBT_S && (!others || age > FT_DOUBT_MAX * scheduler->settings->cancel_s);
 }
 
 static void
-give_up_machines (FtScheduler *s)
+give_up_machines (FtScheduler *scheduler)
 {
   guint up, lost;
   GHashTableIter it;
   gpointer value;
-  count_heard (s, &up, &lost);
-  s->unseen_cancellation_us = unseen_cancellation_age (s);
-  s->store_unreachable = is_store_unreachable (s, up, lost);
-  g_hash_table_iter_init (&it, s->machines);
+  count_heard (scheduler, &up, &lost);
+  scheduler->unseen_cancellation_us = unseen_cancellation_age (scheduler);
+  scheduler->store_unreachable = is_store_unreachable (scheduler, up, lost);
+  g_hash_table_iter_init (&it, scheduler->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    FtMachine *m = value;
-    if (m->state == FT_MACHINE_TERMINATING || m->state == FT_MACHINE_GONE)
+    FtMachine *machine = value;
+    if (machine->state == FT_MACHINE_TERMINATING || machine->state == FT_MACHINE_GONE)
       continue;
-    const char *lost_why = why_lost (s, m);
-    gint64 taken = m->notice_until + (gint64) (FT_NOTICE_MARGIN_S * FT_SECOND);
-    if (m->notice_until > 0 && s->now > taken && m->last_status_at < m->notice_until) {
-      terminate (s, m, "taken by the cloud");
-    } else if (lost_why != NULL && (may_hold_cancelled (s, m) || may_give_up (s, m, up, lost))) {
-      s->silent_terminated += !m->zone_view->unreachable;
-      terminate (s, m, lost_why);
-    } else if (boot_failed (s, m)) {
-      terminate (s, m, "did not come up");
-    } else if (in_doubt (s, m)) {
-      terminate (s, m, "a withdrawn start in doubt");
-    } else if (m->quarantined && m->reconciled && ft_fault_proven (m) && ft_machine_idle (m)) {
+    const char *lost_why = why_lost (scheduler, machine);
+    gint64 taken = machine->notice_until + (gint64) (FT_NOTICE_MARGIN_S * FT_SECOND);
+    if (machine->notice_until > 0 && scheduler->now > taken && machine->last_status_at < machine->notice_until) {
+      terminate (scheduler, machine, "taken by the cloud");
+    } else if (lost_why != NULL
+               && (may_hold_cancelled (scheduler, machine) || may_give_up (scheduler, machine, up, lost))) {
+      scheduler->silent_terminated += !machine->zone_view->unreachable;
+      terminate (scheduler, machine, lost_why);
+    } else if (boot_failed (scheduler, machine)) {
+      terminate (scheduler, machine, "did not come up");
+    } else if (in_doubt (scheduler, machine)) {
+      terminate (scheduler, machine, "a withdrawn start in doubt");
+    } else if (machine->quarantined && machine->reconciled && ft_fault_proven (machine) && ft_machine_idle (machine)) {
       /* What ran before it became faulty may well complete. */
-      terminate (s, m, "faulty");
+      terminate (scheduler, machine, "faulty");
     }
   }
 }
 
 static gboolean
-terminable (const FtScheduler *s, const FtMachine *m)
+terminable (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  double idle_s = m->spot ? s->tuning.idle_spot_s : s->tuning.idle_ordinary_s;
-  return ft_machine_usable (s, m) && ft_machine_idle (m) && s->now - m->idle_since > (gint64) (idle_s * FT_SECOND)
-         && s->now - m->launched_at > (gint64) (FT_LEAST_CHARGED_S * FT_SECOND) && !m->command_in_flight;
+  double idle_s = machine->spot ? scheduler->tuning.idle_spot_s : scheduler->tuning.idle_ordinary_s;
+  return ft_machine_usable (scheduler, machine) && ft_machine_idle (machine)
+         && scheduler->now - machine->idle_since > (gint64) (idle_s * FT_SECOND)
+         && scheduler->now - machine->launched_at > (gint64) (FT_LEAST_CHARGED_S * FT_SECOND)
+         && !machine->command_in_flight;
 }
 
 /* Ordinary machines first, they cost more; among equals the longest idle. */
 static gint
 worst_first (gconstpointer a, gconstpointer b)
 {
-  const FtMachine *x = *(FtMachine *const *) a, *y = *(FtMachine *const *) b;
-  if (x->spot != y->spot)
-    return x->spot ? 1 : -1;
-  return x->idle_since < y->idle_since ? -1 : x->idle_since > y->idle_since;
+  const FtMachine *machine = *(FtMachine *const *) a, *y = *(FtMachine *const *) b;
+  if (machine->spot != y->spot)
+    return machine->spot ? 1 : -1;
+  return machine->idle_since < y->idle_since ? -1 : machine->idle_since > y->idle_since;
 }
 
 static void
-scale_in_idle (FtScheduler *s)
+scale_in_idle (FtScheduler *scheduler)
 {
-  Supply supply = find_supply (s, NULL);
+  Supply supply = find_supply (scheduler, NULL);
   /* One machine stands by while there is work, none on a site without any. */
-  double standby = g_hash_table_size (s->jobs) > 0 ? 1 : 0;
-  double spare = supply.free - headroom (s) * supply.in_use - standby;
+  double standby = g_hash_table_size (scheduler->jobs) > 0 ? 1 : 0;
+  double spare = supply.free - headroom (scheduler) * supply.in_use - standby;
   if (spare < 1)
     return;
   g_autoptr (GPtrArray) idle = g_ptr_array_new ();
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, s->machines);
+  g_hash_table_iter_init (&it, scheduler->machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    if (terminable (s, value))
+    if (terminable (scheduler, value))
       g_ptr_array_add (idle, value);
   g_ptr_array_sort (idle, worst_first);
   for (guint i = 0; i < idle->len && spare >= 1; i++, spare--)
-    terminate (s, g_ptr_array_index (idle, i), "idle");
+    terminate (scheduler, g_ptr_array_index (idle, i), "idle");
 }
 
 /* After a takeover the fleet is known once all reports have had their time; a few
  * machines that nobody can account for must not keep others from being launched. */
 static gboolean
-machines_known (const FtScheduler *s)
+machines_known (const FtScheduler *scheduler)
 {
-  double heartbeats = s->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S;
-  return s->recovered || s->now - s->took_over_at > (gint64) (heartbeats * FT_SECOND);
+  double heartbeats = scheduler->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S;
+  return scheduler->recovered || scheduler->now - scheduler->took_over_at > (gint64) (heartbeats * FT_SECOND);
 }
 
 /* Counts the time for which spot machines have been up. */
 static void
-observe_spot (FtScheduler *s)
+observe_spot (FtScheduler *scheduler)
 {
   guint up = 0;
   GHashTableIter it;
   gpointer value;
-  if (s->spot_observed_at > 0) {
-    g_hash_table_iter_init (&it, s->machines);
+  if (scheduler->spot_observed_at > 0) {
+    g_hash_table_iter_init (&it, scheduler->machines);
     while (g_hash_table_iter_next (&it, NULL, &value)) {
-      const FtMachine *m = value;
-      up += m->spot && m->state == FT_MACHINE_UP;
+      const FtMachine *machine = value;
+      up += machine->spot && machine->state == FT_MACHINE_UP;
     }
-    ft_spot_risk_observe (&s->spot_risk, up, (double) (s->now - s->spot_observed_at) / FT_SECOND);
+    ft_spot_risk_observe (&scheduler->spot_risk, up,
+                          (double) (scheduler->now - scheduler->spot_observed_at) / FT_SECOND);
   }
-  s->spot_observed_at = s->now;
+  scheduler->spot_observed_at = scheduler->now;
 }
 
 void
-ft_autoscaler_tick (FtScheduler *s)
+ft_autoscaler_tick (FtScheduler *scheduler)
 {
-  give_up_machines (s);
-  if (!s->may_start || s->now < s->next_autoscale || !machines_known (s))
+  give_up_machines (scheduler);
+  if (!scheduler->may_start || scheduler->now < scheduler->next_autoscale || !machines_known (scheduler))
     return;
-  s->next_autoscale = s->now + (gint64) (FT_AUTOSCALE_EVERY_S * FT_SECOND);
-  observe_spot (s);
-  plan_scale_out (s);
-  scale_in_idle (s);
+  scheduler->next_autoscale = scheduler->now + (gint64) (FT_AUTOSCALE_EVERY_S * FT_SECOND);
+  observe_spot (scheduler);
+  plan_scale_out (scheduler);
+  scale_in_idle (scheduler);
 }
 
 /* ---- calls ---- */
@@ -640,34 +651,35 @@
  * must be gone in time, and a machine that hangs cannot drop them. That is no placing,
  * and a successor that returns the same machines again changes nothing. */
 static FtCloudCall *
-next_scale_in (FtScheduler *s)
+next_scale_in (FtScheduler *scheduler)
 {
   FtCloudCall *call = NULL;
-  for (GList *l = s->terminating.head; l != NULL; l = l->next) {
-    FtMachine *m = l->data;
-    s->looked_at++;
-    if (m->terminate_in_flight || m->terminate_at > s->now || (!s->may_start && !may_hold_cancelled (s, m)))
+  for (GList *link = scheduler->terminating.head; link != NULL; link = link->next) {
+    FtMachine *machine = link->data;
+    scheduler->looked_at++;
+    if (machine->terminate_in_flight || machine->terminate_at > scheduler->now
+        || (!scheduler->may_start && !may_hold_cancelled (scheduler, machine)))
       continue;
     if (call == NULL)
       call = call_new (FT_CLOUD_SCALE_IN);
     if (call->names->len == FT_SCALE_IN_MAX)
       break;
-    m->terminate_in_flight = TRUE;
-    g_ptr_array_add (call->names, g_strdup (m->name));
+    machine->terminate_in_flight = TRUE;
+    g_ptr_array_add (call->names, g_strdup (machine->name));
   }
   return call;
 }
 
 FtCloudCall *
-ft_scheduler_next_cloud (FtScheduler *s, gint64 now)
+ft_scheduler_next_cloud (FtScheduler *scheduler, gint64 now)
 {
-  s->now = now;
-  FtCloudCall *call = next_scale_in (s);
-  if (call != NULL || !s->may_start)
+  scheduler->now = now;
+  FtCloudCall *call = next_scale_in (scheduler);
+  if (call != NULL || !scheduler->may_start)
     return call;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, s->pools);
+  g_hash_table_iter_init (&it, scheduler->pools);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtPool *pool = value;
     if (pool->booking == NULL || pool->in_flight || pool->retry_at > now)
@@ -685,116 +697,116 @@
 }
 
 static void
-launched (FtScheduler *s, FtPool *pool, const FtCloudCall *call)
+launched (FtScheduler *scheduler, FtPool *pool, const FtCloudCall *call)
 {
   for (guint i = 0; i < call->names->len; i++) {
     const char *name = g_ptr_array_index (call->names, i);
-    if (g_hash_table_contains (s->machines, name) || g_hash_table_contains (s->gone, name))
+    if (g_hash_table_contains (scheduler->machines, name) || g_hash_table_contains (scheduler->gone, name))
       continue;
-    FtMachine *m = ft_machine_new (s, name, NULL, pool->type, pool->zone, pool->spot);
-    ft_machine_set_reconciled (m); /* it has never been sent a command */
-    g_hash_table_insert (s->machines, m->name, m);
+    FtMachine *machine = ft_machine_new (scheduler, name, NULL, pool->type, pool->zone, pool->spot);
+    ft_machine_set_reconciled (machine); /* it has never been sent a command */
+    g_hash_table_insert (scheduler->machines, machine->name, machine);
     g_message ("machine %s: rented by %s", name, call->booking);
   }
   if (call->names->len < pool->asked)
-    pool->refused_until = s->now + (gint64) (FT_REFUSED_PAUSE_S * FT_SECOND);
+    pool->refused_until = scheduler->now + (gint64) (FT_REFUSED_PAUSE_S * FT_SECOND);
   g_clear_pointer (&pool->booking, g_free);
 }
 
 static void
-scale_out_done (FtScheduler *s, const FtCloudCall *call, FtCloudResult result)
+scale_out_done (FtScheduler *scheduler, const FtCloudCall *call, FtCloudResult result)
 {
-  FtPool *pool = get_pool (s, call->type, call->zone, call->spot);
+  FtPool *pool = get_pool (scheduler, call->type, call->zone, call->spot);
   pool->in_flight = FALSE;
   if (g_strcmp0 (pool->booking, call->booking) != 0)
     return;
   if (result == FT_CLOUD_OK) {
-    launched (s, pool, call);
+    launched (scheduler, pool, call);
   } else if (result == FT_CLOUD_REFUSED) {
-    pool->refused_until = s->now + (gint64) (FT_REFUSED_PAUSE_S * FT_SECOND);
+    pool->refused_until = scheduler->now + (gint64) (FT_REFUSED_PAUSE_S * FT_SECOND);
     g_clear_pointer (&pool->booking, g_free);
   } else {
     /* Perhaps carried out: the same booking is repeated until it is answered. */
-    pool->retry_at = s->now + FT_SECOND;
+    pool->retry_at = scheduler->now + FT_SECOND;
   }
-  s->next_autoscale = s->now;
+  scheduler->next_autoscale = scheduler->now;
 }
 
 static void
-scale_in_done (FtScheduler *s, const FtCloudCall *call, FtCloudResult result)
+scale_in_done (FtScheduler *scheduler, const FtCloudCall *call, FtCloudResult result)
 {
   for (guint i = 0; i < call->names->len; i++) {
-    FtMachine *m = g_hash_table_lookup (s->machines, g_ptr_array_index (call->names, i));
-    if (m == NULL)
+    FtMachine *machine = g_hash_table_lookup (scheduler->machines, g_ptr_array_index (call->names, i));
+    if (machine == NULL)
       continue;
-    m->terminate_in_flight = FALSE;
-    m->terminate_at = s->now + (gint64) (FT_TERMINATE_RETRY_S * FT_SECOND);
-    if (result == FT_CLOUD_OK && m->state != FT_MACHINE_GONE)
-      ft_machine_gone (s, m, "returned");
+    machine->terminate_in_flight = FALSE;
+    machine->terminate_at = scheduler->now + (gint64) (FT_TERMINATE_RETRY_S * FT_SECOND);
+    if (result == FT_CLOUD_OK && machine->state != FT_MACHINE_GONE)
+      ft_machine_gone (scheduler, machine, "returned");
   }
-  ft_recovery_tick (s);
+  ft_recovery_tick (scheduler);
 }
 
 void
-ft_scheduler_cloud_done (FtScheduler *s, const FtCloudCall *call, FtCloudResult result, gint64 now)
+ft_scheduler_cloud_done (FtScheduler *scheduler, const FtCloudCall *call, FtCloudResult result, gint64 now)
 {
-  s->now = now;
+  scheduler->now = now;
   if (result != FT_CLOUD_FAILED)
-    s->cloud_answered_at = now;
+    scheduler->cloud_answered_at = now;
   if (call->op == FT_CLOUD_SCALE_OUT)
-    scale_out_done (s, call, result);
+    scale_out_done (scheduler, call, result);
   else
-    scale_in_done (s, call, result);
+    scale_in_done (scheduler, call, result);
 }
 
 /* ---- the cloud's list ---- */
 
 static void
-listed_new (FtScheduler *s, const FtListedMachine *entry)
+listed_new (FtScheduler *scheduler, const FtListedMachine *entry)
 {
   if (entry->state == FT_LISTED_FAILED)
     return;
-  FtMachine *m = ft_machine_new (s, entry->name, entry->addr, entry->type, entry->zone, entry->spot);
-  m->launched_at = s->now - (gint64) (entry->age_s * FT_SECOND);
-  ft_machine_set_reconciled (m); /* in no registry: never sent a command */
-  m->listed_running = entry->state == FT_LISTED_RUNNING;
-  g_hash_table_insert (s->machines, m->name, m);
-  g_message ("machine %s: found in the list", m->name);
+  FtMachine *machine = ft_machine_new (scheduler, entry->name, entry->addr, entry->type, entry->zone, entry->spot);
+  machine->launched_at = scheduler->now - (gint64) (entry->age_s * FT_SECOND);
+  ft_machine_set_reconciled (machine); /* in no registry: never sent a command */
+  machine->listed_running = entry->state == FT_LISTED_RUNNING;
+  g_hash_table_insert (scheduler->machines, machine->name, machine);
+  g_message ("machine %s: found in the list", machine->name);
 }
 
 static void
-listed_known (FtScheduler *s, FtMachine *m, const FtListedMachine *entry)
+listed_known (FtScheduler *scheduler, FtMachine *machine, const FtListedMachine *entry)
 {
-  if (entry->state == FT_LISTED_FAILED && m->state != FT_MACHINE_GONE) {
+  if (entry->state == FT_LISTED_FAILED && machine->state != FT_MACHINE_GONE) {
     /* It stopped on its own and comes back no more. */
-    if (m->state != FT_MACHINE_TERMINATING)
-      terminate (s, m, "failed");
-    ft_machine_end_incarnation (s, m);
-    ft_machine_set_reconciled (m);
+    if (machine->state != FT_MACHINE_TERMINATING)
+      terminate (scheduler, machine, "failed");
+    ft_machine_end_incarnation (scheduler, machine);
+    ft_machine_set_reconciled (machine);
   }
   /* A machine known from the registry or a heartbeat is older than this leadership. */
-  m->launched_at = MIN (m->launched_at, s->now - (gint64) (entry->age_s * FT_SECOND));
-  if (m->addr == NULL && entry->addr != NULL)
-    m->addr = g_strdup (entry->addr);
+  machine->launched_at = MIN (machine->launched_at, scheduler->now - (gint64) (entry->age_s * FT_SECOND));
+  if (machine->addr == NULL && entry->addr != NULL)
+    machine->addr = g_strdup (entry->addr);
 }
 
 void
-ft_scheduler_listed (FtScheduler *s, GArray *list, gint64 now)
+ft_scheduler_listed (FtScheduler *scheduler, GArray *list, gint64 now)
 {
-  s->now = s->cloud_answered_at = now;
-  if (!s->loaded)
+  scheduler->now = scheduler->cloud_answered_at = now;
+  if (!scheduler->loaded)
     return; /* the registry is not read: a listed machine may hold tasks */
   /* The list lags and may go back: it adds machines and tells of failed ones;
    * that a machine is missing from it proves nothing. */
   for (guint i = 0; i < list->len; i++) {
     const FtListedMachine *entry = &g_array_index (list, FtListedMachine, i);
-    if (g_hash_table_contains (s->gone, entry->name))
+    if (g_hash_table_contains (scheduler->gone, entry->name))
       continue;
-    FtMachine *m = g_hash_table_lookup (s->machines, entry->name);
-    if (m == NULL)
-      listed_new (s, entry);
+    FtMachine *machine = g_hash_table_lookup (scheduler->machines, entry->name);
+    if (machine == NULL)
+      listed_new (scheduler, entry);
     else
-      listed_known (s, m, entry);
+      listed_known (scheduler, machine, entry);
   }
-  ft_recovery_tick (s);
+  ft_recovery_tick (scheduler);
 }
--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -5,4 +5,4 @@
 
 GHashTable *ft_autoscaler_pools_new (void);
 /* Plans launches and marks the machines to return. */
-void ft_autoscaler_tick (FtScheduler *s);
+void ft_autoscaler_tick (FtScheduler *scheduler);
--- a/src/core/commands.c
+++ b/src/core/commands.c
@@ -9,35 +9,37 @@
 }
 
 static gboolean
-wants_start (const FtScheduler *s, const FtMachine *machine, const FtAttempt *a)
+wants_start (const FtScheduler *scheduler, const FtMachine *machine, const FtAttempt *attempt)
 {
-  return s->may_start && machine->registered && a->bound && a->index < a->job->spec->dispatch_watermark && !a->shown
-         && !a->exited && !a->stop_wanted && machine->state != FT_MACHINE_TERMINATING && a->job->state == FT_JOB_OPEN;
+  return scheduler->may_start && machine->registered && attempt->bound
+         && attempt->index < attempt->job->spec->dispatch_watermark && !attempt->shown && !attempt->exited
+         && !attempt->stop_wanted && machine->state != FT_MACHINE_TERMINATING && attempt->job->state == FT_JOB_OPEN;
 }
 
 /* A copy of a direct start may come late. While the worker knows the attempt it
  * does nothing; forgotten, it would start the task anew: beside another attempt,
  * or, if it is done, beyond the team's limit for a moment. */
 static gboolean
-may_forget (const FtScheduler *s, const FtAttempt *a)
+may_forget (const FtScheduler *scheduler, const FtAttempt *attempt)
 {
-  if (!a->exited || !a->forget_ok || a->direct_unanswered || a->direct_in_flight)
+  if (!attempt->exited || !attempt->forget_ok || attempt->direct_unanswered || attempt->direct_in_flight)
     return FALSE;
-  return !a->by_direct || s->now - a->exited_at > ft_seconds (FT_COPY_LEASES * s->settings->lease_s);
+  return !attempt->by_direct
+         || scheduler->now - attempt->exited_at > ft_seconds (FT_COPY_LEASES * scheduler->settings->lease_s);
 }
 
 void
-ft_scheduler_allow (FtScheduler *s, gboolean may_start)
+ft_scheduler_allow (FtScheduler *scheduler, gboolean may_start)
 {
-  s->may_start = may_start;
+  scheduler->may_start = may_start;
 }
 
 GArray *
-ft_scheduler_answer (FtScheduler *s, const FtWorkerHeartbeat *heartbeat, gint64 now)
+ft_scheduler_answer (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now)
 {
   GArray *commands = ft_commands_new ();
-  FtMachine *machine = g_hash_table_lookup (s->machines, heartbeat->machine);
-  s->now = now;
+  FtMachine *machine = g_hash_table_lookup (scheduler->machines, heartbeat->machine);
+  scheduler->now = now;
   if (machine == NULL)
     return commands;
   machine->last_answer = now;
@@ -45,31 +47,31 @@
   if (!machine->reconciled)
     machine->probe_at = MAX (machine->probe_at, now + ft_seconds (FT_PROBE_FIRST_S));
   if (heartbeat->incarnation != machine->incarnation || heartbeat->sequence != machine->sequence
-      || heartbeat->token < s->token || machine->incarnation <= machine->expired_incarnation) {
+      || heartbeat->token < scheduler->token || machine->incarnation <= machine->expired_incarnation) {
     if (heartbeat->incarnation == machine->incarnation)
       machine->answered = MAX (machine->answered, heartbeat->sequence);
     return commands;
   }
   machine->answered = heartbeat->sequence;
   /* What the heartbeat has freed is filled by this very answer. */
-  ft_placement_fill (s, machine);
+  ft_placement_fill (scheduler, machine);
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    FtAttempt *a = value;
-    if (a->stop_wanted && a->shown && !a->exited)
-      add_command (commands, FT_COMMAND_STOP, a);
-    else if (s->may_start && may_forget (s, a))
-      add_command (commands, FT_COMMAND_FORGET, a);
+    FtAttempt *attempt = value;
+    if (attempt->stop_wanted && attempt->shown && !attempt->exited)
+      add_command (commands, FT_COMMAND_STOP, attempt);
+    else if (scheduler->may_start && may_forget (scheduler, attempt))
+      add_command (commands, FT_COMMAND_FORGET, attempt);
   }
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    FtAttempt *a = value;
-    if (!wants_start (s, machine, a))
+    FtAttempt *attempt = value;
+    if (!wants_start (scheduler, machine, attempt))
       continue;
-    a->sent_sequence = heartbeat->sequence;
-    add_command (commands, FT_COMMAND_START, a);
+    attempt->sent_sequence = heartbeat->sequence;
+    add_command (commands, FT_COMMAND_START, attempt);
   }
   return commands;
 }
@@ -101,37 +103,37 @@
 }
 
 gint64
-ft_machine_silent_since (const FtScheduler *s, const FtMachine *machine)
+ft_machine_silent_since (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  return MAX (machine->last_status_at, s->on_time_since);
+  return MAX (machine->last_status_at, scheduler->on_time_since);
 }
 
 gboolean
-ft_machine_heartbeat_overdue (const FtScheduler *s, const FtMachine *machine)
+ft_machine_heartbeat_overdue (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  return s->now - ft_machine_silent_since (s, machine) > ft_machine_overdue_us (s);
+  return scheduler->now - ft_machine_silent_since (scheduler, machine) > ft_machine_overdue_us (scheduler);
 }
 
 gboolean
-ft_machine_wants_probe (const FtScheduler *s, const FtMachine *machine)
+ft_machine_wants_probe (const FtScheduler *scheduler, const FtMachine *machine)
 {
   gboolean ask = !machine->reconciled || ft_machine_not_receiving (machine)
-                 || (machine->state == FT_MACHINE_UP && ft_machine_heartbeat_overdue (s, machine));
-  return ask && s->now >= machine->probe_at && machine->addr != NULL && !machine->command_in_flight
+                 || (machine->state == FT_MACHINE_UP && ft_machine_heartbeat_overdue (scheduler, machine));
+  return ask && scheduler->now >= machine->probe_at && machine->addr != NULL && !machine->command_in_flight
          && machine->state != FT_MACHINE_GONE;
 }
 
 static FtDirect *
-probe (FtScheduler *s, FtMachine *machine)
+probe (FtScheduler *scheduler, FtMachine *machine)
 {
   guint pause = 1u << MIN (machine->probe_fails, FT_PROBE_DOUBLINGS);
-  machine->probe_at = s->now + (gint64) (FT_PROBE_EVERY_S * pause * FT_SECOND);
-  s->probes_in_flight++;
+  machine->probe_at = scheduler->now + (gint64) (FT_PROBE_EVERY_S * pause * FT_SECOND);
+  scheduler->probes_in_flight++;
   return direct_new (machine, ft_commands_new ());
 }
 
 static FtDirect *
-direct_to (FtScheduler *s, FtMachine *machine)
+direct_to (FtScheduler *scheduler, FtMachine *machine)
 {
   if (machine->command_in_flight || machine->addr == NULL)
     return NULL;
@@ -142,14 +144,14 @@
   gpointer value;
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    FtAttempt *a = value;
-    if (a->stop_wanted && a->shown && !a->exited && !a->stop_sent) {
-      a->stop_sent = TRUE;
-      add_command (commands, FT_COMMAND_STOP, a);
-    } else if (ft_machine_usable (s, machine) && wants_start (s, machine, a) && a->sent_sequence == 0
-               && !a->direct_unanswered) {
-      a->direct_in_flight = a->by_direct = TRUE;
-      add_command (commands, FT_COMMAND_START, a);
+    FtAttempt *attempt = value;
+    if (attempt->stop_wanted && attempt->shown && !attempt->exited && !attempt->stop_sent) {
+      attempt->stop_sent = TRUE;
+      add_command (commands, FT_COMMAND_STOP, attempt);
+    } else if (ft_machine_usable (scheduler, machine) && wants_start (scheduler, machine, attempt)
+               && attempt->sent_sequence == 0 && !attempt->direct_unanswered) {
+      attempt->direct_in_flight = attempt->by_direct = TRUE;
+      add_command (commands, FT_COMMAND_START, attempt);
     }
   }
   if (commands->len > 0)
@@ -159,72 +161,74 @@
 }
 
 FtDirect *
-ft_scheduler_next_direct (FtScheduler *s, gint64 now)
+ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now)
 {
-  s->now = now;
+  scheduler->now = now;
   FtMachine *machine;
-  while ((machine = g_queue_pop_head (&s->directs)) != NULL) {
+  while ((machine = g_queue_pop_head (&scheduler->directs)) != NULL) {
     machine->direct_queued = FALSE;
-    s->looked_at++;
-    FtDirect *direct = direct_to (s, machine);
+    scheduler->looked_at++;
+    FtDirect *direct = direct_to (scheduler, machine);
     if (direct != NULL)
       return direct;
   }
   /* Those that do not answer keep their place for long: commands go first, and
    * only so many are asked at a time. */
-  while (s->probes_in_flight < FT_PROBES_MAX && (machine = g_queue_pop_head (&s->probes)) != NULL) {
+  while (scheduler->probes_in_flight < FT_PROBES_MAX && (machine = g_queue_pop_head (&scheduler->probes)) != NULL) {
     machine->probe_queued = FALSE;
-    s->looked_at++;
-    if (ft_machine_wants_probe (s, machine))
-      return probe (s, machine);
+    scheduler->looked_at++;
+    if (ft_machine_wants_probe (scheduler, machine))
+      return probe (scheduler, machine);
   }
   return NULL;
 }
 
 static void
-settle_direct (FtScheduler *s, FtMachine *machine, const FtDirect *direct, FtDirectResult result)
+settle_direct (FtScheduler *scheduler, FtMachine *machine, const FtDirect *direct, FtDirectResult result)
 {
   for (guint i = 0; i < direct->commands->len; i++) {
-    const FtCommand *c = &g_array_index (direct->commands, FtCommand, i);
-    FtAttempt *a = ft_machine_attempt (machine, c->job, c->index, c->attempt);
-    if (a == NULL || c->op != FT_COMMAND_START)
+    const FtCommand *command = &g_array_index (direct->commands, FtCommand, i);
+    FtAttempt *attempt = ft_machine_attempt (machine, command->job, command->index, command->attempt);
+    if (attempt == NULL || command->op != FT_COMMAND_START)
       continue;
-    a->direct_in_flight = FALSE;
-    if (result == FT_DIRECT_UNANSWERED && a->incarnation == direct->incarnation)
-      a->direct_unanswered = machine->in_doubt = TRUE;
+    attempt->direct_in_flight = FALSE;
+    if (result == FT_DIRECT_UNANSWERED && attempt->incarnation == direct->incarnation)
+      attempt->direct_unanswered = machine->in_doubt = TRUE;
     /* Refused as a whole: this copy was not executed and never will be. */
-    if (result == FT_DIRECT_CONFLICT && a->stop_wanted && !a->shown && a->sent_sequence == 0 && !a->exited)
-      ft_attempt_end (s, a);
+    if (result == FT_DIRECT_CONFLICT && attempt->stop_wanted && !attempt->shown && attempt->sent_sequence == 0
+        && !attempt->exited)
+      ft_attempt_end (scheduler, attempt);
   }
 }
 
 gboolean
-ft_scheduler_direct_done (FtScheduler *s, const FtDirect *direct, FtDirectResult result,
+ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirect *direct, FtDirectResult result,
                           const FtWorkerHeartbeat *heartbeat, gint64 now)
 {
-  s->now = now;
-  FtMachine *machine = g_hash_table_lookup (s->machines, direct->machine);
+  scheduler->now = now;
+  FtMachine *machine = g_hash_table_lookup (scheduler->machines, direct->machine);
   if (direct->commands->len == 0)
-    s->probes_in_flight--;
-  if (heartbeat != NULL && heartbeat->token > s->token)
+    scheduler->probes_in_flight--;
+  if (heartbeat != NULL && heartbeat->token > scheduler->token)
     return FALSE;
   if (machine == NULL)
     return TRUE;
   machine->command_in_flight = FALSE;
   ft_machine_queue_direct (machine); /* what has come up meanwhile */
   if (result == FT_DIRECT_UNANSWERED
-      && (ft_machine_heartbeat_overdue (s, machine) || !machine->reconciled || ft_machine_not_receiving (machine)))
+      && (ft_machine_heartbeat_overdue (scheduler, machine) || !machine->reconciled
+          || ft_machine_not_receiving (machine)))
     machine->probe_fails++;
-  settle_direct (s, machine, direct, result);
+  settle_direct (scheduler, machine, direct, result);
   if (heartbeat == NULL || g_strcmp0 (heartbeat->machine, machine->name) != 0)
     return TRUE;
   if (machine->state != FT_MACHINE_TERMINATING || !machine->reconciled)
-    ft_machine_apply_status (s, machine, heartbeat, FALSE);
+    ft_machine_apply_status (scheduler, machine, heartbeat, FALSE);
   /* Refused for its incarnation: ask again at once with the right one. */
   if (result == FT_DIRECT_CONFLICT && !machine->reconciled) {
     machine->probe_at = now;
     ft_machine_queue_probe (machine);
   }
-  ft_recovery_tick (s);
+  ft_recovery_tick (scheduler);
   return TRUE;
 }
--- a/src/core/dependency.c
+++ b/src/core/dependency.c
@@ -31,41 +31,41 @@
 FtDependencyGraph *
 ft_dependency_graph_new (FtDependencyChanged changed, gpointer data)
 {
-  FtDependencyGraph *d = g_new0 (FtDependencyGraph, 1);
-  d->nodes = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) node_free);
-  g_queue_init (&d->unread);
-  d->changed = changed;
-  d->data = data;
-  return d;
+  FtDependencyGraph *graph = g_new0 (FtDependencyGraph, 1);
+  graph->nodes = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) node_free);
+  g_queue_init (&graph->unread);
+  graph->changed = changed;
+  graph->data = data;
+  return graph;
 }
 
 void
-ft_dependency_graph_free (FtDependencyGraph *d)
+ft_dependency_graph_free (FtDependencyGraph *graph)
 {
-  if (d == NULL)
+  if (graph == NULL)
     return;
-  g_hash_table_unref (d->nodes);
-  g_queue_clear_full (&d->unread, g_free);
-  g_free (d);
+  g_hash_table_unref (graph->nodes);
+  g_queue_clear_full (&graph->unread, g_free);
+  g_free (graph);
 }
 
 static Node *
-find (const FtDependencyGraph *d, const char *ref)
+find (const FtDependencyGraph *graph, const char *ref)
 {
-  return g_hash_table_lookup (d->nodes, ref);
+  return g_hash_table_lookup (graph->nodes, ref);
 }
 
 static Node *
-find_or_add (FtDependencyGraph *d, const char *ref)
+find_or_add (FtDependencyGraph *graph, const char *ref)
 {
-  Node *node = find (d, ref);
+  Node *node = find (graph, ref);
   if (node != NULL)
     return node;
   node = g_new0 (Node, 1);
   node->ref = g_strdup (ref);
   node->dependencies = g_ptr_array_new ();
   node->dependents = g_ptr_array_new ();
-  g_hash_table_insert (d->nodes, node->ref, node);
+  g_hash_table_insert (graph->nodes, node->ref, node);
   return node;
 }
 
@@ -90,7 +90,7 @@
 /* The urgency of these jobs may have changed, and then that of what they need. Frees the
  * array. */
 static void
-update_urgencies (FtDependencyGraph *d, GPtrArray *nodes)
+update_urgencies (FtDependencyGraph *graph, GPtrArray *nodes)
 {
   while (nodes->len > 0) {
     Node *node = g_ptr_array_steal_index_fast (nodes, nodes->len - 1);
@@ -98,7 +98,7 @@
     if (urgency.priority == node->urgency.priority && urgency.deadline_at == node->urgency.deadline_at)
       continue;
     node->urgency = urgency;
-    d->changed (node->ref, d->data);
+    graph->changed (node->ref, graph->data);
     for (guint i = 0; i < node->dependencies->len; i++)
       g_ptr_array_add (nodes, g_ptr_array_index (node->dependencies, i));
   }
@@ -108,30 +108,30 @@
 /* ---- jobs ---- */
 
 static void
-list_unread (FtDependencyGraph *d, Node *node)
+list_unread (FtDependencyGraph *graph, Node *node)
 {
   if (node->known || node->listed)
     return;
   node->listed = TRUE;
-  g_queue_push_head (&d->unread, g_strdup (node->ref)); /* due at once */
+  g_queue_push_head (&graph->unread, g_strdup (node->ref)); /* due at once */
 }
 
 static void
-link_dependencies (FtDependencyGraph *d, Node *node, const char *const *dependencies)
+link_dependencies (FtDependencyGraph *graph, Node *node, const char *const *dependencies)
 {
   for (guint i = 0; dependencies != NULL && dependencies[i] != NULL; i++) {
-    Node *dependency = find_or_add (d, dependencies[i]);
+    Node *dependency = find_or_add (graph, dependencies[i]);
     if (dependency == node || g_ptr_array_find (node->dependencies, dependency, NULL))
       continue;
     g_ptr_array_add (node->dependencies, dependency);
     g_ptr_array_add (dependency->dependents, node);
-    list_unread (d, dependency);
+    list_unread (graph, dependency);
   }
 }
 
 /* Marks what needs the job as cancelled, however indirectly. */
 static void
-cancel_dependents (FtDependencyGraph *d, Node *first)
+cancel_dependents (FtDependencyGraph *graph, Node *first)
 {
   g_autoptr (GPtrArray) nodes = g_ptr_array_new ();
   g_ptr_array_add (nodes, first);
@@ -142,78 +142,78 @@
       if (dependent->cancelled)
         continue;
       dependent->cancelled = TRUE;
-      d->changed (dependent->ref, d->data);
+      graph->changed (dependent->ref, graph->data);
       g_ptr_array_add (nodes, dependent);
     }
   }
 }
 
 void
-ft_dependency_graph_add (FtDependencyGraph *d, const char *ref, const char *const *dependencies, gboolean cancelled,
+ft_dependency_graph_add (FtDependencyGraph *graph, const char *ref, const char *const *dependencies, gboolean cancelled,
                          const FtUrgency *own)
 {
-  Node *node = find_or_add (d, ref);
+  Node *node = find_or_add (graph, ref);
   if (node->known)
     return;
   node->known = TRUE;
   node->own = *own;
   node->urgency = with_dependents (node);
-  link_dependencies (d, node, dependencies);
+  link_dependencies (graph, node, dependencies);
   for (guint i = 0; i < node->dependencies->len; i++)
     cancelled |= ((const Node *) g_ptr_array_index (node->dependencies, i))->cancelled;
   node->cancelled = cancelled;
-  d->changed (node->ref, d->data);
+  graph->changed (node->ref, graph->data);
   if (cancelled)
-    cancel_dependents (d, node);
-  update_urgencies (d, g_ptr_array_copy (node->dependencies, NULL, NULL));
+    cancel_dependents (graph, node);
+  update_urgencies (graph, g_ptr_array_copy (node->dependencies, NULL, NULL));
 }
 
 /* Takes the node out of what it needs; what nobody else needs and nobody knows goes. */
 static void
-unlink_dependencies (FtDependencyGraph *d, Node *node)
+unlink_dependencies (FtDependencyGraph *graph, Node *node)
 {
   GPtrArray *kept = g_ptr_array_new ();
   for (guint i = 0; i < node->dependencies->len; i++) {
     Node *dependency = g_ptr_array_index (node->dependencies, i);
     g_ptr_array_remove_fast (dependency->dependents, node);
     if (!dependency->known && dependency->dependents->len == 0)
-      g_hash_table_remove (d->nodes, dependency->ref);
+      g_hash_table_remove (graph->nodes, dependency->ref);
     else
       g_ptr_array_add (kept, dependency);
   }
   g_ptr_array_set_size (node->dependencies, 0);
-  update_urgencies (d, kept);
+  update_urgencies (graph, kept);
 }
 
 static void
-meet (FtDependencyGraph *d, Node *node, gint64 at)
+meet (FtDependencyGraph *graph, Node *node, gint64 at)
 {
   for (guint i = 0; i < node->dependents->len; i++) {
     Node *dependent = g_ptr_array_index (node->dependents, i);
     g_ptr_array_remove_fast (dependent->dependencies, node);
     dependent->met_at = MAX (dependent->met_at, at);
     if (dependent->dependencies->len == 0)
-      d->changed (dependent->ref, d->data);
+      graph->changed (dependent->ref, graph->data);
   }
 }
 
 void
-ft_dependency_graph_settle (FtDependencyGraph *d, const char *ref, FtJobEnd end, gint64 at)
+ft_dependency_graph_settle (FtDependencyGraph *graph, const char *ref, FtJobEnd end, gint64 at)
 {
-  Node *node = find (d, ref);
+  Node *node = find (graph, ref);
   if (node == NULL)
     return;
   if (end == FT_JOB_END_CANCELLED)
-    cancel_dependents (d, node);
-  unlink_dependencies (d, node);
-  meet (d, node, at); /* those of a cancelled one stay cancelled */
-  g_hash_table_remove (d->nodes, ref);
+    cancel_dependents (graph, node);
+  unlink_dependencies (graph, node);
+  meet (graph, node, at); /* those of a cancelled one stay cancelled */
+  g_hash_table_remove (graph->nodes, ref);
 }
 
 FtWait
-ft_dependency_graph_wait (const FtDependencyGraph *d, const char *ref)
+ft_dependency_graph_wait (const FtDependencyGraph *graph, const char *ref)
 {
-  const Node *node = find (d, ref);
+  const Node *node = find (graph, ref);
   if (node == NULL)
     return FT_WAIT_NONE;
   if (node->cancelled)
@@ -222,33 +222,33 @@
 }
 
 gint64
-ft_dependency_graph_met_at (const FtDependencyGraph *d, const char *ref)
+ft_dependency_graph_met_at (const FtDependencyGraph *graph, const char *ref)
 {
-  const Node *node = find (d, ref);
+  const Node *node = find (graph, ref);
   return node != NULL ? node->met_at : 0;
 }
 
 const FtUrgency *
-ft_dependency_graph_urgency (const FtDependencyGraph *d, const char *ref)
+ft_dependency_graph_urgency (const FtDependencyGraph *graph, const char *ref)
 {
-  const Node *node = find (d, ref);
+  const Node *node = find (graph, ref);
   return node != NULL ? &node->urgency : NULL;
 }
 
 /* ---- reading ---- */
 
 const char *
-ft_dependency_graph_next_unread (FtDependencyGraph *d, gint64 now, gint64 retry_us)
+ft_dependency_graph_next_unread (FtDependencyGraph *graph, gint64 now, gint64 retry_us)
 {
   char *ref;
-  while ((ref = g_queue_peek_head (&d->unread)) != NULL) {
-    Node *node = find (d, ref);
+  while ((ref = g_queue_peek_head (&graph->unread)) != NULL) {
+    Node *node = find (graph, ref);
     if (node != NULL && !node->known && node->read_at > now)
       return NULL; /* those behind it are due later still */
-    g_queue_pop_head (&d->unread);
+    g_queue_pop_head (&graph->unread);
     if (node != NULL && !node->known) {
       node->read_at = now + retry_us;
-      g_queue_push_tail (&d->unread, ref);
+      g_queue_push_tail (&graph->unread, ref);
       return node->ref;
     }
     if (node != NULL)
@@ -270,15 +270,15 @@
 }
 
 GStrv
-ft_dependency_graph_dependencies (const FtDependencyGraph *d, const char *ref)
+ft_dependency_graph_dependencies (const FtDependencyGraph *graph, const char *ref)
 {
-  const Node *node = find (d, ref);
+  const Node *node = find (graph, ref);
   return node != NULL ? refs_of (node->dependencies) : g_new0 (char *, 1);
 }
 
 GStrv
-ft_dependency_graph_dependents (const FtDependencyGraph *d, const char *ref)
+ft_dependency_graph_dependents (const FtDependencyGraph *graph, const char *ref)
 {
-  const Node *node = find (d, ref);
+  const Node *node = find (graph, ref);
   return node != NULL ? refs_of (node->dependents) : g_new0 (char *, 1);
 }
--- a/src/core/dependency.h
+++ b/src/core/dependency.h
@@ -26,25 +26,25 @@
 typedef void (*FtDependencyChanged) (const char *ref, gpointer data);
 
 FtDependencyGraph *ft_dependency_graph_new (FtDependencyChanged changed, gpointer data);
-void ft_dependency_graph_free (FtDependencyGraph *d);
+void ft_dependency_graph_free (FtDependencyGraph *graph);
 
 /* An open job. `needs`: what it waits for, NULL if nothing; `cancelled`: something that it
  * needs is cancelled already. */
-void ft_dependency_graph_add (FtDependencyGraph *d, const char *ref, const char *const *dependencies,
+void ft_dependency_graph_add (FtDependencyGraph *graph, const char *ref, const char *const *dependencies,
                               gboolean cancelled, const FtUrgency *own);
 /* The end of a job is committed, at that time (0: long ago). It leaves the graph. */
-void ft_dependency_graph_settle (FtDependencyGraph *d, const char *ref, FtJobEnd end, gint64 at);
+void ft_dependency_graph_settle (FtDependencyGraph *graph, const char *ref, FtJobEnd end, gint64 at);
 
-FtWait ft_dependency_graph_wait (const FtDependencyGraph *d, const char *ref);
+FtWait ft_dependency_graph_wait (const FtDependencyGraph *graph, const char *ref);
 /* When the last job that it needed was done; 0: it needed none, or long ago. */
-gint64 ft_dependency_graph_met_at (const FtDependencyGraph *d, const char *ref);
+gint64 ft_dependency_graph_met_at (const FtDependencyGraph *graph, const char *ref);
 /* Its own urgency, or that of a job that needs it; borrowed. NULL: not in the graph. */
-const FtUrgency *ft_dependency_graph_urgency (const FtDependencyGraph *d, const char *ref);
+const FtUrgency *ft_dependency_graph_urgency (const FtDependencyGraph *graph, const char *ref);
 
 /* A job that others need and of which nothing is known: its row is to be read. Named again
  * only after `retry_us`, if it is unknown still. Borrowed; NULL: none now. */
-const char *ft_dependency_graph_next_unread (FtDependencyGraph *d, gint64 now, gint64 retry_us);
+const char *ft_dependency_graph_next_unread (FtDependencyGraph *graph, gint64 now, gint64 retry_us);
 
 /* What the job waits for, and what waits for it: new, NULL-terminated. */
-GStrv ft_dependency_graph_dependencies (const FtDependencyGraph *d, const char *ref);
-GStrv ft_dependency_graph_dependents (const FtDependencyGraph *d, const char *ref);
+GStrv ft_dependency_graph_dependencies (const FtDependencyGraph *graph, const char *ref);
+GStrv ft_dependency_graph_dependents (const FtDependencyGraph *graph, const char *ref);
--- a/src/core/explain.c
+++ b/src/core/explain.c
@@ -2,7 +2,7 @@
 #include "core/model.h"
 
 static const char *
-why_waiting (const FtScheduler *s, const FtJob *job)
+why_waiting (const FtScheduler *scheduler, const FtJob *job)
 {
   if (job->dependency_cancelled)
     return "a job that it needs is cancelled: it is being cancelled";
@@ -12,19 +12,19 @@
     return "machines are being accounted for after a takeover";
   if (job->counts[FT_TASK_QUEUED] == 0)
     return "";
-  if (job->team != NULL && !ft_quota_allows (s, job->team, job->spec))
+  if (job->team != NULL && !ft_quota_allows (scheduler, job->team, job->spec))
     return "the team's limit is reached";
-  if (job->no_room_pass == s->pass)
+  if (job->no_room_pass == scheduler->pass)
     return "no allowed machine has room";
   return "paused after failures, or waiting for the next pass";
 }
 
 void
-ft_scheduler_each_job (FtScheduler *s, FtJobVisitor visit, gpointer data)
+ft_scheduler_each_job (FtScheduler *scheduler, FtJobVisitor visit, gpointer data)
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, s->jobs);
+  g_hash_table_iter_init (&it, scheduler->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtJob *job = value;
     const FtJobInfo info = { .ref = job->spec->ref,
@@ -33,30 +33,30 @@
                              .tasks = job->spec->tasks,
                              .done = ft_job_finished (job),
                              .running = ft_job_live (job) - job->counts[FT_TASK_STARTING],
-                             .why_waiting = why_waiting (s, job) };
+                             .why_waiting = why_waiting (scheduler, job) };
     visit (&info, data);
   }
 }
 
 GStrv
-ft_scheduler_job_dependencies (const FtScheduler *s, const char *ref)
+ft_scheduler_job_dependencies (const FtScheduler *scheduler, const char *ref)
 {
-  return ft_dependency_graph_dependencies (s->dependencies, ref);
+  return ft_dependency_graph_dependencies (scheduler->dependencies, ref);
 }
 
 GStrv
-ft_scheduler_job_dependents (const FtScheduler *s, const char *ref)
+ft_scheduler_job_dependents (const FtScheduler *scheduler, const char *ref)
 {
-  return ft_dependency_graph_dependents (s->dependencies, ref);
+  return ft_dependency_graph_dependents (scheduler->dependencies, ref);
 }
 
 void
-ft_scheduler_count_jobs (const FtScheduler *s, guint *open, guint *waiting)
+ft_scheduler_count_jobs (const FtScheduler *scheduler, guint *open, guint *waiting)
 {
   GHashTableIter it;
   gpointer value;
   *open = *waiting = 0;
-  g_hash_table_iter_init (&it, s->jobs);
+  g_hash_table_iter_init (&it, scheduler->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtJobState state = ((const FtJob *) value)->state;
     *open += state < FT_JOB_CANCELLING;
@@ -65,59 +65,59 @@
 }
 
 static const char *
-why_unused (const FtScheduler *s, const FtMachine *m)
+why_unused (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  if (m->drained)
+  if (machine->drained)
     return "drained by an operator";
-  if (m->quarantined)
+  if (machine->quarantined)
     return "tasks failed on it that were not to blame";
-  if (m->notice_until > 0)
+  if (machine->notice_until > 0)
     return "the cloud takes it back";
-  if (!m->reconciled)
+  if (!machine->reconciled)
     return "not heard from since the takeover";
-  if (m->state == FT_MACHINE_UP && !m->registered)
+  if (machine->state == FT_MACHINE_UP && !machine->registered)
     return "not yet in the roster";
-  return ft_machine_usable (s, m) ? "" : "not up";
+  return ft_machine_usable (scheduler, machine) ? "" : "not up";
 }
 
 void
-ft_scheduler_each_machine (FtScheduler *s, FtMachineVisitor visit, gpointer data)
+ft_scheduler_each_machine (FtScheduler *scheduler, FtMachineVisitor visit, gpointer data)
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, s->machines);
+  g_hash_table_iter_init (&it, scheduler->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtMachine *m = value;
-    visit (m->name, ft_machine_state_name (m->state), m->type_name, m->zone, m->spot, m->incarnation,
-           g_hash_table_size (m->attempts), why_unused (s, m), data);
+    const FtMachine *machine = value;
+    visit (machine->name, ft_machine_state_name (machine->state), machine->type_name, machine->zone, machine->spot,
+           machine->incarnation, g_hash_table_size (machine->attempts), why_unused (scheduler, machine), data);
   }
 }
 
 void
-ft_scheduler_each_team (FtScheduler *s, FtTeamVisitor visit, gpointer data)
+ft_scheduler_each_team (FtScheduler *scheduler, FtTeamVisitor visit, gpointer data)
 {
-  for (guint i = 0; i < s->settings->n_teams; i++)
-    visit (s->teams[i].limit, s->teams[i].cpus, s->teams[i].gpus, data);
+  for (guint i = 0; i < scheduler->settings->n_teams; i++)
+    visit (scheduler->teams[i].limit, scheduler->teams[i].cpus, scheduler->teams[i].gpus, data);
 }
 
 gboolean
-ft_scheduler_drain (FtScheduler *s, const char *name, gboolean drain)
+ft_scheduler_drain (FtScheduler *scheduler, const char *name, gboolean drain)
 {
-  FtMachine *machine = g_hash_table_lookup (s->machines, name);
+  FtMachine *machine = g_hash_table_lookup (scheduler->machines, name);
   if (drain)
-    g_hash_table_add (s->drained, g_strdup (name));
+    g_hash_table_add (scheduler->drained, g_strdup (name));
   else
-    g_hash_table_remove (s->drained, name);
+    g_hash_table_remove (scheduler->drained, name);
   g_message ("machine %s: %s", name, drain ? "drained" : "undrained");
   if (machine == NULL)
     return FALSE;
   machine->drained = drain;
-  s->placement_due = TRUE;
+  scheduler->placement_due = TRUE;
   return TRUE;
 }
 
 gboolean
-ft_scheduler_knows (const FtScheduler *s, const char *name)
+ft_scheduler_knows (const FtScheduler *scheduler, const char *name)
 {
-  return g_hash_table_contains (s->machines, name);
+  return g_hash_table_contains (scheduler->machines, name);
 }
--- a/src/core/fault.h
+++ b/src/core/fault.h
@@ -7,7 +7,7 @@
 #include "core/model.h"
 
 /* The attempt has exited with an error; its job is open. */
-void ft_fault_task_failed (FtScheduler *s, const FtAttempt *attempt);
+void ft_fault_task_failed (FtScheduler *scheduler, const FtAttempt *attempt);
 
 /* A task has completed on the machine: what failed there before is forgotten. */
 void ft_fault_task_completed (FtMachine *machine);
--- a/src/core/journal.c
+++ b/src/core/journal.c
@@ -56,22 +56,22 @@
 /* Where a transaction holds few changes the registry takes every other one, so that ends of
  * jobs and marks do not wait for a growing fleet. */
 static guint
-max_registry_rows (FtScheduler *s, const Batch *batch)
+max_registry_rows (FtScheduler *scheduler, const Batch *batch)
 {
-  gboolean others_turn
-      = s->wrote_registry && batch->left <= FT_REGISTRY_ROWS_AT_ONCE && !g_queue_is_empty (&s->pending_jobs);
+  gboolean others_turn = scheduler->wrote_registry && batch->left <= FT_REGISTRY_ROWS_AT_ONCE
+                         && !g_queue_is_empty (&scheduler->pending_jobs);
   return others_turn ? 0 : MIN (batch->left, FT_REGISTRY_ROWS_AT_ONCE);
 }
 
 static void
-add_registry_rows (FtScheduler *s, Batch *batch)
+add_registry_rows (FtScheduler *scheduler, Batch *batch)
 {
   guint before = batch->writes->len;
-  ft_registry_writes (s, batch->writes, max_registry_rows (s, batch));
+  ft_registry_writes (scheduler, batch->writes, max_registry_rows (scheduler, batch));
   batch->left -= batch->writes->len - before;
-  s->wrote_registry = batch->writes->len > before;
-  while (batch->left > 0 && !g_queue_is_empty (&s->drain_deletions)) {
-    g_autofree char *name = g_queue_pop_head (&s->drain_deletions);
+  scheduler->wrote_registry = batch->writes->len > before;
+  while (batch->left > 0 && !g_queue_is_empty (&scheduler->drain_deletions)) {
+    g_autofree char *name = g_queue_pop_head (&scheduler->drain_deletions);
     batch_add (batch, ft_write_new (FT_WRITE_DRAIN_DELETE, name));
   }
 }
@@ -122,19 +122,19 @@
 
 /* Jobs that have something to write share what done-sets may take of the state service. */
 static double
-chunk_every_s (const FtScheduler *s)
+chunk_every_s (const FtScheduler *scheduler)
 {
-  double rate = s->settings->store_write_rps * FT_CHUNK_WRITE_SHARE;
-  return MAX (FT_CHUNK_EVERY_S, rate > 0 ? g_queue_get_length ((GQueue *) &s->pending_jobs) / rate : 0);
+  double rate = scheduler->settings->store_write_rps * FT_CHUNK_WRITE_SHARE;
+  return MAX (FT_CHUNK_EVERY_S, rate > 0 ? g_queue_get_length ((GQueue *) &scheduler->pending_jobs) / rate : 0);
 }
 
 /* Adds at most that many; how many are left to add. */
 static guint
-add_chunks (FtScheduler *s, FtJob *job, Batch *batch, guint most)
+add_chunks (FtScheduler *scheduler, FtJob *job, Batch *batch, guint most)
 {
   /* A result stays with its worker until it is committed: a chunk that waits a
    * little covers many, and the end of the job covers all. */
-  if (job->state != FT_JOB_OPEN || s->now < job->chunk_at || g_hash_table_size (job->dirty_chunks) == 0)
+  if (job->state != FT_JOB_OPEN || scheduler->now < job->chunk_at || g_hash_table_size (job->dirty_chunks) == 0)
     return most;
   GHashTableIter it;
   gpointer key;
@@ -148,7 +148,7 @@
       g_hash_table_iter_remove (&it);
     most--;
   }
-  job->chunk_at = s->now + (gint64) (chunk_every_s (s) * FT_SECOND);
+  job->chunk_at = scheduler->now + (gint64) (chunk_every_s (scheduler) * FT_SECOND);
   return most;
 }
 
@@ -185,11 +185,11 @@
 
 /* Jobs stay in the queue while they have something to write. */
 static void
-requeue_pending_jobs (FtScheduler *s)
+requeue_pending_jobs (FtScheduler *scheduler)
 {
-  guint n = g_queue_get_length (&s->pending_jobs);
+  guint n = g_queue_get_length (&scheduler->pending_jobs);
   for (guint i = 0; i < n; i++) {
-    FtJob *job = g_queue_pop_head (&s->pending_jobs);
+    FtJob *job = g_queue_pop_head (&scheduler->pending_jobs);
     job->write_queued = FALSE;
     if (job_ends (job) || wants_watermark (job)
         || (job->state == FT_JOB_OPEN && g_hash_table_size (job->dirty_chunks) > 0))
@@ -198,39 +198,39 @@
 }
 
 GPtrArray *
-ft_scheduler_next_writes (FtScheduler *s, guint ops, gboolean spare, gint64 now)
+ft_scheduler_next_writes (FtScheduler *scheduler, guint ops, gboolean spare, gint64 now)
 {
-  s->now = now;
+  scheduler->now = now;
   Batch batch = { g_ptr_array_new_with_free_func ((GDestroyNotify) ft_write_free), ops };
-  if (!s->loaded)
+  if (!scheduler->loaded)
     return batch.writes;
-  add_registry_rows (s, &batch);
+  add_registry_rows (scheduler, &batch);
   /* Ends of jobs first: somebody waits for them. */
-  for (GList *l = s->pending_jobs.head; l != NULL && batch.left > 0; l = l->next)
-    if (job_ends (l->data))
-      add_end (l->data, &batch);
-  for (GList *l = s->pending_jobs.head; l != NULL && batch.left > 0; l = l->next)
-    if (wants_watermark (l->data))
-      add_watermark (l->data, &batch);
+  for (GList *link = scheduler->pending_jobs.head; link != NULL && batch.left > 0; link = link->next)
+    if (job_ends (link->data))
+      add_end (link->data, &batch);
+  for (GList *link = scheduler->pending_jobs.head; link != NULL && batch.left > 0; link = link->next)
+    if (wants_watermark (link->data))
+      add_watermark (link->data, &batch);
   /* Without spare changes each further one would hold up the ends and marks of the next batch. */
   guint chunks = spare ? G_MAXUINT : FT_CHUNKS_WITHOUT_SPARE;
   guint drops = chunks;
-  for (GList *l = s->pending_jobs.head; l != NULL && batch.left > 0 && chunks > 0; l = l->next) {
-    const FtJob *job = l->data;
+  for (GList *link = scheduler->pending_jobs.head; link != NULL && batch.left > 0 && chunks > 0; link = link->next) {
+    const FtJob *job = link->data;
     if (!job->final_in_flight && !job->conflicted && !job_ends (job))
-      chunks = add_chunks (s, l->data, &batch, chunks);
+      chunks = add_chunks (scheduler, link->data, &batch, chunks);
   }
-  s->looked_at += g_queue_get_length (&s->pending_jobs);
-  requeue_pending_jobs (s);
-  for (; batch.left > 0 && drops > 0 && !g_queue_is_empty (&s->chunk_deletions); drops--)
-    batch_add (&batch, g_queue_pop_head (&s->chunk_deletions));
+  scheduler->looked_at += g_queue_get_length (&scheduler->pending_jobs);
+  requeue_pending_jobs (scheduler);
+  for (; batch.left > 0 && drops > 0 && !g_queue_is_empty (&scheduler->chunk_deletions); drops--)
+    batch_add (&batch, g_queue_pop_head (&scheduler->chunk_deletions));
   return batch.writes;
 }
 
 static void
-chunk_written (FtScheduler *s, const FtWrite *write)
+chunk_written (FtScheduler *scheduler, const FtWrite *write)
 {
-  FtJob *job = g_hash_table_lookup (s->jobs, write->name);
+  FtJob *job = g_hash_table_lookup (scheduler->jobs, write->name);
   if (job == NULL)
     return;
   g_hash_table_add (job->written, GUINT_TO_POINTER (write->chunk));
@@ -241,17 +241,17 @@
     if (task->state != FT_TASK_FINISHED)
       continue;
     ft_task_set_state (job, index, FT_TASK_DONE);
-    FtAttempt *a = task->attempt;
-    if (a != NULL) {
-      a->forget_ok = TRUE;
-      ft_attempt_end (s, a);
+    FtAttempt *attempt = task->attempt;
+    if (attempt != NULL) {
+      attempt->forget_ok = TRUE;
+      ft_attempt_end (scheduler, attempt);
     }
   }
 }
 
 /* Its done-set goes when changes are spare; a leader that finds the rest deletes it too. */
 static void
-leave_chunks (FtScheduler *s, const FtJob *job)
+leave_chunks (FtScheduler *scheduler, const FtJob *job)
 {
   GHashTableIter it;
   gpointer key;
@@ -259,43 +259,43 @@
   while (g_hash_table_iter_next (&it, &key, NULL)) {
     FtWrite *drop = ft_write_new (FT_WRITE_CHUNK_DELETE, job->spec->ref);
     drop->chunk = GPOINTER_TO_UINT (key);
-    g_queue_push_tail (&s->chunk_deletions, drop);
+    g_queue_push_tail (&scheduler->chunk_deletions, drop);
   }
 }
 
 static void
-end_written (FtScheduler *s, FtJob *job, FtWriteKind kind)
+end_written (FtScheduler *scheduler, FtJob *job, FtWriteKind kind)
 {
   gboolean done = kind == FT_WRITE_JOB_DONE;
   g_message ("job %s: %s committed", job->spec->ref,
              done                           ? "done"
              : kind == FT_WRITE_JOB_STOPPED ? "end of withdrawal"
                                             : "cancelled with a job that it needs");
-  leave_chunks (s, job);
-  ft_job_end (s, job, done ? FT_JOB_END_DONE : FT_JOB_END_CANCELLED);
+  leave_chunks (scheduler, job);
+  ft_job_end (scheduler, job, done ? FT_JOB_END_DONE : FT_JOB_END_CANCELLED);
 }
 
 static void
-write_done (FtScheduler *s, const FtWrite *write)
+write_done (FtScheduler *scheduler, const FtWrite *write)
 {
-  FtJob *job = g_hash_table_lookup (s->jobs, write->name);
+  FtJob *job = g_hash_table_lookup (scheduler->jobs, write->name);
   switch (write->kind) {
   case FT_WRITE_REGISTRY_ROW:
   case FT_WRITE_REGISTRY_ROW_DELETE:
-    ft_registry_written (s, write, TRUE);
+    ft_registry_written (scheduler, write, TRUE);
     break;
   case FT_WRITE_WATERMARK:
     if (job != NULL)
       watermark_written (job, write->watermark);
     break;
   case FT_WRITE_CHUNK:
-    chunk_written (s, write);
+    chunk_written (scheduler, write);
     break;
   case FT_WRITE_JOB_DONE:
   case FT_WRITE_JOB_STOPPED:
   case FT_WRITE_JOB_CANCELLED:
     if (job != NULL)
-      end_written (s, job, write->kind);
+      end_written (scheduler, job, write->kind);
     break;
   default:
     break;
@@ -303,24 +303,24 @@
 }
 
 void
-ft_scheduler_writes_committed (FtScheduler *s, GPtrArray *writes, gint64 now)
+ft_scheduler_writes_committed (FtScheduler *scheduler, GPtrArray *writes, gint64 now)
 {
-  s->now = now;
+  scheduler->now = now;
   for (guint i = 0; i < writes->len; i++)
-    write_done (s, g_ptr_array_index (writes, i));
+    write_done (scheduler, g_ptr_array_index (writes, i));
 }
 
 static void
-write_undone (FtScheduler *s, FtWrite *write)
+write_undone (FtScheduler *scheduler, FtWrite *write)
 {
-  FtJob *job = g_hash_table_lookup (s->jobs, write->name);
+  FtJob *job = g_hash_table_lookup (scheduler->jobs, write->name);
   switch (write->kind) {
   case FT_WRITE_REGISTRY_ROW:
   case FT_WRITE_REGISTRY_ROW_DELETE:
-    ft_registry_written (s, write, FALSE);
+    ft_registry_written (scheduler, write, FALSE);
     break;
   case FT_WRITE_DRAIN_DELETE:
-    g_queue_push_tail (&s->drain_deletions, g_strdup (write->name));
+    g_queue_push_tail (&scheduler->drain_deletions, g_strdup (write->name));
     break;
   case FT_WRITE_WATERMARK:
     if (job == NULL)
@@ -332,13 +332,13 @@
     if (job == NULL)
       break;
     g_hash_table_add (job->dirty_chunks, GUINT_TO_POINTER (write->chunk));
-    job->chunk_at = s->now;
+    job->chunk_at = scheduler->now;
     ft_job_queue_write (job);
     break;
   case FT_WRITE_CHUNK_DELETE: {
     FtWrite *again = ft_write_new (FT_WRITE_CHUNK_DELETE, write->name);
     again->chunk = write->chunk;
-    g_queue_push_tail (&s->chunk_deletions, again);
+    g_queue_push_tail (&scheduler->chunk_deletions, again);
     break;
   }
   case FT_WRITE_JOB_DONE:
@@ -353,22 +353,22 @@
 }
 
 void
-ft_scheduler_writes_failed (FtScheduler *s, GPtrArray *writes, const char *conflicted, gint64 now)
+ft_scheduler_writes_failed (FtScheduler *scheduler, GPtrArray *writes, const char *conflicted, gint64 now)
 {
-  s->now = now;
+  scheduler->now = now;
   for (guint i = 0; i < writes->len; i++)
-    write_undone (s, g_ptr_array_index (writes, i));
-  FtJob *job = conflicted != NULL ? g_hash_table_lookup (s->jobs, conflicted) : NULL;
+    write_undone (scheduler, g_ptr_array_index (writes, i));
+  FtJob *job = conflicted != NULL ? g_hash_table_lookup (scheduler->jobs, conflicted) : NULL;
   if (job != NULL)
     job->conflicted = TRUE; /* until ft_scheduler_job_conflict_resolved() */
 }
 
 /* What its row says is known again; NULL: the job is not. */
 static FtJob *
-conflict_over (FtScheduler *s, const char *ref, gint64 now)
+conflict_over (FtScheduler *scheduler, const char *ref, gint64 now)
 {
-  s->now = now;
-  FtJob *job = g_hash_table_lookup (s->jobs, ref);
+  scheduler->now = now;
+  FtJob *job = g_hash_table_lookup (scheduler->jobs, ref);
   if (job == NULL)
     return NULL;
   job->conflicted = FALSE;
@@ -377,9 +377,9 @@
 }
 
 void
-ft_scheduler_job_still_open (FtScheduler *s, const char *ref, guint64 revision, gint64 now)
+ft_scheduler_job_still_open (FtScheduler *scheduler, const char *ref, guint64 revision, gint64 now)
 {
-  FtJob *job = conflict_over (s, ref, now);
+  FtJob *job = conflict_over (scheduler, ref, now);
   if (job == NULL)
     return;
   g_warning ("job %s: open at another revision than was known", ref);
@@ -387,15 +387,15 @@
 }
 
 void
-ft_scheduler_job_conflict_resolved (FtScheduler *s, const char *ref, gboolean done, gint64 now)
+ft_scheduler_job_conflict_resolved (FtScheduler *scheduler, const char *ref, gboolean done, gint64 now)
 {
-  FtJob *job = conflict_over (s, ref, now);
+  FtJob *job = conflict_over (scheduler, ref, now);
   if (job == NULL)
     return;
   if (!done) {
-    ft_job_cancel (s, job, s->now);
+    ft_job_cancel (scheduler, job, scheduler->now);
     return;
   }
-  leave_chunks (s, job);
-  ft_job_end (s, job, FT_JOB_END_DONE);
+  leave_chunks (scheduler, job);
+  ft_job_end (scheduler, job, FT_JOB_END_DONE);
 }
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -16,15 +16,15 @@
 static guint
 attempt_hash (gconstpointer key)
 {
-  const FtAttempt *a = key;
-  return (guint) a->id * 31u + a->index;
+  const FtAttempt *attempt = key;
+  return (guint) attempt->id * 31u + attempt->index;
 }
 
 static gboolean
 attempt_equal (gconstpointer x, gconstpointer y)
 {
-  const FtAttempt *a = x, *b = y;
-  return a->id == b->id && a->index == b->index && g_strcmp0 (a->job_ref, b->job_ref) == 0;
+  const FtAttempt *attempt = x, *b = y;
+  return attempt->id == b->id && attempt->index == b->index && g_strcmp0 (attempt->job_ref, b->job_ref) == 0;
 }
 
 FtAttempt *
@@ -35,19 +35,20 @@
 }
 
 FtMachine *
-ft_machine_new (FtScheduler *s, const char *name, const char *addr, const char *type, const char *zone, gboolean spot)
+ft_machine_new (FtScheduler *scheduler, const char *name, const char *addr, const char *type, const char *zone,
+                gboolean spot)
 {
   FtMachine *machine = g_new0 (FtMachine, 1);
-  machine->scheduler = s;
+  machine->scheduler = scheduler;
   machine->name = g_strdup (name);
   machine->addr = g_strdup (addr);
   machine->type_name = g_strdup (type);
   machine->zone = g_strdup (zone);
-  machine->zone_view = ft_zone_get (s->zones, zone);
+  machine->zone_view = ft_zone_get (scheduler->zones, zone);
   machine->spot = spot;
-  machine->type = ft_catalog_find (s->catalog, type);
-  machine->launched_at = machine->idle_since = s->now;
-  machine->drained = g_hash_table_contains (s->drained, name);
+  machine->type = ft_catalog_find (scheduler->catalog, type);
+  machine->launched_at = machine->idle_since = scheduler->now;
+  machine->drained = g_hash_table_contains (scheduler->drained, name);
   machine->attempts = g_hash_table_new_full (attempt_hash, attempt_equal, NULL, (GDestroyNotify) attempt_free);
   machine->images = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return machine;
@@ -56,11 +57,11 @@
 void
 ft_machine_set_reconciled (FtMachine *machine)
 {
-  FtScheduler *s = machine->scheduler;
+  FtScheduler *scheduler = machine->scheduler;
   if (machine->reconciled)
     return;
   machine->reconciled = TRUE;
-  s->placement_due = TRUE;
+  scheduler->placement_due = TRUE;
   ft_recovery_uncount (machine);
 }
 
@@ -125,14 +126,14 @@
 }
 
 gboolean
-ft_machine_usable (const FtScheduler *s, const FtMachine *machine)
+ft_machine_usable (const FtScheduler *scheduler, const FtMachine *machine)
 {
   return machine->state == FT_MACHINE_UP && machine->registered && machine->reconciled && machine->acknowledged_token
-         && !ft_machine_not_receiving (machine) && !ft_machine_not_reporting (s, machine) && machine->type != NULL
-         && !machine->drained && !machine->quarantined && machine->notice_until == 0
+         && !ft_machine_not_receiving (machine) && !ft_machine_not_reporting (scheduler, machine)
+         && machine->type != NULL && !machine->drained && !machine->quarantined && machine->notice_until == 0
          && machine->incarnation > machine->expired_incarnation
-         && s->now - machine->last_status_at
-                < (gint64) ((s->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_USABLE_MARGIN_S) * FT_SECOND);
+         && scheduler->now - machine->last_status_at
+                < (gint64) ((scheduler->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_USABLE_MARGIN_S) * FT_SECOND);
 }
 
 /* Its heartbeats come, but neither answers nor commands seem to reach it. */
@@ -143,37 +144,37 @@
 }
 
 gint64
-ft_machine_lease_us (const FtScheduler *s)
+ft_machine_lease_us (const FtScheduler *scheduler)
 {
-  return (gint64) ((s->settings->lease_s * (1 + FT_CLOCK_DRIFT) + FT_WORKER_LEASE_MARGIN_S) * FT_SECOND);
+  return (gint64) ((scheduler->settings->lease_s * (1 + FT_CLOCK_DRIFT) + FT_WORKER_LEASE_MARGIN_S) * FT_SECOND);
 }
 
 gint64
-ft_machine_silence_us (const FtScheduler *s)
+ft_machine_silence_us (const FtScheduler *scheduler)
 {
-  return (gint64) ((s->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S + FT_SILENCE_MARGIN_S)
+  return (gint64) ((scheduler->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S + FT_SILENCE_MARGIN_S)
                    * FT_SECOND);
 }
 
 gint64
-ft_machine_overdue_us (const FtScheduler *s)
+ft_machine_overdue_us (const FtScheduler *scheduler)
 {
-  return (gint64) ((s->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_OVERDUE_MARGIN_S) * FT_SECOND);
+  return (gint64) ((scheduler->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_OVERDUE_MARGIN_S) * FT_SECOND);
 }
 
 gint64
-ft_machine_no_heartbeat_since (const FtScheduler *s, const FtMachine *machine)
+ft_machine_no_heartbeat_since (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  return MAX (machine->last_heartbeat_at, MAX (s->on_time_since, s->answering_since));
+  return MAX (machine->last_heartbeat_at, MAX (scheduler->on_time_since, scheduler->answering_since));
 }
 
 /* Commands reach it, but its heartbeats reach nobody: whatever is started there dies with
  * its lease. Counted from its own heartbeats alone, while we were there to answer them. */
 gboolean
-ft_machine_not_reporting (const FtScheduler *s, const FtMachine *machine)
+ft_machine_not_reporting (const FtScheduler *scheduler, const FtMachine *machine)
 {
   return machine->state == FT_MACHINE_UP
-         && s->now - ft_machine_no_heartbeat_since (s, machine) > ft_machine_silence_us (s);
+         && scheduler->now - ft_machine_no_heartbeat_since (scheduler, machine) > ft_machine_silence_us (scheduler);
 }
 
 gboolean
@@ -214,9 +215,9 @@
   gpointer value;
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtAttempt *a = value;
+    const FtAttempt *attempt = value;
     /* A finished task whose result is not committed needs its machine too. */
-    if (!a->exited || (a->job != NULL && a->bound))
+    if (!attempt->exited || (attempt->job != NULL && attempt->bound))
       return FALSE;
   }
   return TRUE;
@@ -225,34 +226,34 @@
 FtAttempt *
 ft_attempt_new (FtMachine *machine, FtJob *job, const char *ref, guint index, guint64 id)
 {
-  FtAttempt *a = g_new0 (FtAttempt, 1);
-  a->id = id;
-  a->job = job;
-  a->job_ref = g_strdup (ref);
-  a->index = index;
-  a->machine = machine;
-  a->incarnation = machine->incarnation;
+  FtAttempt *attempt = g_new0 (FtAttempt, 1);
+  attempt->id = id;
+  attempt->job = job;
+  attempt->job_ref = g_strdup (ref);
+  attempt->index = index;
+  attempt->machine = machine;
+  attempt->incarnation = machine->incarnation;
   if (job != NULL) {
-    a->team = job->team;
-    a->cpus = job->spec->cpus;
-    a->gpus = job->spec->gpus;
-    a->memory_gb = job->spec->memory_gb;
+    attempt->team = job->team;
+    attempt->cpus = job->spec->cpus;
+    attempt->gpus = job->spec->gpus;
+    attempt->memory_gb = job->spec->memory_gb;
   }
-  g_hash_table_insert (machine->attempts, a, a);
+  g_hash_table_insert (machine->attempts, attempt, attempt);
   if (job != NULL)
-    g_hash_table_add (job->attempts, a);
-  return a;
+    g_hash_table_add (job->attempts, attempt);
+  return attempt;
 }
 
 static void
-count (FtAttempt *a, double sign)
-{
-  a->machine->cpus += sign * a->cpus;
-  a->machine->gpus += sign * a->gpus;
-  a->machine->memory_gb += sign * a->memory_gb;
-  if (a->team != NULL) {
-    a->team->cpus += sign * a->cpus;
-    a->team->gpus += sign * a->gpus;
+count (FtAttempt *attempt, double sign)
+{
+  attempt->machine->cpus += sign * attempt->cpus;
+  attempt->machine->gpus += sign * attempt->gpus;
+  attempt->machine->memory_gb += sign * attempt->memory_gb;
+  if (attempt->team != NULL) {
+    attempt->team->cpus += sign * attempt->cpus;
+    attempt->team->gpus += sign * attempt->gpus;
   }
 }
 
@@ -309,40 +310,40 @@
 }
 
 void
-ft_attempt_end (FtScheduler *s, FtAttempt *attempt)
+ft_attempt_end (FtScheduler *scheduler, FtAttempt *attempt)
 {
   FtMachine *machine = attempt->machine;
   ft_attempt_release (attempt);
   unbind (attempt);
-  s->placement_due = TRUE;
+  scheduler->placement_due = TRUE;
   if (ft_machine_idle (machine))
-    machine->idle_since = s->now;
+    machine->idle_since = scheduler->now;
   if (!(attempt->exited && attempt->listed))
     g_hash_table_remove (machine->attempts, attempt);
 }
 
 /* Everything that ran in the incarnations so far is over. */
 void
-ft_machine_end_incarnation (FtScheduler *s, FtMachine *machine)
+ft_machine_end_incarnation (FtScheduler *scheduler, FtMachine *machine)
 {
   g_autoptr (GList) all = g_hash_table_get_values (machine->attempts);
-  for (GList *l = all; l != NULL; l = l->next) {
-    FtAttempt *a = l->data;
-    a->listed = FALSE;
-    ft_attempt_end (s, a);
+  for (GList *link = all; link != NULL; link = link->next) {
+    FtAttempt *attempt = link->data;
+    attempt->listed = FALSE;
+    ft_attempt_end (scheduler, attempt);
   }
   machine->expired_incarnation = MAX (machine->expired_incarnation, machine->incarnation);
 }
 
 void
-ft_machine_gone (FtScheduler *s, FtMachine *machine, const char *why)
+ft_machine_gone (FtScheduler *scheduler, FtMachine *machine, const char *why)
 {
   g_message ("machine %s: gone (%s)", machine->name, why);
-  ft_machine_end_incarnation (s, machine);
+  ft_machine_end_incarnation (scheduler, machine);
   ft_machine_set_reconciled (machine);
-  g_queue_remove (&s->terminating, machine);
+  g_queue_remove (&scheduler->terminating, machine);
   ft_machine_set_state (machine, FT_MACHINE_GONE);
-  g_hash_table_add (s->gone, g_strdup (machine->name));
-  ft_registry_remove (s, machine);
-  s->placement_due = TRUE;
+  g_hash_table_add (scheduler->gone, g_strdup (machine->name));
+  ft_registry_remove (scheduler, machine);
+  scheduler->placement_due = TRUE;
 }
--- a/src/core/model.h
+++ b/src/core/model.h
@@ -245,33 +245,33 @@
 FtWrite *ft_write_new (FtWriteKind kind, const char *name);
 
 /* open_jobs.c: the jobs that are open, their life and what they wait for */
-void ft_open_jobs_init (FtScheduler *s);
-void ft_open_jobs_clear (FtScheduler *s);
+void ft_open_jobs_init (FtScheduler *scheduler);
+void ft_open_jobs_clear (FtScheduler *scheduler);
 /* Nothing of the job starts any more, and what runs is stopped; `at`: when its cancellation was committed. */
-void ft_job_cancel (FtScheduler *s, FtJob *job, gint64 at);
+void ft_job_cancel (FtScheduler *scheduler, FtJob *job, gint64 at);
 /* Its end is in the store: frees the job; what is left of it on machines is stopped. */
-void ft_job_end (FtScheduler *s, FtJob *job, FtJobEnd end);
+void ft_job_end (FtScheduler *scheduler, FtJob *job, FtJobEnd end);
 
 /* worker_reports.c: what a heartbeat tells of its machine and of the attempts there.
  * `is_heartbeat`: it came by itself, not as the answer to a direct command. */
-void ft_machine_apply_status (FtScheduler *s, FtMachine *machine, const FtWorkerHeartbeat *heartbeat,
+void ft_machine_apply_status (FtScheduler *scheduler, FtMachine *machine, const FtWorkerHeartbeat *heartbeat,
                               gboolean is_heartbeat);
 
 /* commands.c */
 /* Since when the machine is silent, for all we can tell. */
-gint64 ft_machine_silent_since (const FtScheduler *s, const FtMachine *machine);
+gint64 ft_machine_silent_since (const FtScheduler *scheduler, const FtMachine *machine);
 /* The ordinary gap between two heartbeats is over: a probe tells whether the
  * machine or only the exchange is lost. */
-gboolean ft_machine_heartbeat_overdue (const FtScheduler *s, const FtMachine *machine);
-gboolean ft_machine_wants_probe (const FtScheduler *s, const FtMachine *machine);
+gboolean ft_machine_heartbeat_overdue (const FtScheduler *scheduler, const FtMachine *machine);
+gboolean ft_machine_wants_probe (const FtScheduler *scheduler, const FtMachine *machine);
 
 /* machine.c */
-FtMachine *ft_machine_new (FtScheduler *s, const char *name, const char *addr, const char *type, const char *zone,
-                           gboolean spot);
+FtMachine *ft_machine_new (FtScheduler *scheduler, const char *name, const char *addr, const char *type,
+                           const char *zone, gboolean spot);
 void ft_machine_free (FtMachine *machine);
 gboolean ft_machine_set_state (FtMachine *machine, FtMachineState to);
 const char *ft_machine_state_name (FtMachineState state);
-gboolean ft_machine_usable (const FtScheduler *s, const FtMachine *machine);
+gboolean ft_machine_usable (const FtScheduler *scheduler, const FtMachine *machine);
 void ft_machine_set_reconciled (FtMachine *machine);
 /* The machine may want a direct request. */
 void ft_machine_queue_direct (FtMachine *machine);
@@ -280,15 +280,15 @@
 void ft_job_queue_write (FtJob *job);
 guint ft_machine_room (const FtMachine *machine, const FtJobSpec *spec);
 gboolean ft_machine_not_receiving (const FtMachine *machine);
-gboolean ft_machine_not_reporting (const FtScheduler *s, const FtMachine *machine);
+gboolean ft_machine_not_reporting (const FtScheduler *scheduler, const FtMachine *machine);
 /* How long a worker keeps its tasks after its last answered report, at most; and how long
  * nothing comes from a machine until it counts as silent. */
-gint64 ft_machine_lease_us (const FtScheduler *s);
-gint64 ft_machine_silence_us (const FtScheduler *s);
+gint64 ft_machine_lease_us (const FtScheduler *scheduler);
+gint64 ft_machine_silence_us (const FtScheduler *scheduler);
 /* After how long without one a machine's report is overdue. */
-gint64 ft_machine_overdue_us (const FtScheduler *s);
+gint64 ft_machine_overdue_us (const FtScheduler *scheduler);
 /* Since when it could have reported to us, and has not. */
-gint64 ft_machine_no_heartbeat_since (const FtScheduler *s, const FtMachine *machine);
+gint64 ft_machine_no_heartbeat_since (const FtScheduler *scheduler, const FtMachine *machine);
 gboolean ft_machine_idle (const FtMachine *machine);
 gboolean ft_machine_allowed (const FtMachine *machine, const FtJobSpec *spec);
 FtAttempt *ft_machine_attempt (const FtMachine *machine, const char *ref, guint index, guint64 id);
@@ -298,37 +298,37 @@
 void ft_attempt_bind (FtAttempt *attempt, FtTaskState state);
 void ft_attempt_want_stop (FtAttempt *attempt, double grace_s);
 /* The attempt is known to be over, without a result; frees it unless its exit is still listed. */
-void ft_attempt_end (FtScheduler *s, FtAttempt *attempt);
-void ft_machine_end_incarnation (FtScheduler *s, FtMachine *machine);
-void ft_machine_gone (FtScheduler *s, FtMachine *machine, const char *why);
+void ft_attempt_end (FtScheduler *scheduler, FtAttempt *attempt);
+void ft_machine_end_incarnation (FtScheduler *scheduler, FtMachine *machine);
+void ft_machine_gone (FtScheduler *scheduler, FtMachine *machine, const char *why);
 
 /* quota.c */
-FtTeam *ft_quota_team (FtScheduler *s, const char *name);
-gboolean ft_quota_allows (const FtScheduler *s, const FtTeam *team, const FtJobSpec *spec);
-guint ft_quota_count (const FtScheduler *s, const FtTeam *team, const FtJobSpec *spec);
-void ft_quota_mark_guaranteed (FtScheduler *s);
+FtTeam *ft_quota_team (FtScheduler *scheduler, const char *name);
+gboolean ft_quota_allows (const FtScheduler *scheduler, const FtTeam *team, const FtJobSpec *spec);
+guint ft_quota_count (const FtScheduler *scheduler, const FtTeam *team, const FtJobSpec *spec);
+void ft_quota_mark_guaranteed (FtScheduler *scheduler);
 
 /* placement.c */
-void ft_placement_pass (FtScheduler *s);
+void ft_placement_pass (FtScheduler *scheduler);
 /* What one machine has room for again, without a pass over all. */
-void ft_placement_fill (FtScheduler *s, FtMachine *machine);
-void ft_placement_forget (FtScheduler *s, FtJob *job);
+void ft_placement_fill (FtScheduler *scheduler, FtMachine *machine);
+void ft_placement_forget (FtScheduler *scheduler, FtJob *job);
 
 /* registry.c */
 void ft_registry_row_free (FtRegistryRow *row);
-void ft_registry_add (FtScheduler *s, FtMachine *machine);
-void ft_registry_remove (FtScheduler *s, FtMachine *machine);
+void ft_registry_add (FtScheduler *scheduler, FtMachine *machine);
+void ft_registry_remove (FtScheduler *scheduler, FtMachine *machine);
 /* A row as read from the store names the machine; NULL: it names one that is gone. */
-void ft_registry_loaded (FtScheduler *s, const char *id, FtMachine *machine);
+void ft_registry_loaded (FtScheduler *scheduler, const char *id, FtMachine *machine);
 /* Rows that are due, as writes; `most` at a time. */
-void ft_registry_writes (FtScheduler *s, GPtrArray *writes, guint most);
-void ft_registry_written (FtScheduler *s, const FtWrite *write, gboolean applied);
+void ft_registry_writes (FtScheduler *scheduler, GPtrArray *writes, guint most);
+void ft_registry_written (FtScheduler *scheduler, const FtWrite *write, gboolean applied);
 
 /* preempt.c */
-gboolean ft_preempt_for (FtScheduler *s, FtJob *job);
+gboolean ft_preempt_for (FtScheduler *scheduler, FtJob *job);
 
 /* recovery.c */
-void ft_recovery_tick (FtScheduler *s);
-void ft_recovery_recount (FtScheduler *s);
+void ft_recovery_tick (FtScheduler *scheduler);
+void ft_recovery_recount (FtScheduler *scheduler);
 void ft_recovery_uncount (FtMachine *machine);
-void ft_recovery_unreconciled (const FtScheduler *s, double *cpus, double *gpus);
+void ft_recovery_unreconciled (const FtScheduler *scheduler, double *cpus, double *gpus);
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -7,63 +7,63 @@
 static gint
 by_urgency (gconstpointer a, gconstpointer b)
 {
-  const FtJob *x = *(FtJob *const *) a, *y = *(FtJob *const *) b;
-  if (x->starved != y->starved)
-    return x->starved ? -1 : 1;
-  if (x->guaranteed != y->guaranteed)
-    return x->guaranteed ? -1 : 1;
-  if (x->priority != y->priority)
-    return x->priority > y->priority ? -1 : 1;
-  if (x->too_late != y->too_late)
-    return x->too_late ? 1 : -1;
-  gint64 dx = x->deadline_at ? x->deadline_at : G_MAXINT64, dy = y->deadline_at ? y->deadline_at : G_MAXINT64;
+  const FtJob *job = *(FtJob *const *) a, *y = *(FtJob *const *) b;
+  if (job->starved != y->starved)
+    return job->starved ? -1 : 1;
+  if (job->guaranteed != y->guaranteed)
+    return job->guaranteed ? -1 : 1;
+  if (job->priority != y->priority)
+    return job->priority > y->priority ? -1 : 1;
+  if (job->too_late != y->too_late)
+    return job->too_late ? 1 : -1;
+  gint64 dx = job->deadline_at ? job->deadline_at : G_MAXINT64, dy = y->deadline_at ? y->deadline_at : G_MAXINT64;
   if (dx != dy)
     return dx < dy ? -1 : 1;
-  return x->revision < y->revision ? -1 : x->revision > y->revision;
+  return job->revision < y->revision ? -1 : job->revision > y->revision;
 }
 
 /* In overload, earliest deadline first makes every job late. What cannot be in
  * time any more lets pass what still can, for a bounded time. */
 static gboolean
-too_late (const FtScheduler *s, const FtJob *job)
+too_late (const FtScheduler *scheduler, const FtJob *job)
 {
   if (job->deadline_at == 0)
     return FALSE;
   gint64 dependencies = (gint64) (job->spec->estimate_s * FT_TOO_LATE_SHARE * FT_SECOND);
   gint64 patience = (gint64) (FT_TOO_LATE_PATIENCE * (double) (job->deadline_at - job->accepted_at));
-  return s->now + dependencies > job->deadline_at && s->now < job->deadline_at + patience;
+  return scheduler->now + dependencies > job->deadline_at && scheduler->now < job->deadline_at + patience;
 }
 
 static gboolean
-wants_placing (const FtScheduler *s, const FtJob *job)
+wants_placing (const FtScheduler *scheduler, const FtJob *job)
 {
-  return job->state == FT_JOB_OPEN && job->counts[FT_TASK_QUEUED] > 0 && job->not_before <= s->now;
+  return job->state == FT_JOB_OPEN && job->counts[FT_TASK_QUEUED] > 0 && job->not_before <= scheduler->now;
 }
 
 static void
-collect (FtScheduler *s)
+collect (FtScheduler *scheduler)
 {
   GHashTableIter it;
   gpointer value;
-  g_ptr_array_set_size (s->order, 0);
-  g_hash_table_iter_init (&it, s->jobs);
+  g_ptr_array_set_size (scheduler->order, 0);
+  g_hash_table_iter_init (&it, scheduler->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtJob *job = value;
     if (job->state != FT_JOB_OPEN || job->team == NULL)
       continue;
-    job->too_late = too_late (s, job);
+    job->too_late = too_late (scheduler, job);
     /* Whatever the order is, nothing waits for ever to begin: not what is too late
      * for its deadline, not the largest jobs of a class. */
-    job->starved = !job->begun && s->now - job->ready_at > (gint64) (FT_STARVED_AFTER_S * FT_SECOND);
-    g_ptr_array_add (s->order, job);
+    job->starved = !job->begun && scheduler->now - job->ready_at > (gint64) (FT_STARVED_AFTER_S * FT_SECOND);
+    g_ptr_array_add (scheduler->order, job);
   }
-  s->looked_at += s->order->len;
-  ft_quota_mark_guaranteed (s);
-  g_ptr_array_sort (s->order, by_urgency);
-  g_ptr_array_set_size (s->waiting, 0);
-  for (guint i = 0; i < s->order->len; i++)
-    if (wants_placing (s, g_ptr_array_index (s->order, i)))
-      g_ptr_array_add (s->waiting, g_ptr_array_index (s->order, i));
+  scheduler->looked_at += scheduler->order->len;
+  ft_quota_mark_guaranteed (scheduler);
+  g_ptr_array_sort (scheduler->order, by_urgency);
+  g_ptr_array_set_size (scheduler->waiting, 0);
+  for (guint i = 0; i < scheduler->order->len; i++)
+    if (wants_placing (scheduler, g_ptr_array_index (scheduler->order, i)))
+      g_ptr_array_add (scheduler->waiting, g_ptr_array_index (scheduler->order, i));
 }
 
 static guint
@@ -85,30 +85,30 @@
 } Whereabouts;
 
 static void
-find_whereabouts (const FtJob *job, Whereabouts *w)
+find_whereabouts (const FtJob *job, Whereabouts *whereabouts)
 {
-  w->zone_count = g_hash_table_new (g_str_hash, g_str_equal);
-  w->zone = NULL;
+  whereabouts->zone_count = g_hash_table_new (g_str_hash, g_str_equal);
+  whereabouts->zone = NULL;
   if (!job->spec->one_zone && !job->spec->spread)
     return; /* nobody asks, and a job may have very many tasks */
   for (guint i = 0; i < job->spec->tasks; i++) {
     const FtAttempt *a = job->tasks[i].attempt;
     if (a == NULL || !a->reserved)
       continue;
-    w->zone = a->machine->zone;
-    guint n = GPOINTER_TO_UINT (g_hash_table_lookup (w->zone_count, w->zone));
-    g_hash_table_insert (w->zone_count, a->machine->zone, GUINT_TO_POINTER (n + 1));
+    whereabouts->zone = a->machine->zone;
+    guint n = GPOINTER_TO_UINT (g_hash_table_lookup (whereabouts->zone_count, whereabouts->zone));
+    g_hash_table_insert (whereabouts->zone_count, a->machine->zone, GUINT_TO_POINTER (n + 1));
   }
 }
 
 static gboolean
-zone_allowed (const FtJob *job, const Whereabouts *w, const FtMachine *machine)
+zone_allowed (const FtJob *job, const Whereabouts *whereabouts, const FtMachine *machine)
 {
-  if (job->spec->one_zone && w->zone != NULL && g_strcmp0 (w->zone, machine->zone) != 0)
+  if (job->spec->one_zone && whereabouts->zone != NULL && g_strcmp0 (whereabouts->zone, machine->zone) != 0)
     return FALSE;
   if (!job->spec->spread)
     return TRUE;
-  guint here = GPOINTER_TO_UINT (g_hash_table_lookup (w->zone_count, machine->zone));
+  guint here = GPOINTER_TO_UINT (g_hash_table_lookup (whereabouts->zone_count, machine->zone));
   return here + 1 <= (job->spec->tasks + 1) / 2;
 }
 
@@ -125,8 +125,9 @@
     gpointer value;
     g_hash_table_iter_init (&it, machine->attempts);
     while (g_hash_table_iter_next (&it, NULL, &value)) {
-      const FtAttempt *a = value;
-      if (a->reserved && !a->running && a->job != NULL && g_strcmp0 (a->job->spec->image, spec->image) == 0) {
+      const FtAttempt *attempt = value;
+      if (attempt->reserved && !attempt->running && attempt->job != NULL
+          && g_strcmp0 (attempt->job->spec->image, spec->image) == 0) {
         wait *= FT_SCORE_FETCHING; /* another task fetches it already */
         break;
       }
@@ -143,16 +144,18 @@
 /* A task keeps off the machine where it failed, for a while only: it may be
  * the only one that is allowed. */
 static gboolean
-avoided (const FtScheduler *s, const FtTask *task, const FtMachine *machine)
+avoided (const FtScheduler *scheduler, const FtTask *task, const FtMachine *machine)
 {
-  return task->avoid == machine && s->now < task->not_before + (gint64) (FT_AVOID_S * FT_SECOND);
+  return task->avoid == machine && scheduler->now < task->not_before + (gint64) (FT_AVOID_S * FT_SECOND);
 }
 
 static gboolean
-candidate (const FtScheduler *s, const FtJob *job, const FtTask *task, const Whereabouts *w, const FtMachine *machine)
+candidate (const FtScheduler *scheduler, const FtJob *job, const FtTask *task, const Whereabouts *whereabouts,
+           const FtMachine *machine)
 {
-  return ft_machine_usable (s, machine) && ft_machine_allowed (machine, job->spec) && !avoided (s, task, machine)
-         && zone_allowed (job, w, machine) && ft_machine_room (machine, job->spec) > 0;
+  return ft_machine_usable (scheduler, machine) && ft_machine_allowed (machine, job->spec)
+         && !avoided (scheduler, task, machine) && zone_allowed (job, whereabouts, machine)
+         && ft_machine_room (machine, job->spec) > 0;
 }
 
 /* Room for a kind of task that a pass has looked for everywhere in vain: what
@@ -181,19 +184,19 @@
 }
 
 static FtMachine *
-pick (FtScheduler *s, const FtJob *job, const FtTask *task, const Whereabouts *w, Pass *pass)
+pick (FtScheduler *scheduler, const FtJob *job, const FtTask *task, const Whereabouts *whereabouts, Pass *pass)
 {
   FtMachine *best = NULL;
   double best_score = INFINITY;
   guint seen = 0;
   if (known_full (pass, job->spec))
     return NULL;
-  double spot_delay_s = ft_spot_risk_delay_s (&s->spot_risk, job->spec);
-  guint n = pass->machines->len, start = n > 0 ? (guint) g_rand_int_range (s->random, 0, (gint32) n) : 0;
-  for (guint i = 0; i < n && seen < s->tuning.sample_size; i++) {
+  double spot_delay_s = ft_spot_risk_delay_s (&scheduler->spot_risk, job->spec);
+  guint n = pass->machines->len, start = n > 0 ? (guint) g_rand_int_range (scheduler->random, 0, (gint32) n) : 0;
+  for (guint i = 0; i < n && seen < scheduler->tuning.sample_size; i++) {
     FtMachine *machine = g_ptr_array_index (pass->machines, (start + i) % n);
-    s->looked_at++;
-    if (!candidate (s, job, task, w, machine))
+    scheduler->looked_at++;
+    if (!candidate (scheduler, job, task, whereabouts, machine))
       continue;
     seen++;
     double value = score (machine, job, spot_delay_s);
@@ -210,9 +213,9 @@
 
 /* Attempt numbers rise with the token, so across leaders. */
 static guint64
-next_attempt (FtScheduler *s)
+next_attempt (FtScheduler *scheduler)
 {
-  return (s->token << FT_ATTEMPT_BITS) + s->next_attempt++;
+  return (scheduler->token << FT_ATTEMPT_BITS) + scheduler->next_attempt++;
 }
 
 /* A task is sent once the job's mark lies beyond it. Raised with some reserve: one
@@ -229,13 +232,13 @@
 }
 
 static void
-place (FtScheduler *s, FtJob *job, guint index, FtMachine *machine, guint64 id)
+place (FtScheduler *scheduler, FtJob *job, guint index, FtMachine *machine, guint64 id)
 {
-  FtAttempt *a = ft_attempt_new (machine, job, job->spec->ref, index, id);
-  ft_attempt_reserve (a);
-  ft_attempt_bind (a, FT_TASK_STARTING);
-  a->placed_at = s->now;
-  a->placed_pass = s->pass;
+  FtAttempt *attempt = ft_attempt_new (machine, job, job->spec->ref, index, id);
+  ft_attempt_reserve (attempt);
+  ft_attempt_bind (attempt, FT_TASK_STARTING);
+  attempt->placed_at = scheduler->now;
+  attempt->placed_pass = scheduler->pass;
   raise_watermark (job, index);
   ft_machine_queue_direct (machine);
   g_message ("task %s/%u: placed on %s attempt %" G_GUINT64_FORMAT, job->spec->ref, index, machine->name, id);
@@ -244,11 +247,11 @@
 /* What is left of a gang that has lost a task can only end: it is stopped, and
  * the gang starts again whole. */
 static gboolean
-gang_ready (FtScheduler *s, FtJob *job)
+gang_ready (FtScheduler *scheduler, FtJob *job)
 {
   guint unfinished = job->spec->tasks - ft_job_finished (job);
   if (job->counts[FT_TASK_QUEUED] == unfinished)
-    return ft_quota_count (s, job->team, job->spec) >= unfinished;
+    return ft_quota_count (scheduler, job->team, job->spec) >= unfinished;
   if (job->counts[FT_TASK_UNKNOWN] > 0 || job->spec->kind == FT_KIND_SERVICE)
     return FALSE;
   for (guint i = 0; i < job->spec->tasks; i++) {
@@ -262,25 +265,26 @@
 /* Takes back what this pass placed of a gang that did not fit whole; none of
  * it has left the process. */
 static void
-take_back (FtScheduler *s, FtJob *job)
+take_back (FtScheduler *scheduler, FtJob *job)
 {
   for (guint i = 0; i < job->spec->tasks; i++) {
     FtAttempt *a = job->tasks[i].attempt;
-    if (a != NULL && a->placed_pass == s->pass)
-      ft_attempt_end (s, a);
+    if (a != NULL && a->placed_pass == scheduler->pass)
+      ft_attempt_end (scheduler, a);
   }
 }
 
 /* Puts tasks of the job on the machine while both have more and the team may. */
 static guint
-place_on (FtScheduler *s, FtJob *job, FtMachine *machine, guint most)
+place_on (FtScheduler *scheduler, FtJob *job, FtMachine *machine, guint most)
 {
   guint placed = 0;
-  while (placed < most && ft_machine_room (machine, job->spec) > 0 && ft_quota_allows (s, job->team, job->spec)) {
-    guint index = next_queued (job, s->now);
-    if (index >= job->spec->tasks || avoided (s, &job->tasks[index], machine))
+  while (placed < most && ft_machine_room (machine, job->spec) > 0
+         && ft_quota_allows (scheduler, job->team, job->spec)) {
+    guint index = next_queued (job, scheduler->now);
+    if (index >= job->spec->tasks || avoided (scheduler, &job->tasks[index], machine))
       break;
-    place (s, job, index, machine, next_attempt (s));
+    place (scheduler, job, index, machine, next_attempt (scheduler));
     placed++;
   }
   return placed;
@@ -289,7 +293,7 @@
 /* An array: whatever fits, machine by machine. Tasks of a job that share a
  * machine share the fetch of their image and one command. */
 static guint
-place_array (FtScheduler *s, FtJob *job, Pass *pass)
+place_array (FtScheduler *scheduler, FtJob *job, Pass *pass)
 {
   Whereabouts w;
   guint placed = 0;
@@ -298,16 +302,16 @@
   if (zoned && job->counts[FT_TASK_UNKNOWN] > 0)
     return 0;
   find_whereabouts (job, &w);
-  while (placed < FT_PASS_TASKS && ft_quota_allows (s, job->team, job->spec)) {
-    guint index = next_queued (job, s->now);
+  while (placed < FT_PASS_TASKS && ft_quota_allows (scheduler, job->team, job->spec)) {
+    guint index = next_queued (job, scheduler->now);
     if (index >= job->spec->tasks)
       break;
-    FtMachine *machine = pick (s, job, &job->tasks[index], &w, pass);
+    FtMachine *machine = pick (scheduler, job, &job->tasks[index], &w, pass);
     if (machine == NULL) {
-      job->no_room_pass = s->pass;
+      job->no_room_pass = scheduler->pass;
       break;
     }
-    guint n = place_on (s, job, machine, zoned ? 1 : FT_PASS_TASKS - placed);
+    guint n = place_on (scheduler, job, machine, zoned ? 1 : FT_PASS_TASKS - placed);
     if (n == 0)
       break;
     placed += n;
@@ -322,101 +326,102 @@
 
 /* A gang: all of it or nothing, under one attempt number. */
 static guint
-place_whole (FtScheduler *s, FtJob *job, Pass *pass)
+place_whole (FtScheduler *scheduler, FtJob *job, Pass *pass)
 {
   Whereabouts w;
   guint placed = 0;
-  if (!gang_ready (s, job))
+  if (!gang_ready (scheduler, job))
     return 0;
-  guint64 id = next_attempt (s);
+  guint64 id = next_attempt (scheduler);
   for (;;) {
-    guint index = next_queued (job, s->now);
-    if (index >= job->spec->tasks || !ft_quota_allows (s, job->team, job->spec))
+    guint index = next_queued (job, scheduler->now);
+    if (index >= job->spec->tasks || !ft_quota_allows (scheduler, job->team, job->spec))
       break;
     find_whereabouts (job, &w);
-    FtMachine *machine = pick (s, job, &job->tasks[index], &w, pass);
+    FtMachine *machine = pick (scheduler, job, &job->tasks[index], &w, pass);
     g_hash_table_unref (w.zone_count);
     if (machine == NULL) {
-      job->no_room_pass = s->pass;
+      job->no_room_pass = scheduler->pass;
       break;
     }
-    place (s, job, index, machine, id);
+    place (scheduler, job, index, machine, id);
     placed++;
   }
   if (job->counts[FT_TASK_QUEUED] == 0)
     return placed;
-  take_back (s, job);
+  take_back (scheduler, job);
   return 0;
 }
 
 static guint
-place_job (FtScheduler *s, FtJob *job, Pass *pass)
+place_job (FtScheduler *scheduler, FtJob *job, Pass *pass)
 {
-  return job->spec->kind == FT_KIND_GANG ? place_whole (s, job, pass) : place_array (s, job, pass);
+  return job->spec->kind == FT_KIND_GANG ? place_whole (scheduler, job, pass) : place_array (scheduler, job, pass);
 }
 
 static void
-find_machines (FtScheduler *s, Pass *pass)
+find_machines (FtScheduler *scheduler, Pass *pass)
 {
   GHashTableIter it;
   gpointer value;
-  pass->machines = g_ptr_array_sized_new (g_hash_table_size (s->machines));
-  g_hash_table_iter_init (&it, s->machines);
+  pass->machines = g_ptr_array_sized_new (g_hash_table_size (scheduler->machines));
+  g_hash_table_iter_init (&it, scheduler->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtMachine *m = value;
-    if (ft_machine_usable (s, m) && m->cpus < m->type->cpus && m->memory_gb < m->type->memory_gb)
+    const FtMachine *machine = value;
+    if (ft_machine_usable (scheduler, machine) && machine->cpus < machine->type->cpus
+        && machine->memory_gb < machine->type->memory_gb)
       g_ptr_array_add (pass->machines, value);
   }
-  s->looked_at += g_hash_table_size (s->machines);
+  scheduler->looked_at += g_hash_table_size (scheduler->machines);
 }
 
 void
-ft_placement_pass (FtScheduler *s)
+ft_placement_pass (FtScheduler *scheduler)
 {
   Pass pass = { 0 };
-  s->placement_due = FALSE;
-  s->pass++;
-  s->next_pass = s->now + (gint64) (FT_PASS_EVERY_S * FT_SECOND);
-  collect (s);
-  if (!s->may_start || !s->loaded || s->waiting->len == 0)
+  scheduler->placement_due = FALSE;
+  scheduler->pass++;
+  scheduler->next_pass = scheduler->now + (gint64) (FT_PASS_EVERY_S * FT_SECOND);
+  collect (scheduler);
+  if (!scheduler->may_start || !scheduler->loaded || scheduler->waiting->len == 0)
     return;
-  find_machines (s, &pass);
-  guint placed = 0, preempting = s->now >= s->next_preempt ? 0 : FT_PREEMPT_JOBS;
-  for (guint i = 0; i < s->waiting->len && placed < FT_PASS_TASKS; i++) {
-    FtJob *job = g_ptr_array_index (s->waiting, i);
-    placed += place_job (s, job, &pass);
-    if (job->no_room_pass == s->pass && job->counts[FT_TASK_QUEUED] > 0 && preempting < FT_PREEMPT_JOBS) {
-      ft_preempt_for (s, job);
+  find_machines (scheduler, &pass);
+  guint placed = 0, preempting = scheduler->now >= scheduler->next_preempt ? 0 : FT_PREEMPT_JOBS;
+  for (guint i = 0; i < scheduler->waiting->len && placed < FT_PASS_TASKS; i++) {
+    FtJob *job = g_ptr_array_index (scheduler->waiting, i);
+    placed += place_job (scheduler, job, &pass);
+    if (job->no_room_pass == scheduler->pass && job->counts[FT_TASK_QUEUED] > 0 && preempting < FT_PREEMPT_JOBS) {
+      ft_preempt_for (scheduler, job);
       preempting++;
-      s->next_preempt = s->now + (gint64) (FT_PREEMPT_EVERY_S * FT_SECOND);
+      scheduler->next_preempt = scheduler->now + (gint64) (FT_PREEMPT_EVERY_S * FT_SECOND);
     }
   }
   g_ptr_array_unref (pass.machines);
-  g_clear_pointer (&s->victims, g_ptr_array_unref);
+  g_clear_pointer (&scheduler->victims, g_ptr_array_unref);
   if (placed >= FT_PASS_TASKS)
-    s->placement_due = TRUE;
+    scheduler->placement_due = TRUE;
 }
 
 void
-ft_placement_fill (FtScheduler *s, FtMachine *machine)
+ft_placement_fill (FtScheduler *scheduler, FtMachine *machine)
 {
-  if (!s->may_start || !s->loaded || !ft_machine_usable (s, machine))
+  if (!scheduler->may_start || !scheduler->loaded || !ft_machine_usable (scheduler, machine))
     return;
-  for (guint i = 0, looked = 0; i < s->waiting->len && looked < FT_FILL_JOBS; i++) {
-    FtJob *job = g_ptr_array_index (s->waiting, i);
-    if (!wants_placing (s, job))
+  for (guint i = 0, looked = 0; i < scheduler->waiting->len && looked < FT_FILL_JOBS; i++) {
+    FtJob *job = g_ptr_array_index (scheduler->waiting, i);
+    if (!wants_placing (scheduler, job))
       continue;
     looked++;
-    s->looked_at++;
+    scheduler->looked_at++;
     gboolean plain = job->spec->kind != FT_KIND_GANG && !job->spec->one_zone && !job->spec->spread;
     if (plain && ft_machine_allowed (machine, job->spec))
-      place_on (s, job, machine, FT_PASS_TASKS);
+      place_on (scheduler, job, machine, FT_PASS_TASKS);
   }
 }
 
 void
-ft_placement_forget (FtScheduler *s, FtJob *job)
+ft_placement_forget (FtScheduler *scheduler, FtJob *job)
 {
-  g_ptr_array_remove (s->order, job);
-  g_ptr_array_remove (s->waiting, job);
+  g_ptr_array_remove (scheduler->order, job);
+  g_ptr_array_remove (scheduler->waiting, job);
 }
--- a/src/core/quota.c
+++ b/src/core/quota.c
@@ -4,20 +4,20 @@
 #define EPSILON 1e-6
 
 FtTeam *
-ft_quota_team (FtScheduler *s, const char *name)
+ft_quota_team (FtScheduler *scheduler, const char *name)
 {
-  for (guint i = 0; i < s->settings->n_teams; i++)
-    if (g_strcmp0 (s->teams[i].limit->name, name) == 0)
-      return &s->teams[i];
+  for (guint i = 0; i < scheduler->settings->n_teams; i++)
+    if (g_strcmp0 (scheduler->teams[i].limit->name, name) == 0)
+      return &scheduler->teams[i];
   return NULL;
 }
 
 /* What of the team may run unseen: its unknown tasks, but no more than the
  * machines not yet heard from could hold. */
 static void
-unseen (const FtScheduler *s, const FtTeam *team, double *cpus, double *gpus)
+unseen (const FtScheduler *scheduler, const FtTeam *team, double *cpus, double *gpus)
 {
-  ft_recovery_unreconciled (s, cpus, gpus);
+  ft_recovery_unreconciled (scheduler, cpus, gpus);
   *cpus = MIN (*cpus, team->unknown_cpus);
   *gpus = MIN (*gpus, team->unknown_gpus);
 }
@@ -30,40 +30,40 @@
 
 /* How many more tasks of this kind the team's limit allows now. */
 guint
-ft_quota_count (const FtScheduler *s, const FtTeam *team, const FtJobSpec *spec)
+ft_quota_count (const FtScheduler *scheduler, const FtTeam *team, const FtJobSpec *spec)
 {
   double cpus = 0, gpus = 0;
-  unseen (s, team, &cpus, &gpus);
+  unseen (scheduler, team, &cpus, &gpus);
   double n = MIN (left_over (ft_team_limit (team->limit->cpus_max), team->cpus + cpus, spec->cpus),
                   left_over (ft_team_limit (team->limit->gpus_max), team->gpus + gpus, spec->gpus));
   return n <= 0 ? 0 : (guint) MIN (n, G_MAXUINT16);
 }
 
 gboolean
-ft_quota_allows (const FtScheduler *s, const FtTeam *team, const FtJobSpec *spec)
+ft_quota_allows (const FtScheduler *scheduler, const FtTeam *team, const FtJobSpec *spec)
 {
-  return ft_quota_count (s, team, spec) > 0;
+  return ft_quota_count (scheduler, team, spec) > 0;
 }
 
 static gint
 by_acceptance (gconstpointer a, gconstpointer b)
 {
-  const FtJob *x = *(FtJob *const *) a, *y = *(FtJob *const *) b;
-  return x->revision < y->revision ? -1 : x->revision > y->revision;
+  const FtJob *job = *(FtJob *const *) a, *y = *(FtJob *const *) b;
+  return job->revision < y->revision ? -1 : job->revision > y->revision;
 }
 
 /* A job is within its team's guarantee if it fits there together with the
  * team's earlier unfinished jobs. */
 void
-ft_quota_mark_guaranteed (FtScheduler *s)
+ft_quota_mark_guaranteed (FtScheduler *scheduler)
 {
-  g_ptr_array_sort (s->order, by_acceptance);
-  guint n = s->settings->n_teams;
+  g_ptr_array_sort (scheduler->order, by_acceptance);
+  guint n = scheduler->settings->n_teams;
   g_autofree double *cpus = g_new0 (double, n);
   g_autofree double *gpus = g_new0 (double, n);
-  for (guint i = 0; i < s->order->len; i++) {
-    FtJob *job = g_ptr_array_index (s->order, i);
-    guint t = (guint) (job->team - s->teams);
+  for (guint i = 0; i < scheduler->order->len; i++) {
+    FtJob *job = g_ptr_array_index (scheduler->order, i);
+    guint t = (guint) (job->team - scheduler->teams);
     cpus[t] += job->spec->cpus * job->spec->tasks;
     gpus[t] += job->spec->gpus * job->spec->tasks;
     job->guaranteed = cpus[t] <= job->team->limit->cpus + EPSILON && gpus[t] <= job->team->limit->gpus + EPSILON;
--- a/src/core/recovery.c
+++ b/src/core/recovery.c
@@ -3,13 +3,13 @@
 #include "core/model.h"
 
 static void
-count (FtMachine *m, int sign)
+count (FtMachine *machine, int sign)
 {
-  FtScheduler *s = m->scheduler;
-  m->counted_unreconciled = sign > 0;
-  s->unreconciled += (guint) sign;
-  s->unreconciled_cpus += sign * (m->type != NULL ? m->type->cpus : FT_CAPACITY_UNKNOWN);
-  s->unreconciled_gpus += sign * (m->type != NULL ? m->type->gpus : FT_CAPACITY_UNKNOWN);
+  FtScheduler *scheduler = machine->scheduler;
+  machine->counted_unreconciled = sign > 0;
+  scheduler->unreconciled += (guint) sign;
+  scheduler->unreconciled_cpus += sign * (machine->type != NULL ? machine->type->cpus : FT_CAPACITY_UNKNOWN);
+  scheduler->unreconciled_gpus += sign * (machine->type != NULL ? machine->type->gpus : FT_CAPACITY_UNKNOWN);
 }
 
 void
@@ -23,28 +23,28 @@
  * kept, since each placement asks. Called when the registry is read and when the
  * catalog changes. */
 void
-ft_recovery_recount (FtScheduler *s)
+ft_recovery_recount (FtScheduler *scheduler)
 {
   GHashTableIter it;
   gpointer value;
-  s->unreconciled = 0;
-  s->unreconciled_cpus = s->unreconciled_gpus = 0;
-  if (s->recovered)
+  scheduler->unreconciled = 0;
+  scheduler->unreconciled_cpus = scheduler->unreconciled_gpus = 0;
+  if (scheduler->recovered)
     return;
-  g_hash_table_iter_init (&it, s->machines);
+  g_hash_table_iter_init (&it, scheduler->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
-    FtMachine *m = value;
-    m->counted_unreconciled = FALSE;
-    if (!m->reconciled)
-      count (m, 1);
+    FtMachine *machine = value;
+    machine->counted_unreconciled = FALSE;
+    if (!machine->reconciled)
+      count (machine, 1);
   }
 }
 
 void
-ft_recovery_unreconciled (const FtScheduler *s, double *cpus, double *gpus)
+ft_recovery_unreconciled (const FtScheduler *scheduler, double *cpus, double *gpus)
 {
-  *cpus = s->loaded ? s->unreconciled_cpus : FT_CAPACITY_UNKNOWN;
-  *gpus = s->loaded ? s->unreconciled_gpus : FT_CAPACITY_UNKNOWN;
+  *cpus = scheduler->loaded ? scheduler->unreconciled_cpus : FT_CAPACITY_UNKNOWN;
+  *gpus = scheduler->loaded ? scheduler->unreconciled_gpus : FT_CAPACITY_UNKNOWN;
 }
 
 static void
@@ -57,15 +57,15 @@
 }
 
 void
-ft_recovery_tick (FtScheduler *s)
+ft_recovery_tick (FtScheduler *scheduler)
 {
-  if (s->recovered || !s->loaded || s->unreconciled > 0)
+  if (scheduler->recovered || !scheduler->loaded || scheduler->unreconciled > 0)
     return;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, s->jobs);
+  g_hash_table_iter_init (&it, scheduler->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     requeue_unknown_tasks (value);
-  s->recovered = s->placement_due = TRUE;
-  g_message ("recovery: all machines accounted for under token %" G_GUINT64_FORMAT, s->token);
+  scheduler->recovered = scheduler->placement_due = TRUE;
+  g_message ("recovery: all machines accounted for under token %" G_GUINT64_FORMAT, scheduler->token);
 }
--- a/src/core/registry.c
+++ b/src/core/registry.c
@@ -17,26 +17,27 @@
 }
 
 static FtRegistryRow *
-find_or_add_row (FtScheduler *s, const char *id)
+find_or_add_row (FtScheduler *scheduler, const char *id)
 {
-  FtRegistryRow *row = g_hash_table_lookup (s->rows, id);
+  FtRegistryRow *row = g_hash_table_lookup (scheduler->rows, id);
   if (row != NULL)
     return row;
   row = g_new0 (FtRegistryRow, 1);
   row->id = g_strdup (id);
   row->machines = g_ptr_array_new ();
-  g_hash_table_insert (s->rows, row->id, row);
+  g_hash_table_insert (scheduler->rows, row->id, row);
   return row;
 }
 
 static gsize
-entry_bytes (const FtMachine *m)
+entry_bytes (const FtMachine *machine)
 {
-  return strlen (m->name) + strlen (m->addr) + strlen (m->type_name) + strlen (m->zone) + FT_REGISTRY_ENTRY_BYTES;
+  return strlen (machine->name) + strlen (machine->addr) + strlen (machine->type_name) + strlen (machine->zone)
+         + FT_REGISTRY_ENTRY_BYTES;
 }
 
 static void
-queue_row (FtScheduler *s, FtRegistryRow *row, gint64 write_at)
+queue_row (FtScheduler *scheduler, FtRegistryRow *row, gint64 write_at)
 {
   if (row->write_queued) {
     row->write_at = MIN (row->write_at, write_at);
@@ -44,27 +45,28 @@
   }
   row->write_queued = TRUE;
   row->write_at = write_at;
-  g_queue_push_tail (&s->pending_rows, row);
+  g_queue_push_tail (&scheduler->pending_rows, row);
 }
 
 /* The most that the entries of a row may take. */
 static gsize
-row_bytes_most (const FtScheduler *s)
+row_bytes_most (const FtScheduler *scheduler)
 {
-  double largest
-      = MIN (s->settings->value_kb * 1024.0 / s->value_divisor, (double) FT_BODY_MAX / FT_REGISTRY_ROWS_AT_ONCE);
+  double largest = MIN (scheduler->settings->value_kb * 1024.0 / scheduler->value_divisor,
+                        (double) FT_BODY_MAX / FT_REGISTRY_ROWS_AT_ONCE);
   return (gsize) (largest * FT_REGISTRY_ROW_SHARE);
 }
 
 static FtRegistryRow *
-row_with_room (FtScheduler *s, gsize bytes)
+row_with_room (FtScheduler *scheduler, gsize bytes)
 {
-  if (s->open_row == NULL || s->open_row->bytes + bytes > row_bytes_most (s)) {
+  if (scheduler->open_row == NULL || scheduler->open_row->bytes + bytes > row_bytes_most (scheduler)) {
     /* The token makes the name unique: no row of an earlier leadership has it. */
-    g_autofree char *id = g_strdup_printf ("%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, s->token, s->next_row++);
-    s->open_row = find_or_add_row (s, id);
+    g_autofree char *id
+        = g_strdup_printf ("%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, scheduler->token, scheduler->next_row++);
+    scheduler->open_row = find_or_add_row (scheduler, id);
   }
-  return s->open_row;
+  return scheduler->open_row;
 }
 
 static void
@@ -76,28 +78,28 @@
 }
 
 static void
-join_new_row (FtScheduler *s, FtMachine *machine)
+join_new_row (FtScheduler *scheduler, FtMachine *machine)
 {
-  join (row_with_room (s, entry_bytes (machine)), machine);
-  queue_row (s, machine->row, s->now);
+  join (row_with_room (scheduler, entry_bytes (machine)), machine);
+  queue_row (scheduler, machine->row, scheduler->now);
 }
 
 void
-ft_registry_add (FtScheduler *s, FtMachine *machine)
+ft_registry_add (FtScheduler *scheduler, FtMachine *machine)
 {
   if (machine->row != NULL || machine->state == FT_MACHINE_GONE || machine->addr == NULL)
     return;
-  join_new_row (s, machine);
+  join_new_row (scheduler, machine);
 }
 
 void
-ft_registry_loaded (FtScheduler *s, const char *id, FtMachine *machine)
+ft_registry_loaded (FtScheduler *scheduler, const char *id, FtMachine *machine)
 {
-  FtRegistryRow *row = find_or_add_row (s, id);
+  FtRegistryRow *row = find_or_add_row (scheduler, id);
   row->stored = TRUE;
   if (machine == NULL || machine->row != NULL) {
     /* Named by another row as well, after a split that did not end: one is enough. */
-    queue_row (s, row, s->now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
+    queue_row (scheduler, row, scheduler->now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
     return;
   }
   join (row, machine);
@@ -106,49 +108,49 @@
 
 /* The machine needs the row that it was moved from no more. */
 static void
-leave_split_row (FtScheduler *s, FtMachine *machine)
+leave_split_row (FtScheduler *scheduler, FtMachine *machine)
 {
   FtRegistryRow *row = machine->split_row;
   machine->split_row = NULL;
   if (row != NULL && --row->moving == 0)
-    queue_row (s, row, s->now);
+    queue_row (scheduler, row, scheduler->now);
 }
 
 /* Moves the machines of a row that is too large to new rows. */
 static void
-split (FtScheduler *s, FtRegistryRow *row)
+split (FtScheduler *scheduler, FtRegistryRow *row)
 {
   g_message ("roster row %s: split, %u machines", row->id, row->machines->len);
   for (guint i = 0; i < row->machines->len; i++) {
     FtMachine *machine = g_ptr_array_index (row->machines, i);
     if (row->stored) {
-      leave_split_row (s, machine);
+      leave_split_row (scheduler, machine);
       machine->split_row = row;
       row->moving++;
     }
-    join_new_row (s, machine);
+    join_new_row (scheduler, machine);
   }
   g_ptr_array_set_size (row->machines, 0);
   row->bytes = 0;
   if (row->moving == 0)
-    queue_row (s, row, s->now);
+    queue_row (scheduler, row, scheduler->now);
 }
 
 /* A name that stays a while costs the next leader a probe, nothing else. */
 void
-ft_registry_remove (FtScheduler *s, FtMachine *machine)
+ft_registry_remove (FtScheduler *scheduler, FtMachine *machine)
 {
   FtRegistryRow *row = machine->row;
-  if (g_hash_table_contains (s->drained, machine->name))
-    g_queue_push_tail (&s->drain_deletions, g_strdup (machine->name));
+  if (g_hash_table_contains (scheduler->drained, machine->name))
+    g_queue_push_tail (&scheduler->drain_deletions, g_strdup (machine->name));
   machine->registered = FALSE;
-  leave_split_row (s, machine);
+  leave_split_row (scheduler, machine);
   if (row == NULL)
     return;
   machine->row = NULL;
   row->bytes -= MIN (row->bytes, entry_bytes (machine));
   g_ptr_array_remove_fast (row->machines, machine);
-  queue_row (s, row, s->now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
+  queue_row (scheduler, row, scheduler->now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
 }
 
 static FtWrite *
@@ -158,31 +160,31 @@
       = ft_write_new (row->machines->len > 0 ? FT_WRITE_REGISTRY_ROW : FT_WRITE_REGISTRY_ROW_DELETE, row->id);
   write->machines = ft_listed_new ();
   for (guint i = 0; i < row->machines->len; i++) {
-    const FtMachine *m = g_ptr_array_index (row->machines, i);
-    FtListedMachine entry = { .name = g_strdup (m->name),
-                              .addr = g_strdup (m->addr),
-                              .type = g_strdup (m->type_name),
-                              .zone = g_strdup (m->zone),
-                              .spot = m->spot };
+    const FtMachine *machine = g_ptr_array_index (row->machines, i);
+    FtListedMachine entry = { .name = g_strdup (machine->name),
+                              .addr = g_strdup (machine->addr),
+                              .type = g_strdup (machine->type_name),
+                              .zone = g_strdup (machine->zone),
+                              .spot = machine->spot };
     g_array_append_val (write->machines, entry);
   }
   return write;
 }
 
 void
-ft_registry_writes (FtScheduler *s, GPtrArray *writes, guint most)
+ft_registry_writes (FtScheduler *scheduler, GPtrArray *writes, guint most)
 {
-  guint n = g_queue_get_length (&s->pending_rows);
+  guint n = g_queue_get_length (&scheduler->pending_rows);
   for (guint i = 0; i < n && most > 0; i++) {
-    FtRegistryRow *row = g_queue_pop_head (&s->pending_rows);
-    if (row->in_flight || row->write_at > s->now) {
-      g_queue_push_tail (&s->pending_rows, row);
+    FtRegistryRow *row = g_queue_pop_head (&scheduler->pending_rows);
+    if (row->in_flight || row->write_at > scheduler->now) {
+      g_queue_push_tail (&scheduler->pending_rows, row);
       continue;
     }
     row->write_queued = FALSE;
-    if (row->bytes > row_bytes_most (s)) {
-      split (s, row);
-      n = g_queue_get_length (&s->pending_rows);
+    if (row->bytes > row_bytes_most (scheduler)) {
+      split (scheduler, row);
+      n = g_queue_get_length (&scheduler->pending_rows);
       i = 0;
       continue;
     }
@@ -193,28 +195,28 @@
 }
 
 void
-ft_registry_written (FtScheduler *s, const FtWrite *write, gboolean applied)
+ft_registry_written (FtScheduler *scheduler, const FtWrite *write, gboolean applied)
 {
-  FtRegistryRow *row = g_hash_table_lookup (s->rows, write->name);
+  FtRegistryRow *row = g_hash_table_lookup (scheduler->rows, write->name);
   if (row == NULL)
     return;
   row->in_flight = FALSE;
   if (!applied) {
-    queue_row (s, row, s->now);
+    queue_row (scheduler, row, scheduler->now);
     return;
   }
   row->stored = write->kind == FT_WRITE_REGISTRY_ROW;
   for (guint i = 0; i < write->machines->len; i++) {
     const FtListedMachine *entry = &g_array_index (write->machines, FtListedMachine, i);
-    FtMachine *m = g_hash_table_lookup (s->machines, entry->name);
-    if (m == NULL || m->row != row)
+    FtMachine *machine = g_hash_table_lookup (scheduler->machines, entry->name);
+    if (machine == NULL || machine->row != row)
       continue;
-    leave_split_row (s, m);
-    if (m->registered)
+    leave_split_row (scheduler, machine);
+    if (machine->registered)
       continue;
-    m->registered = TRUE;
-    s->placement_due = TRUE;
+    machine->registered = TRUE;
+    scheduler->placement_due = TRUE;
   }
-  if (!row->stored && !row->write_queued && row->machines->len == 0 && row != s->open_row)
-    g_hash_table_remove (s->rows, row->id);
+  if (!row->stored && !row->write_queued && row->machines->len == 0 && row != scheduler->open_row)
+    g_hash_table_remove (scheduler->rows, row->id);
 }
--- a/src/core/tuning.c
+++ b/src/core/tuning.c
@@ -10,9 +10,9 @@
 static FtTuningInfo table[] = { FT_OPERATOR_SETTINGS (ROW) };
 
 const FtTuningInfo *
-ft_tuning_table (guint *n)
+ft_tuning_table (guint *count)
 {
-  *n = G_N_ELEMENTS (table);
+  *count = G_N_ELEMENTS (table);
   for (guint i = 0; i < G_N_ELEMENTS (table); i++)
     if (g_str_equal (table[i].unit, "choice"))
       table[i].choices = log_choices;
@@ -50,26 +50,26 @@
 }
 
 gint64
-ft_tuning_answer_grace (const FtSettings *s)
+ft_tuning_answer_grace (const FtSettings *settings)
 {
-  double hold = s->cancel_s - s->lease_s - FT_ANSWER_GRACE_MARGIN_S - s->cancel_s * FT_CLOCK_DRIFT;
+  double hold = settings->cancel_s - settings->lease_s - FT_ANSWER_GRACE_MARGIN_S - settings->cancel_s * FT_CLOCK_DRIFT;
   return (gint64) (MAX (hold, 0) * FT_SECOND);
 }
 
 char *
-ft_tuning_check (const FtTuning *t, const FtSettings *settings)
+ft_tuning_check (const FtTuning *tuning, const FtSettings *settings)
 {
   double hold = (double) ft_tuning_answer_grace (settings) / FT_SECOND;
-  if (t->lease_s > MAX (hold, FT_LEASE_S))
+  if (tuning->lease_s > MAX (hold, FT_LEASE_S))
     return g_strdup_printf ("lease_time above %.1f s: a leader without the state service could start tasks of jobs "
                             "whose withdrawal it cannot see in time",
                             MAX (hold, FT_LEASE_S));
-  double after = t->lease_s - t->lease_s / t->renew_fraction - FT_LEASE_MARGIN_S;
+  double after = tuning->lease_s - tuning->lease_s / tuning->renew_fraction - FT_LEASE_MARGIN_S;
   if (after < FT_RENEW_SLACK_S)
     return g_strdup_printf ("lease_time and renewal_fraction leave %.2f s after a renewal that is lost; %.2f s are "
                             "needed, or a healthy leader loses its lease",
                             after, FT_RENEW_SLACK_S);
-  if (t->sweep_s > t->lease_s)
+  if (tuning->sweep_s > tuning->lease_s)
     return g_strdup ("sweep_period is longer than lease_time: a takeover would wait for the sweep");
   return NULL;
 }
--- a/src/core/tuning.h
+++ b/src/core/tuning.h
@@ -18,7 +18,7 @@
 } FtTuningInfo;
 
 /* The table; `n` gets its length. */
-const FtTuningInfo *ft_tuning_table (guint *n);
+const FtTuningInfo *ft_tuning_table (guint *count);
 const FtTuningInfo *ft_tuning_find (const char *name);
 void ft_tuning_defaults (FtTuning *tuning);
 double ft_tuning_get (const FtTuning *tuning, const FtTuningInfo *info);
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -45,14 +45,14 @@
 }
 
 static void
-count_members (FtScheduler *s)
+count_members (FtScheduler *scheduler)
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, s->zones);
+  g_hash_table_iter_init (&it, scheduler->zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
     ((FtZone *) value)->members = 0;
-  g_hash_table_iter_init (&it, s->machines);
+  g_hash_table_iter_init (&it, scheduler->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
     machine->zone_view->members += machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT;
@@ -61,34 +61,36 @@
 
 /* Whether a member must have reported by now, had it been able to. */
 static gboolean
-quiet (const FtScheduler *s, const FtZone *zone)
+quiet (const FtScheduler *scheduler, const FtZone *zone)
 {
-  gint64 since = MAX (zone->last_heard, MAX (s->on_time_since, s->answering_since));
-  return zone->members >= FT_ZONE_MEMBERS && s->now - MAX (since, s->loaded_at) > ft_machine_overdue_us (s);
+  gint64 since = MAX (zone->last_heard, MAX (scheduler->on_time_since, scheduler->answering_since));
+  return zone->members >= FT_ZONE_MEMBERS
+         && scheduler->now - MAX (since, scheduler->loaded_at) > ft_machine_overdue_us (scheduler);
 }
 
 static gboolean
-heard_of_late (const FtScheduler *s, const FtZone *zone)
+heard_of_late (const FtScheduler *scheduler, const FtZone *zone)
 {
-  return zone->members > 0 && zone->last_heard > 0 && s->now - zone->last_heard <= ft_machine_overdue_us (s);
+  return zone->members > 0 && zone->last_heard > 0
+         && scheduler->now - zone->last_heard <= ft_machine_overdue_us (scheduler);
 }
 
 void
-ft_zones_update (FtScheduler *s)
+ft_zones_update (FtScheduler *scheduler)
 {
   GHashTableIter it;
   gpointer value;
   gboolean any_heard = FALSE;
-  count_members (s);
-  g_hash_table_iter_init (&it, s->zones);
+  count_members (scheduler);
+  g_hash_table_iter_init (&it, scheduler->zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    any_heard |= heard_of_late (s, value);
+    any_heard |= heard_of_late (scheduler, value);
   /* A leader that hears nobody is cut off itself, and can judge no zone. */
   if (!any_heard)
     return;
-  g_hash_table_iter_init (&it, s->zones);
+  g_hash_table_iter_init (&it, scheduler->zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    if (quiet (s, value))
+    if (quiet (scheduler, value))
       set_unreachable (value, TRUE);
 }
 
--- a/src/core/zone.h
+++ b/src/core/zone.h
@@ -26,7 +26,7 @@
 void ft_zone_heard (FtZone *zone, gint64 now);
 
 /* Counts each zone's members and judges it anew. */
-void ft_zones_update (FtScheduler *s);
+void ft_zones_update (FtScheduler *scheduler);
 
 /* Machines that may be launched in the zone now: all, or one to see whether it is back. */
 guint ft_zone_launchable (const FtZone *zone, gint64 now);
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -207,8 +207,8 @@
   if (client == NULL)
     return;
   g_autoptr (GList) calls = g_hash_table_get_keys (client->calls);
-  for (GList *l = calls; l != NULL; l = l->next) {
-    Call *call = l->data;
+  for (GList *link = calls; link != NULL; link = link->next) {
+    Call *call = link->data;
     curl_multi_remove_handle (client->multi, call->easy);
     call_free (call);
   }
--- a/src/net/metrics.c
+++ b/src/net/metrics.c
@@ -21,13 +21,13 @@
 static gsl_histogram *
 histogram_new (void)
 {
-  gsl_histogram *h = gsl_histogram_alloc (FT_HISTOGRAM_BUCKETS);
+  gsl_histogram *histogram = gsl_histogram_alloc (FT_HISTOGRAM_BUCKETS);
   double ranges[FT_HISTOGRAM_BUCKETS + 1];
   double step = log (FT_HISTOGRAM_MAX_MS / FT_HISTOGRAM_MIN_MS) / FT_HISTOGRAM_BUCKETS;
   for (int i = 0; i <= FT_HISTOGRAM_BUCKETS; i++)
     ranges[i] = FT_HISTOGRAM_MIN_MS * exp (step * i);
-  gsl_histogram_set_ranges (h, ranges, G_N_ELEMENTS (ranges));
-  return h;
+  gsl_histogram_set_ranges (histogram, ranges, G_N_ELEMENTS (ranges));
+  return histogram;
 }
 
 FtMetrics *
@@ -76,12 +76,12 @@
 
 /* Upper bound of the bucket that holds this share of the values. */
 static double
-quantile (const gsl_histogram *h, double share)
+quantile (const gsl_histogram *histogram, double share)
 {
-  double total = gsl_histogram_sum (h), seen = 0, lower, upper = 0;
-  for (size_t i = 0; i < gsl_histogram_bins (h) && (seen < total * share || i == 0); i++) {
-    seen += gsl_histogram_get (h, i);
-    gsl_histogram_get_range (h, i, &lower, &upper);
+  double total = gsl_histogram_sum (histogram), seen = 0, lower, upper = 0;
+  for (size_t i = 0; i < gsl_histogram_bins (histogram) && (seen < total * share || i == 0); i++) {
+    seen += gsl_histogram_get (histogram, i);
+    gsl_histogram_get_range (histogram, i, &lower, &upper);
   }
   return total > 0 ? upper : 0;
 }
@@ -93,10 +93,11 @@
   for (int i = 0; i < FT_COUNTERS; i++)
     json_object_set_new (counters, counter_names[i], json_integer ((json_int_t) metrics->counters[i]));
   for (int i = 0; i < FT_TIMERS; i++) {
-    const gsl_histogram *h = metrics->timers[i];
+    const gsl_histogram *histogram = metrics->timers[i];
     json_object_set_new (timers, timer_names[i],
-                         json_pack ("{s:I, s:f, s:f, s:f}", "count", (json_int_t) gsl_histogram_sum (h), "p50",
-                                    quantile (h, 0.5), "p95", quantile (h, 0.95), "p99", quantile (h, 0.99)));
+                         json_pack ("{s:I, s:f, s:f, s:f}", "count", (json_int_t) gsl_histogram_sum (histogram), "p50",
+                                    quantile (histogram, 0.5), "p95", quantile (histogram, 0.95), "p99",
+                                    quantile (histogram, 0.99)));
   }
   return json_pack ("{s:o, s:o}", "counters", counters, "latency", timers);
 }
--- a/src/net/node.c
+++ b/src/net/node.c
@@ -148,8 +148,8 @@
 static gboolean
 cut_off (const FtNode *node, gint64 now)
 {
-  const FtSettings *s = &node->config->core;
-  gint64 gap = (gint64) ((s->heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S) * FT_SECOND);
+  const FtSettings *settings = &node->config->core;
+  gint64 gap = (gint64) ((settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S) * FT_SECOND);
   /* While it answers nobody the workers ask elsewhere: after an outage a leader gave up
    * the lease that it had just renewed, and nobody led for another takeover. */
   gint64 answering = MAX (node->led_since, node->answering_since);
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -99,9 +99,9 @@
 add_cancellations (FtNode *node, FtPeerHeartbeat *heartbeat, gint64 now)
 {
   ft_peers_forget_cancellations (node, now - (gint64) (FT_PEER_CANCELLATIONS_S * FT_SECOND));
-  for (GList *l = node->recent_cancellations.tail;
-       l != NULL && heartbeat->cancellations->len < FT_PEER_CANCELLATIONS_MAX; l = l->prev)
-    g_ptr_array_add (heartbeat->cancellations, g_strdup (((RecentCancellation *) l->data)->ref));
+  for (GList *link = node->recent_cancellations.tail;
+       link != NULL && heartbeat->cancellations->len < FT_PEER_CANCELLATIONS_MAX; link = link->prev)
+    g_ptr_array_add (heartbeat->cancellations, g_strdup (((RecentCancellation *) link->data)->ref));
 }
 
 static FtPeerHeartbeat *
--- a/src/wire/cbor.c
+++ b/src/wire/cbor.c
@@ -23,93 +23,93 @@
 } Builder;
 
 static void
-builder_close_full (Builder *b)
+builder_close_full (Builder *builder)
 {
-  while (b->depth > 0 && b->stack[b->depth - 1].left == 0)
-    b->depth--;
+  while (builder->depth > 0 && builder->stack[builder->depth - 1].left == 0)
+    builder->depth--;
 }
 
 /* Hangs a value into the innermost open container, which stays open even if it
  * is full now: a full one still counts as nesting while its last item is open. */
 static void
-builder_hang (Builder *b, json_t *value)
+builder_hang (Builder *builder, json_t *value)
 {
-  if (b->failed || b->text != NULL || (b->depth == 0 && b->root != NULL)) {
-    b->failed = TRUE;
+  if (builder->failed || builder->text != NULL || (builder->depth == 0 && builder->root != NULL)) {
+    builder->failed = TRUE;
     json_decref (value);
     return;
   }
-  if (b->depth == 0) {
-    b->root = value;
+  if (builder->depth == 0) {
+    builder->root = value;
     return;
   }
-  Frame *f = &b->stack[b->depth - 1];
-  if (json_is_array (f->node)) {
-    json_array_append_new (f->node, value);
-  } else if (f->key == NULL) {
+  Frame *frame = &builder->stack[builder->depth - 1];
+  if (json_is_array (frame->node)) {
+    json_array_append_new (frame->node, value);
+  } else if (frame->key == NULL) {
     if (!json_is_string (value) || strlen (json_string_value (value)) != json_string_length (value))
-      b->failed = TRUE;
+      builder->failed = TRUE;
     else
-      f->key = g_strdup (json_string_value (value));
+      frame->key = g_strdup (json_string_value (value));
     json_decref (value);
     return;
   } else {
-    json_object_set_new (f->node, f->key, value);
-    g_clear_pointer (&f->key, g_free);
+    json_object_set_new (frame->node, frame->key, value);
+    g_clear_pointer (&frame->key, g_free);
   }
-  if (f->left != G_MAXUINT64)
-    f->left--;
+  if (frame->left != G_MAXUINT64)
+    frame->left--;
 }
 
 static void
-builder_add (Builder *b, json_t *value)
+builder_add (Builder *builder, json_t *value)
 {
-  builder_hang (b, value);
-  builder_close_full (b);
+  builder_hang (builder, value);
+  builder_close_full (builder);
 }
 
 static void
-builder_open (Builder *b, json_t *node, guint64 items)
+builder_open (Builder *builder, json_t *node, guint64 items)
 {
-  if (b->failed || b->depth == FT_NESTING_MAX) {
-    b->failed = TRUE;
+  if (builder->failed || builder->depth == FT_NESTING_MAX) {
+    builder->failed = TRUE;
     json_decref (node);
     return;
   }
-  builder_hang (b, node);
-  if (b->failed)
+  builder_hang (builder, node);
+  if (builder->failed)
     return;
-  b->stack[b->depth++] = (Frame){ .node = node, .left = items };
-  builder_close_full (b);
+  builder->stack[builder->depth++] = (Frame){ .node = node, .left = items };
+  builder_close_full (builder);
 }
 
 static void
-builder_text (Builder *b, const guint8 *data, gsize size)
+builder_text (Builder *builder, const guint8 *data, gsize size)
 {
   json_t *text = json_stringn ((const char *) data, size);
   if (text == NULL)
-    b->failed = TRUE; /* not UTF-8 */
+    builder->failed = TRUE; /* not UTF-8 */
   else
-    builder_add (b, text);
+    builder_add (builder, text);
 }
 
 static void
-builder_integer (Builder *b, guint64 value, gboolean negative)
+builder_integer (Builder *builder, guint64 value, gboolean negative)
 {
   if (value > G_MAXINT64)
-    builder_add (b, json_real (negative ? -1.0 - (double) value : (double) value));
+    builder_add (builder, json_real (negative ? -1.0 - (double) value : (double) value));
   else
-    builder_add (b, json_integer (negative ? -1 - (gint64) value : (gint64) value));
+    builder_add (builder, json_integer (negative ? -1 - (gint64) value : (gint64) value));
 }
 
 static void
-builder_real (Builder *b, double value)
+builder_real (Builder *builder, double value)
 {
   json_t *real = isfinite (value) ? json_real (value) : NULL;
   if (real == NULL)
-    b->failed = TRUE;
+    builder->failed = TRUE;
   else
-    builder_add (b, real);
+    builder_add (builder, real);
 }
 
 /* clang-format off */
@@ -142,35 +142,36 @@
 static void
 on_string (void *context, cbor_data data, size_t size)
 {
-  Builder *b = context;
-  if (b->text != NULL)
-    g_string_append_len (b->text, (const char *) data, size);
+  Builder *builder = context;
+  if (builder->text != NULL)
+    g_string_append_len (builder->text, (const char *) data, size);
   else
-    builder_text (b, data, size);
+    builder_text (builder, data, size);
 }
 
 static void
 on_string_open (void *context)
 {
-  Builder *b = context;
-  if (b->text != NULL)
-    b->failed = TRUE;
+  Builder *builder = context;
+  if (builder->text != NULL)
+    builder->failed = TRUE;
   else
-    b->text = g_string_new (NULL);
+    builder->text = g_string_new (NULL);
 }
 
 static void
 on_break (void *context)
 {
-  Builder *b = context;
-  if (b->text != NULL) {
-    g_autoptr (GString) text = g_steal_pointer (&b->text);
-    builder_text (b, (const guint8 *) text->str, text->len);
-  } else if (b->depth == 0 || b->stack[b->depth - 1].left != G_MAXUINT64 || b->stack[b->depth - 1].key != NULL) {
-    b->failed = TRUE;
+  Builder *builder = context;
+  if (builder->text != NULL) {
+    g_autoptr (GString) text = g_steal_pointer (&builder->text);
+    builder_text (builder, (const guint8 *) text->str, text->len);
+  } else if (builder->depth == 0 || builder->stack[builder->depth - 1].left != G_MAXUINT64
+             || builder->stack[builder->depth - 1].key != NULL) {
+    builder->failed = TRUE;
   } else {
-    b->depth--;
-    builder_close_full (b);
+    builder->depth--;
+    builder_close_full (builder);
   }
 }
 
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -10,22 +10,23 @@
 static FtMachineType *
 read_type (const json_t *item)
 {
-  FtMachineType *t = g_new0 (FtMachineType, 1);
-  if (!ft_field_text (item, "name", FT_TEXT_MAX, &t->name) || !ft_field_amount (item, "cores", 0, AMOUNT_MOST, &t->cpus)
-      || !ft_field_amount (item, "mem_gb", 0, AMOUNT_MOST, &t->memory_gb)
-      || !ft_field_amount (item, "price", 0, AMOUNT_MOST, &t->price)
-      || !ft_field_amount (item, "ready_s", 0, AMOUNT_MOST, &t->boot_s)
-      || !ft_field_texts (item, "yards", FT_TEXT_MAX, &t->zones)) {
-    ft_machine_type_free (t);
+  FtMachineType *type = g_new0 (FtMachineType, 1);
+  if (!ft_field_text (item, "name", FT_TEXT_MAX, &type->name)
+      || !ft_field_amount (item, "cores", 0, AMOUNT_MOST, &type->cpus)
+      || !ft_field_amount (item, "mem_gb", 0, AMOUNT_MOST, &type->memory_gb)
+      || !ft_field_amount (item, "price", 0, AMOUNT_MOST, &type->price)
+      || !ft_field_amount (item, "ready_s", 0, AMOUNT_MOST, &type->boot_s)
+      || !ft_field_texts (item, "yards", FT_TEXT_MAX, &type->zones)) {
+    ft_machine_type_free (type);
     return NULL;
   }
-  t->spot_price = t->price;
-  t->fetch_gb_per_s = 1;
-  ft_field_amount (item, "cards", 0, AMOUNT_MOST, &t->gpus);
-  ft_field_amount (item, "local_gb", 0, AMOUNT_MOST, &t->cache_gb);
-  ft_field_amount (item, "fetch_gb_per_s", 0, AMOUNT_MOST, &t->fetch_gb_per_s);
-  ft_field_amount (item, "market_price", 0, AMOUNT_MOST, &t->spot_price);
-  return t;
+  type->spot_price = type->price;
+  type->fetch_gb_per_s = 1;
+  ft_field_amount (item, "cards", 0, AMOUNT_MOST, &type->gpus);
+  ft_field_amount (item, "local_gb", 0, AMOUNT_MOST, &type->cache_gb);
+  ft_field_amount (item, "fetch_gb_per_s", 0, AMOUNT_MOST, &type->fetch_gb_per_s);
+  ft_field_amount (item, "market_price", 0, AMOUNT_MOST, &type->spot_price);
+  return type;
 }
 
 FtCatalog *
@@ -81,15 +82,16 @@
     const json_t *item = json_array_get (items, i);
     FtListedMachine m = { 0 };
     g_array_append_val (list, m);
-    FtListedMachine *e = &g_array_index (list, FtListedMachine, list->len - 1);
+    FtListedMachine *listed = &g_array_index (list, FtListedMachine, list->len - 1);
     const char *state = json_string_value (json_object_get (item, "standing"));
-    e->state = g_strcmp0 (state, "failed") == 0     ? FT_LISTED_FAILED
-               : g_strcmp0 (state, "starting") == 0 ? FT_LISTED_BOOTING
-                                                    : FT_LISTED_RUNNING;
-    ft_field_text_or_null (item, "address", FT_TEXT_MAX, &e->addr);
-    ft_field_amount (item, "held_s", 0, AMOUNT_MOST, &e->age_s);
-    if (!ft_field_text (item, "ref", FT_TEXT_MAX, &e->name) || !ft_field_text (item, "build", FT_TEXT_MAX, &e->type)
-        || !ft_field_text (item, "yard", FT_TEXT_MAX, &e->zone) || !ft_field_bool (item, "loaners", &e->spot))
+    listed->state = g_strcmp0 (state, "failed") == 0     ? FT_LISTED_FAILED
+                    : g_strcmp0 (state, "starting") == 0 ? FT_LISTED_BOOTING
+                                                         : FT_LISTED_RUNNING;
+    ft_field_text_or_null (item, "address", FT_TEXT_MAX, &listed->addr);
+    ft_field_amount (item, "held_s", 0, AMOUNT_MOST, &listed->age_s);
+    if (!ft_field_text (item, "ref", FT_TEXT_MAX, &listed->name)
+        || !ft_field_text (item, "build", FT_TEXT_MAX, &listed->type)
+        || !ft_field_text (item, "yard", FT_TEXT_MAX, &listed->zone) || !ft_field_bool (item, "loaners", &listed->spot))
       return FALSE;
   }
   *more = json_is_true (json_object_get (body, "more"));
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -209,11 +209,12 @@
   static const char *const verbs[] = { "start", "stop", "clear" };
   json_t *list = json_array ();
   for (guint i = 0; commands != NULL && i < commands->len; i++) {
-    const FtCommand *c = &g_array_index (commands, FtCommand, i);
-    g_autofree char *task = g_strdup_printf ("%s/%u", c->job, c->index);
-    json_t *item = json_pack ("{s:s, s:s, s:I}", "verb", verbs[c->op], "piece", task, "try", (json_int_t) c->attempt);
-    if (c->op == FT_COMMAND_STOP)
-      json_object_set_new (item, "leeway_s", json_real (c->grace_s));
+    const FtCommand *command = &g_array_index (commands, FtCommand, i);
+    g_autofree char *task = g_strdup_printf ("%s/%u", command->job, command->index);
+    json_t *item = json_pack ("{s:s, s:s, s:I}", "verb", verbs[command->op], "piece", task, "try",
+                              (json_int_t) command->attempt);
+    if (command->op == FT_COMMAND_STOP)
+      json_object_set_new (item, "leeway_s", json_real (command->grace_s));
     json_array_append_new (list, item);
   }
   return list;
--- a/src/wire/store.c
+++ b/src/wire/store.c
@@ -312,7 +312,7 @@
 }
 
 static gboolean
-read_open_amounts (const json_t *v, FtJobSpec *spec)
+read_open_amounts (const json_t *value, FtJobSpec *spec)
 {
   struct {
     const char *name;
@@ -326,7 +326,7 @@
                   { "save_s", &spec->save_s },
                   { "deadline_s", &spec->deadline_s } };
   for (guint i = 0; i < G_N_ELEMENTS (amounts); i++)
-    if (!ft_field_amount (v, amounts[i].name, 0, G_MAXDOUBLE, amounts[i].target))
+    if (!ft_field_amount (value, amounts[i].name, 0, G_MAXDOUBLE, amounts[i].target))
       return FALSE;
   return TRUE;
 }
@@ -339,29 +339,30 @@
 }
 
 FtJobSpec *
-ft_row_open_parse (const char *ref, const json_t *v)
+ft_row_open_parse (const char *ref, const json_t *value)
 {
   g_autoptr (FtJobSpec) spec = g_new0 (FtJobSpec, 1);
   guint64 kind = FT_KIND_ARRAY, priority, tasks, submitted, sent;
   spec->ref = g_strdup (ref);
-  if (!ft_field_text (v, "class", FT_TEXT_MAX, &spec->job_class)
-      || !ft_field_text (v, "team", FT_TEXT_MAX, &spec->team)
+  if (!ft_field_text (value, "class", FT_TEXT_MAX, &spec->job_class)
+      || !ft_field_text (value, "team", FT_TEXT_MAX, &spec->team)
       /* Rows of before there were kinds have none. */
-      || !(ft_field_is_null (v, "kind") || ft_field_count (v, "kind", 0, FT_KIND_SERVICE, &kind))
-      || !ft_field_count (v, "priority", 0, FT_PRIORITY_PRODUCTION, &priority)
-      || !ft_field_count (v, "tasks", 1, FT_JOB_TASKS_MAX, &tasks) || !read_open_amounts (v, spec)
-      || !ft_field_text (v, "image", FT_TEXT_MAX, &spec->image)
-      || !(ft_field_is_null (v, "types") || ft_field_texts (v, "types", FT_TEXT_MAX, &spec->types))
-      || !ft_field_text_or_null (v, "zone", FT_TEXT_MAX, &spec->zone) || !ft_field_bool (v, "one_zone", &spec->one_zone)
-      || !ft_field_bool (v, "spread", &spec->spread) || !ft_field_bool (v, "spot", &spec->spot)
-      || !ft_field_count (v, "submitted_ms", 0, G_MAXINT64, &submitted))
+      || !(ft_field_is_null (value, "kind") || ft_field_count (value, "kind", 0, FT_KIND_SERVICE, &kind))
+      || !ft_field_count (value, "priority", 0, FT_PRIORITY_PRODUCTION, &priority)
+      || !ft_field_count (value, "tasks", 1, FT_JOB_TASKS_MAX, &tasks) || !read_open_amounts (value, spec)
+      || !ft_field_text (value, "image", FT_TEXT_MAX, &spec->image)
+      || !(ft_field_is_null (value, "types") || ft_field_texts (value, "types", FT_TEXT_MAX, &spec->types))
+      || !ft_field_text_or_null (value, "zone", FT_TEXT_MAX, &spec->zone)
+      || !ft_field_bool (value, "one_zone", &spec->one_zone) || !ft_field_bool (value, "spread", &spec->spread)
+      || !ft_field_bool (value, "spot", &spec->spot)
+      || !ft_field_count (value, "submitted_ms", 0, G_MAXINT64, &submitted))
     return NULL;
   /* Rows of before there was a dispatch watermark have none: all of it may have been sent. */
   sent = tasks;
-  if (!ft_field_is_null (v, "sent") && !ft_field_count (v, "sent", 0, tasks, &sent))
+  if (!ft_field_is_null (value, "sent") && !ft_field_count (value, "sent", 0, tasks, &sent))
     return NULL;
   /* A job is never started before those that it needs because they could not be read. */
-  if (!ft_field_is_null (v, "awaits") && !unpack_refs (json_object_get (v, "awaits"), &spec->dependencies))
+  if (!ft_field_is_null (value, "awaits") && !unpack_refs (json_object_get (value, "awaits"), &spec->dependencies))
     return NULL;
   spec->dispatch_watermark = (guint) sent;
   spec->kind = (FtJobKind) kind;
@@ -378,31 +379,31 @@
 }
 
 static gboolean
-read_machine (FtScheduler *s, const char *row, const char *name, const json_t *v)
+read_machine (FtScheduler *scheduler, const char *row, const char *name, const json_t *value)
 {
   g_autofree char *addr = NULL, *type = NULL, *zone = NULL;
   gboolean spot;
-  if (!ft_field_text (v, "addr", FT_TEXT_MAX, &addr) || !ft_field_text (v, "type", FT_TEXT_MAX, &type)
-      || !ft_field_text (v, "zone", FT_TEXT_MAX, &zone) || !ft_field_bool (v, "spot", &spot))
+  if (!ft_field_text (value, "addr", FT_TEXT_MAX, &addr) || !ft_field_text (value, "type", FT_TEXT_MAX, &type)
+      || !ft_field_text (value, "zone", FT_TEXT_MAX, &zone) || !ft_field_bool (value, "spot", &spot))
     return FALSE;
-  ft_scheduler_load_machine (s, row, name, addr, type, zone, spot);
+  ft_scheduler_load_machine (scheduler, row, name, addr, type, zone, spot);
   return TRUE;
 }
 
 gboolean
-ft_row_machine_parse (FtScheduler *s, const FtRow *row)
+ft_row_machine_parse (FtScheduler *scheduler, const FtRow *row)
 {
   if (!g_str_has_prefix (row->key, FT_PREFIX_REGISTRY))
     return FALSE;
   const char *id = row->key + strlen (FT_PREFIX_REGISTRY);
   const json_t *list = json_object_get (row->value, "machines");
   if (list == NULL)
-    return read_machine (s, id, id, row->value); /* rows of before name one machine, by their key */
+    return read_machine (scheduler, id, id, row->value); /* rows of before name one machine, by their key */
   gboolean all = json_is_array (list);
   for (size_t i = 0; i < json_array_size (list); i++) {
     const json_t *item = json_array_get (list, i);
     g_autofree char *name = NULL;
-    all &= ft_field_text (item, "name", FT_TEXT_MAX, &name) && read_machine (s, id, name, item);
+    all &= ft_field_text (item, "name", FT_TEXT_MAX, &name) && read_machine (scheduler, id, name, item);
   }
   return all;
 }
@@ -465,28 +466,28 @@
 /* ---- a leader's batch ---- */
 
 static void
-add_job_ended (json_t *txn, const FtWrite *w, FtJobEnd end, gint64 wall_ms)
+add_job_ended (json_t *txn, const FtWrite *write, FtJobEnd end, gint64 wall_ms)
 {
-  g_autofree char *job = ft_key_job (w->name), *open = ft_key_open (w->name);
-  ft_txn_if (txn, job, w->revision);
-  ft_txn_put (txn, job, ft_row_job_ended (end, w->tasks, wall_ms));
+  g_autofree char *job = ft_key_job (write->name), *open = ft_key_open (write->name);
+  ft_txn_if (txn, job, write->revision);
+  ft_txn_put (txn, job, ft_row_job_ended (end, write->tasks, wall_ms));
   ft_txn_delete (txn, open);
 }
 
 static void
-add_job_stopped (json_t *txn, const FtWrite *w)
+add_job_stopped (json_t *txn, const FtWrite *write)
 {
-  g_autofree char *open = ft_key_open (w->name), *mark = ft_key_cancellation (w->name);
+  g_autofree char *open = ft_key_open (write->name), *mark = ft_key_cancellation (write->name);
   ft_txn_delete (txn, open);
   ft_txn_delete (txn, mark);
 }
 
 static json_t *
-marked_row (const FtWrite *w)
+marked_row (const FtWrite *write)
 {
-  json_t *row = ft_row_open (w->spec);
-  json_object_set_new (row, "sent", json_integer (w->watermark));
-  json_object_set_new (row, "stamp", json_integer ((json_int_t) w->revision));
+  json_t *row = ft_row_open (write->spec);
+  json_object_set_new (row, "sent", json_integer (write->watermark));
+  json_object_set_new (row, "stamp", json_integer ((json_int_t) write->revision));
   return row;
 }
 
@@ -495,50 +496,50 @@
 {
   json_t *list = json_array ();
   for (guint i = 0; i < machines->len; i++) {
-    const FtListedMachine *m = &g_array_index (machines, FtListedMachine, i);
-    json_array_append_new (list, json_pack ("{s:s, s:s, s:s, s:s, s:b}", "name", m->name, "addr", m->addr, "type",
-                                            m->type, "zone", m->zone, "spot", m->spot));
+    const FtListedMachine *listed = &g_array_index (machines, FtListedMachine, i);
+    json_array_append_new (list, json_pack ("{s:s, s:s, s:s, s:s, s:b}", "name", listed->name, "addr", listed->addr,
+                                            "type", listed->type, "zone", listed->zone, "spot", listed->spot));
   }
   return json_pack ("{s:o}", "machines", list);
 }
 
 void
-ft_txn_add_write (json_t *txn, const FtWrite *w, gint64 wall_ms)
+ft_txn_add_write (json_t *txn, const FtWrite *write, gint64 wall_ms)
 {
   g_autofree char *key = NULL;
-  switch (w->kind) {
+  switch (write->kind) {
   case FT_WRITE_REGISTRY_ROW:
-    key = key_registry (w->name);
-    ft_txn_put (txn, key, registry_value (w->machines));
+    key = key_registry (write->name);
+    ft_txn_put (txn, key, registry_value (write->machines));
     break;
   case FT_WRITE_REGISTRY_ROW_DELETE:
-    key = key_registry (w->name);
+    key = key_registry (write->name);
     ft_txn_delete (txn, key);
     break;
   case FT_WRITE_DRAIN_DELETE:
-    key = ft_key_drained (w->name);
+    key = ft_key_drained (write->name);
     ft_txn_delete (txn, key);
     break;
   case FT_WRITE_WATERMARK:
-    key = ft_key_open (w->name);
-    ft_txn_put (txn, key, marked_row (w));
+    key = ft_key_open (write->name);
+    ft_txn_put (txn, key, marked_row (write));
     break;
   case FT_WRITE_CHUNK:
-    key = key_chunk (w->name, w->chunk);
-    ft_txn_put (txn, key, json_pack ("{s:s}", "bits", w->bits));
+    key = key_chunk (write->name, write->chunk);
+    ft_txn_put (txn, key, json_pack ("{s:s}", "bits", write->bits));
     break;
   case FT_WRITE_CHUNK_DELETE:
-    key = key_chunk (w->name, w->chunk);
+    key = key_chunk (write->name, write->chunk);
     ft_txn_delete (txn, key);
     break;
   case FT_WRITE_JOB_DONE:
-    add_job_ended (txn, w, FT_JOB_END_DONE, wall_ms);
+    add_job_ended (txn, write, FT_JOB_END_DONE, wall_ms);
     break;
   case FT_WRITE_JOB_STOPPED:
-    add_job_stopped (txn, w);
+    add_job_stopped (txn, write);
     break;
   case FT_WRITE_JOB_CANCELLED:
-    add_job_ended (txn, w, FT_JOB_END_CANCELLED, wall_ms);
+    add_job_ended (txn, write, FT_JOB_END_CANCELLED, wall_ms);
     break;
   }
 }
@@ -547,11 +548,11 @@
 ft_store_conflicted_job (const json_t *body, const GPtrArray *writes)
 {
   for (guint i = 0; i < writes->len; i++) {
-    const FtWrite *w = g_ptr_array_index (writes, i);
-    g_autofree char *key = ft_key_job (w->name);
-    gboolean conditional = w->kind == FT_WRITE_JOB_DONE || w->kind == FT_WRITE_JOB_CANCELLED;
+    const FtWrite *write = g_ptr_array_index (writes, i);
+    g_autofree char *key = ft_key_job (write->name);
+    gboolean conditional = write->kind == FT_WRITE_JOB_DONE || write->kind == FT_WRITE_JOB_CANCELLED;
     if (conditional && ft_store_failed (body, key))
-      return w->name;
+      return write->name;
   }
   return NULL;
 }
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -84,7 +84,7 @@
 guint64 ft_row_open_revision (const FtRow *row);
 FtJobSpec *ft_row_open_parse (const char *ref, const json_t *value);
 const char *ft_row_chunk_bits (const json_t *value);
-gboolean ft_row_machine_parse (FtScheduler *s, const FtRow *row);
+gboolean ft_row_machine_parse (FtScheduler *scheduler, const FtRow *row);
 
 /* The name of a machine from its row of drained ones; borrowed, or NULL. */
 const char *ft_key_drained_name (const char *key);
--- a/src/wire/worker_heartbeat.c
+++ b/src/wire/worker_heartbeat.c
@@ -89,13 +89,14 @@
 };
 
 static Item
-next (Reader *r)
+next (Reader *reader)
 {
   Item item = { 0 };
-  struct cbor_decoder_result result = cbor_stream_decode (r->data + r->at, r->size - r->at, &callbacks, &item);
+  struct cbor_decoder_result result
+      = cbor_stream_decode (reader->data + reader->at, reader->size - reader->at, &callbacks, &item);
   if (result.status != CBOR_DECODER_FINISHED)
     item.kind = ITEM_NONE;
-  r->at += result.read;
+  reader->at += result.read;
   return item;
 }
 
@@ -118,9 +119,9 @@
 }
 
 static gboolean
-read_text (Reader *r, char **out)
+read_text (Reader *reader, char **out)
 {
-  Item item = next (r);
+  Item item = next (reader);
   if (*out != NULL || !plain (&item, FT_TEXT_MAX))
     return FALSE;
   *out = g_strndup (item.text, item.count);
@@ -128,9 +129,9 @@
 }
 
 static gboolean
-read_count (Reader *r, guint64 *out)
+read_count (Reader *reader, guint64 *out)
 {
-  Item item = next (r);
+  Item item = next (reader);
   *out = item.count;
   return item.kind == ITEM_UINT && item.count <= G_MAXINT64;
 }
@@ -148,35 +149,35 @@
 
 /* 1: a field was read; 0: one that is not known here; -1: not plain. */
 static int
-read_task_field (Reader *r, const Item *key, FtTaskStatus *task, Item *state, Item *cause)
+read_task_field (Reader *reader, const Item *key, FtTaskStatus *task, Item *state, Item *cause)
 {
   if (is (key, "try"))
-    return read_count (r, &task->attempt) ? 1 : -1;
+    return read_count (reader, &task->attempt) ? 1 : -1;
   if (is (key, "standing")) {
-    *state = next (r);
+    *state = next (reader);
     return plain (state, FT_TEXT_MAX) ? 1 : -1;
   }
   if (is (key, "cause")) {
-    *cause = next (r);
+    *cause = next (reader);
     return plain (cause, FT_TEXT_MAX) || cause->kind == ITEM_NULL ? 1 : -1;
   }
   if (!is (key, "piece"))
     return 0;
-  Item name = next (r);
+  Item name = next (reader);
   return task->job == NULL && read_name (&name, task) ? 1 : -1;
 }
 
 static gboolean
-skip_scalar (Reader *r)
+skip_scalar (Reader *reader)
 {
-  Item item = next (r);
+  Item item = next (reader);
   return item.kind == ITEM_UINT || item.kind == ITEM_BOOL || item.kind == ITEM_NULL || plain (&item, FT_BODY_MAX);
 }
 
 static gboolean
-read_task (Reader *r, GArray *tasks)
+read_task (Reader *reader, GArray *tasks)
 {
-  Item map = next (r), state = { 0 }, cause = { 0 };
+  Item map = next (reader), state = { 0 }, cause = { 0 };
   FtTaskStatus blank = { 0 };
   guint fields = 0;
   if (map.kind != ITEM_MAP)
@@ -184,9 +185,9 @@
   g_array_append_val (tasks, blank);
   FtTaskStatus *task = &g_array_index (tasks, FtTaskStatus, tasks->len - 1);
   for (guint64 i = 0; i < map.count; i++) {
-    Item key = next (r);
-    int read = plain (&key, FT_TEXT_MAX) ? read_task_field (r, &key, task, &state, &cause) : -1;
-    if (read < 0 || (read == 0 && !skip_scalar (r)))
+    Item key = next (reader);
+    int read = plain (&key, FT_TEXT_MAX) ? read_task_field (reader, &key, task, &state, &cause) : -1;
+    if (read < 0 || (read == 0 && !skip_scalar (reader)))
       return FALSE;
     fields += read > 0 && !is (&key, "cause");
   }
@@ -195,21 +196,21 @@
 }
 
 static gboolean
-read_list (Reader *r, GArray *tasks)
+read_list (Reader *reader, GArray *tasks)
 {
-  Item list = next (r);
+  Item list = next (reader);
   if (list.kind != ITEM_ARRAY || tasks->len > 0)
     return FALSE;
   for (guint64 i = 0; i < list.count; i++)
-    if (!read_task (r, tasks))
+    if (!read_task (reader, tasks))
       return FALSE;
   return TRUE;
 }
 
 static gboolean
-read_notice (Reader *r, FtWorkerHeartbeat *heartbeat)
+read_notice (Reader *reader, FtWorkerHeartbeat *heartbeat)
 {
-  Item item = next (r);
+  Item item = next (reader);
   if (item.kind == ITEM_NULL)
     return TRUE;
   heartbeat->notice_s = item.kind == ITEM_REAL ? item.real : (double) item.count;
@@ -219,7 +220,7 @@
 
 /* 1, 0 or -1 as above; `seen` has a bit for each field that must be there. */
 static int
-read_field (Reader *r, const Item *key, FtWorkerHeartbeat *heartbeat, guint *seen)
+read_field (Reader *reader, const Item *key, FtWorkerHeartbeat *heartbeat, guint *seen)
 {
   static const char *const names[]
       = { "hearth", "address", "build", "yard", "shift", "tally", "baton", "loaners", "pieces" };
@@ -229,17 +230,17 @@
   while (i < G_N_ELEMENTS (names) && !is (key, names[i]))
     i++;
   if (i == G_N_ELEMENTS (names))
-    return !is (key, "recall_s") ? 0 : read_notice (r, heartbeat) ? 1 : -1;
+    return !is (key, "recall_s") ? 0 : read_notice (reader, heartbeat) ? 1 : -1;
   if (*seen & (1u << i))
     return -1;
   *seen |= 1u << i;
   if (i < 4)
-    return read_text (r, texts[i]) ? 1 : -1;
+    return read_text (reader, texts[i]) ? 1 : -1;
   if (i < 7)
-    return read_count (r, counts[i - 4]) ? 1 : -1;
+    return read_count (reader, counts[i - 4]) ? 1 : -1;
   if (i == 8)
-    return read_list (r, heartbeat->tasks) ? 1 : -1;
-  Item item = next (r);
+    return read_list (reader, heartbeat->tasks) ? 1 : -1;
+  Item item = next (reader);
   heartbeat->spot = item.count != 0;
   return item.kind == ITEM_BOOL ? 1 : -1;
 }
