--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -3,7 +3,7 @@
 #include <math.h>
 
 #include "core/fault.h"
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 /* One place to rent from: a type in a zone, spot or ordinary. */
 typedef struct {
@@ -33,13 +33,13 @@
 get_pool (FtScheduler *scheduler, const char *type, const char *zone, gboolean spot)
 {
   g_autofree char *key = g_strdup_printf ("%s/%s/%d", type, zone, spot);
-  FtPool *pool = g_hash_table_lookup (scheduler->pools, key);
+  FtPool *pool = g_hash_table_lookup (scheduler->autoscaler.pools, key);
   if (pool == NULL) {
     pool = g_new0 (FtPool, 1);
     pool->type = g_intern_string (type);
     pool->zone = g_intern_string (zone);
     pool->spot = spot;
-    g_hash_table_insert (scheduler->pools, g_steal_pointer (&key), pool);
+    g_hash_table_insert (scheduler->autoscaler.pools, g_steal_pointer (&key), pool);
   }
   return pool;
 }
@@ -72,8 +72,8 @@
 {
   const FtMachineType *best = NULL;
   double best_price = INFINITY;
-  for (guint i = 0; i < scheduler->catalog->types->len; i++) {
-    const FtMachineType *type = g_ptr_array_index (scheduler->catalog->types, i);
+  for (guint i = 0; i < scheduler->context.catalog->types->len; i++) {
+    const FtMachineType *type = g_ptr_array_index (scheduler->context.catalog->types, i);
     guint n = per_machine (type, spec);
     if (n == 0 || (spec->types != NULL && !g_strv_contains ((const char *const *) spec->types, type->name)))
       continue;
@@ -112,7 +112,7 @@
   const FtJobSpec *spec = job->spec;
   if (job->deadline_at == 0 || job->priority >= FT_PRIORITY_HIGH || spec->estimate_s <= 0)
     return 1;
-  double left = (double) (job->deadline_at - scheduler->now) / FT_SECOND - spec->estimate_s - type->boot_s;
+  double left = (double) (job->deadline_at - scheduler->context.now) / FT_SECOND - spec->estimate_s - type->boot_s;
   return 1 + MAX (0, left) / spec->estimate_s;
 }
 
@@ -120,13 +120,13 @@
 find_demand (FtScheduler *scheduler)
 {
   GArray *dependencies = g_array_new (FALSE, TRUE, sizeof (Demand));
-  guint n_teams = scheduler->settings->n_teams;
+  guint n_teams = scheduler->context.settings->n_teams;
   g_autofree double *room = g_new0 (double, n_teams);
   for (guint t = 0; t < n_teams; t++)
-    room[t] = ft_team_limit (scheduler->teams[t].limit->cpus_max) - scheduler->teams[t].cpus;
-  for (guint i = 0; i < scheduler->order->len; i++) {
-    const FtJob *job = g_ptr_array_index (scheduler->order, i);
-    guint t = (guint) (job->team - scheduler->teams);
+    room[t] = ft_team_limit (scheduler->quota.teams[t].limit->cpus_max) - scheduler->quota.teams[t].cpus;
+  for (guint i = 0; i < scheduler->placement.order->len; i++) {
+    const FtJob *job = g_ptr_array_index (scheduler->placement.order, i);
+    guint t = (guint) (job->team - scheduler->quota.teams);
     double tasks = job->counts[FT_TASK_QUEUED];
     if (job->spec->cpus > 0)
       tasks = MIN (tasks, room[t] / job->spec->cpus);
@@ -136,7 +136,7 @@
     room[t] -= tasks * job->spec->cpus;
     add_demand (dependencies, type, job->spec->zone, job->spec->spot,
                 tasks / per_machine (type, job->spec) / waves (scheduler, job, type),
-                job->no_room_pass == scheduler->pass);
+                job->no_room_pass == scheduler->placement.pass);
   }
   // NOLINTNEXTLINE(clang-analyzer-unix.Malloc): freed by g_auto cleanup, which the analyzer does not follow
   return dependencies;
@@ -168,7 +168,7 @@
   Supply supply = { 0 };
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
     if (machine->type == NULL || (dependency != NULL && !serves (machine, dependency)))
@@ -183,7 +183,7 @@
     }
   }
   /* Requests under way count as machines that will boot. */
-  g_hash_table_iter_init (&it, scheduler->pools);
+  g_hash_table_iter_init (&it, scheduler->autoscaler.pools);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtPool *pool = value;
     if (dependency == NULL
@@ -198,9 +198,9 @@
 headroom (const FtScheduler *scheduler)
 {
   double boot = 0;
-  for (guint i = 0; i < scheduler->catalog->types->len; i++)
-    boot = MAX (boot, ((const FtMachineType *) g_ptr_array_index (scheduler->catalog->types, i))->boot_s);
-  return boot * scheduler->tuning.headroom_per_boot_s;
+  for (guint i = 0; i < scheduler->context.catalog->types->len; i++)
+    boot = MAX (boot, ((const FtMachineType *) g_ptr_array_index (scheduler->context.catalog->types, i))->boot_s);
+  return boot * scheduler->context.tuning.headroom_per_boot_s;
 }
 
 static guint
@@ -209,7 +209,7 @@
   guint n = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
     n += machine->spot == pool->spot && g_strcmp0 (machine->zone, pool->zone) == 0
@@ -227,9 +227,9 @@
   guint spot = 0, all = 0;
   GHashTableIter it;
   gpointer value;
-  if (scheduler->tuning.spot_share >= 1)
+  if (scheduler->context.tuning.spot_share >= 1)
     return TRUE;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
     if (machine->state == FT_MACHINE_GONE || machine->state == FT_MACHINE_TERMINATING)
@@ -237,7 +237,7 @@
     all++;
     spot += machine->spot;
   }
-  return spot + 1 <= scheduler->tuning.spot_share * (all + 1);
+  return spot + 1 <= scheduler->context.tuning.spot_share * (all + 1);
 }
 
 static FtPool *
@@ -252,8 +252,8 @@
       continue;
     for (int spot = spot_ok ? 1 : 0; spot >= 0; spot--) {
       FtPool *pool = get_pool (scheduler, dependency->type->name, zone, spot);
-      if (pool->booking != NULL || pool->refused_until > scheduler->now
-          || ft_zone_launchable (ft_zone_get (scheduler->zones, zone), scheduler->now) == 0)
+      if (pool->booking != NULL || pool->refused_until > scheduler->context.now
+          || ft_zone_launchable (ft_zone_get (scheduler->machine_table.zones, zone), scheduler->context.now) == 0)
         continue;
       double cost = (spot ? dependency->type->spot_price : dependency->type->price) * FT_POOL_PRICE_WEIGHT
                     + machines_in (scheduler, pool);
@@ -272,15 +272,15 @@
   FtPool *pool = best_pool (scheduler, dependency);
   if (pool == NULL || count == 0)
     return;
-  FtZone *zone = ft_zone_get (scheduler->zones, pool->zone);
-  pool->asked = MIN (MIN (count, FT_SCALE_OUT_MAX), ft_zone_launchable (zone, scheduler->now));
-  ft_zone_launched (zone, scheduler->now);
-  if (pool->spot && scheduler->tuning.spot_share < 1)
+  FtZone *zone = ft_zone_get (scheduler->machine_table.zones, pool->zone);
+  pool->asked = MIN (MIN (count, FT_SCALE_OUT_MAX), ft_zone_launchable (zone, scheduler->context.now));
+  ft_zone_launched (zone, scheduler->context.now);
+  if (pool->spot && scheduler->context.tuning.spot_share < 1)
     pool->asked = 1; /* one at a time, to keep within the share */
   /* The token makes the name unique for ever: no other leadership has it. */
-  pool->booking = g_strdup_printf ("flintrack-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, scheduler->token,
-                                   scheduler->next_booking++);
-  pool->retry_at = scheduler->now;
+  pool->booking = g_strdup_printf ("flintrack-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, scheduler->context.token,
+                                   scheduler->autoscaler.next_booking++);
+  pool->retry_at = scheduler->context.now;
   g_message ("rental %s: %u %s in %s%s", pool->booking, pool->asked, pool->type, pool->zone, pool->spot ? " spot" : "");
 }
 
@@ -288,11 +288,11 @@
 static gboolean
 blocked_long (const FtScheduler *scheduler, const Demand *dependency)
 {
-  for (guint i = 0; i < scheduler->order->len; i++) {
-    const FtJob *job = g_ptr_array_index (scheduler->order, i);
-    if (job->no_room_pass == scheduler->pass && job->spec->spot == dependency->spot
+  for (guint i = 0; i < scheduler->placement.order->len; i++) {
+    const FtJob *job = g_ptr_array_index (scheduler->placement.order, i);
+    if (job->no_room_pass == scheduler->placement.pass && job->spec->spot == dependency->spot
         && g_strcmp0 (job->spec->zone, dependency->zone) == 0
-        && scheduler->now - job->ready_at > (gint64) (dependency->type->boot_s * FT_SECOND))
+        && scheduler->context.now - job->ready_at > (gint64) (dependency->type->boot_s * FT_SECOND))
       return TRUE;
   }
   return FALSE;
@@ -324,7 +324,7 @@
 {
   g_message ("machine %s: to be returned (%s)", machine->name, why);
   ft_machine_set_state (machine, FT_MACHINE_TERMINATING);
-  machine->terminate_at = scheduler->now;
+  machine->terminate_at = scheduler->context.now;
 }
 
 static gboolean
@@ -332,15 +332,15 @@
 {
   double boot = machine->type != NULL ? machine->type->boot_s : FT_BOOT_UNKNOWN_S;
   gint64 limit = (gint64) ((boot * FT_BOOT_FACTOR + FT_BOOT_PLUS_S) * FT_SECOND);
-  return machine->state == FT_MACHINE_BOOTING && scheduler->now - machine->launched_at > limit;
+  return machine->state == FT_MACHINE_BOOTING && scheduler->context.now - machine->launched_at > limit;
 }
 
 /* The store has been seen since the zone was heard last: it is the zone that is cut off. */
 static gboolean
 zone_alone_lost (const FtScheduler *scheduler, const FtZone *zone)
 {
-  gint64 silent_since = MAX (zone->last_heard, scheduler->loaded_at);
-  return scheduler->cancellations_known_until > silent_since + (gint64) (FT_ZONE_STORE_SEEN_S * FT_SECOND);
+  gint64 silent_since = MAX (zone->last_heard, scheduler->context.loaded_at);
+  return scheduler->context.cancellations_known_until > silent_since + (gint64) (FT_ZONE_STORE_SEEN_S * FT_SECOND);
 }
 
 /* A controller that is itself cut off must not return a healthy fleet: silence
@@ -350,19 +350,21 @@
 static gboolean
 may_give_up (FtScheduler *scheduler, const FtMachine *machine, guint up, guint lost)
 {
-  if (scheduler->now - scheduler->silent_window_at > (gint64) (FT_SILENT_SCALE_IN_WINDOW_S * FT_SECOND)) {
-    scheduler->silent_window_at = scheduler->now;
-    scheduler->silent_terminated = 0;
+  if (scheduler->context.now - scheduler->autoscaler.silent_window_at
+      > (gint64) (FT_SILENT_SCALE_IN_WINDOW_S * FT_SECOND)) {
+    scheduler->autoscaler.silent_window_at = scheduler->context.now;
+    scheduler->autoscaler.silent_terminated = 0;
   }
   guint most = MAX (FT_SILENT_SCALE_IN_MIN, (guint) (FT_SILENT_SCALE_IN_SHARE * (up + lost)));
-  gint64 long_silent = (gint64) (2 * scheduler->settings->lease_s * FT_SECOND);
-  if (scheduler->now - scheduler->cancellations_known_until > (gint64) (FT_GIVE_UP_STORE_SEEN_S * FT_SECOND))
+  gint64 long_silent = (gint64) (2 * scheduler->context.settings->lease_s * FT_SECOND);
+  if (scheduler->context.now - scheduler->context.cancellations_known_until
+      > (gint64) (FT_GIVE_UP_STORE_SEEN_S * FT_SECOND))
     return FALSE;
-  if (lost > up && scheduler->now - ft_machine_no_heartbeat_since (scheduler, machine) <= long_silent)
+  if (lost > up && scheduler->context.now - ft_machine_no_heartbeat_since (scheduler, machine) <= long_silent)
     return FALSE;
   if (machine->zone_view->unreachable)
     return zone_alone_lost (scheduler, machine->zone_view);
-  return scheduler->silent_terminated < most;
+  return scheduler->autoscaler.silent_terminated < most;
 }
 
 static gboolean
@@ -370,7 +372,7 @@
 {
   /* A controller that is late itself answers too late: that is not the machine's. */
   return machine->state == FT_MACHINE_UP && ft_machine_not_receiving (machine)
-         && scheduler->now - MAX (machine->not_receiving_since, scheduler->on_time_since)
+         && scheduler->context.now - MAX (machine->not_receiving_since, scheduler->context.on_time_since)
                 > (gint64) (FT_NOT_RECEIVING_SCALE_IN_S * FT_SECOND);
 }
 
@@ -379,7 +381,8 @@
 not_reporting_long (const FtScheduler *scheduler, const FtMachine *machine)
 {
   return ft_machine_not_reporting (scheduler, machine)
-         && scheduler->now - ft_machine_no_heartbeat_since (scheduler, machine) > ft_machine_lease_us (scheduler);
+         && scheduler->context.now - ft_machine_no_heartbeat_since (scheduler, machine)
+                > ft_machine_lease_us (scheduler);
 }
 
 /* Why a machine is of no use, and may be given up; NULL: it is of use. */
@@ -399,7 +402,7 @@
   GHashTableIter it;
   gpointer value;
   *up = *lost = 0;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
     gboolean heard = machine->state == FT_MACHINE_UP && !ft_machine_not_receiving (machine)
@@ -431,13 +434,13 @@
   gint64 age = 0;
   GHashTableIter it;
   gpointer value;
-  if (scheduler->recovered)
+  if (scheduler->recovery.recovered)
     return 0;
-  g_hash_table_iter_init (&it, scheduler->jobs);
+  g_hash_table_iter_init (&it, scheduler->job_table.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtJob *job = value;
     if (job->state == FT_JOB_CANCELLING && job->counts[FT_TASK_UNKNOWN] > 0)
-      age = MAX (age, scheduler->now - job->cancelled_at);
+      age = MAX (age, scheduler->context.now - job->cancelled_at);
   }
   return age;
 }
@@ -446,7 +449,7 @@
 static gboolean
 pressing (const FtScheduler *scheduler, gint64 age)
 {
-  return age > (gint64) (FT_CANCELLED_SCALE_IN_SHARE * scheduler->settings->cancel_s * FT_SECOND);
+  return age > (gint64) (FT_CANCELLED_SCALE_IN_SHARE * scheduler->context.settings->cancel_s * FT_SECOND);
 }
 
 /* What an unreconciled machine holds nobody knows, and without the store nobody knows what
@@ -455,15 +458,16 @@
 static gboolean
 may_hold_cancelled (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  return holds_cancelled (machine) || (!machine->reconciled && pressing (scheduler, scheduler->unseen_cancellation_us))
-         || (scheduler->store_unreachable && !ft_machine_idle (machine));
+  return holds_cancelled (machine)
+         || (!machine->reconciled && pressing (scheduler, scheduler->autoscaler.unseen_cancellation_us))
+         || (scheduler->autoscaler.store_unreachable && !ft_machine_idle (machine));
 }
 
 static gboolean
 cloud_answers (const FtScheduler *scheduler)
 {
-  return scheduler->cloud_answered_at > 0
-         && scheduler->now - scheduler->cloud_answered_at < (gint64) (FT_CLOUD_SEEN_S * FT_SECOND);
+  return scheduler->context.cloud_answered_at > 0
+         && scheduler->context.now - scheduler->context.cloud_answered_at < (gint64) (FT_CLOUD_SEEN_S * FT_SECOND);
 }
 
 /* Any task may have been cancelled since the store was seen last, and one on a machine
@@ -472,7 +476,7 @@
 static gboolean
 is_store_unreachable (const FtScheduler *scheduler, guint up, guint lost)
 {
-  return pressing (scheduler, scheduler->now - scheduler->cancellations_known_until)
+  return pressing (scheduler, scheduler->context.now - scheduler->context.cancellations_known_until)
          && (FT_STORE_UNREACHABLE_HEARD_RATIO * lost <= up || cloud_answers (scheduler));
 }
 
@@ -490,7 +494,7 @@
     const FtAttempt *attempt = value;
     gboolean doubt = attempt->direct_unanswered && !attempt->shown && !attempt->exited && attempt->stop_wanted;
     if (doubt)
-      age = MAX (age, (double) (scheduler->now - attempt->placed_at) / FT_SECOND);
+      age = MAX (age, (double) (scheduler->context.now - attempt->placed_at) / FT_SECOND);
     else
       *others |= !attempt->exited || attempt->bound;
   }
@@ -506,7 +510,7 @@
   double age = doubt_age (scheduler, machine, &others);
   if (age > FT_DOUBT_S)
     machine->quarantined = TRUE; /* no more starts */
-  return age > FT_DOUBT_S && (!others || age > FT_DOUBT_MAX * scheduler->settings->cancel_s);
+  return age > FT_DOUBT_S && (!others || age > FT_DOUBT_MAX * scheduler->context.settings->cancel_s);
 }
 
 static void
@@ -516,20 +520,21 @@
   GHashTableIter it;
   gpointer value;
   count_heard (scheduler, &up, &lost);
-  scheduler->unseen_cancellation_us = unseen_cancellation_age (scheduler);
-  scheduler->store_unreachable = is_store_unreachable (scheduler, up, lost);
-  g_hash_table_iter_init (&it, scheduler->machines);
+  scheduler->autoscaler.unseen_cancellation_us = unseen_cancellation_age (scheduler);
+  scheduler->autoscaler.store_unreachable = is_store_unreachable (scheduler, up, lost);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
     if (machine->state == FT_MACHINE_TERMINATING || machine->state == FT_MACHINE_GONE)
       continue;
     const char *lost_why = why_lost (scheduler, machine);
     gint64 taken = machine->notice_until + (gint64) (FT_NOTICE_MARGIN_S * FT_SECOND);
-    if (machine->notice_until > 0 && scheduler->now > taken && machine->last_status_at < machine->notice_until) {
+    if (machine->notice_until > 0 && scheduler->context.now > taken
+        && machine->last_status_at < machine->notice_until) {
       terminate (scheduler, machine, "taken by the cloud");
     } else if (lost_why != NULL
                && (may_hold_cancelled (scheduler, machine) || may_give_up (scheduler, machine, up, lost))) {
-      scheduler->silent_terminated += !machine->zone_view->unreachable;
+      scheduler->autoscaler.silent_terminated += !machine->zone_view->unreachable;
       terminate (scheduler, machine, lost_why);
     } else if (boot_failed (scheduler, machine)) {
       terminate (scheduler, machine, "did not come up");
@@ -545,10 +550,10 @@
 static gboolean
 terminable (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  double idle_s = machine->spot ? scheduler->tuning.idle_spot_s : scheduler->tuning.idle_ordinary_s;
+  double idle_s = machine->spot ? scheduler->context.tuning.idle_spot_s : scheduler->context.tuning.idle_ordinary_s;
   return ft_machine_usable (scheduler, machine) && ft_machine_idle (machine)
-         && scheduler->now - machine->idle_since > (gint64) (idle_s * FT_SECOND)
-         && scheduler->now - machine->launched_at > (gint64) (FT_LEAST_CHARGED_S * FT_SECOND)
+         && scheduler->context.now - machine->idle_since > (gint64) (idle_s * FT_SECOND)
+         && scheduler->context.now - machine->launched_at > (gint64) (FT_LEAST_CHARGED_S * FT_SECOND)
          && !machine->command_in_flight;
 }
 
@@ -567,14 +572,14 @@
 {
   Supply supply = find_supply (scheduler, NULL);
   /* One machine stands by while there is work, none on a site without any. */
-  double standby = g_hash_table_size (scheduler->jobs) > 0 ? 1 : 0;
+  double standby = g_hash_table_size (scheduler->job_table.jobs) > 0 ? 1 : 0;
   double spare = supply.free - headroom (scheduler) * supply.in_use - standby;
   if (spare < 1)
     return;
   g_autoptr (GPtrArray) idle = g_ptr_array_new ();
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
     if (terminable (scheduler, value))
       g_ptr_array_add (idle, value);
@@ -588,8 +593,9 @@
 static gboolean
 machines_known (const FtScheduler *scheduler)
 {
-  double heartbeats = scheduler->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S;
-  return scheduler->recovered || scheduler->now - scheduler->took_over_at > (gint64) (heartbeats * FT_SECOND);
+  double heartbeats = scheduler->context.settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S;
+  return scheduler->recovery.recovered
+         || scheduler->context.now - scheduler->context.took_over_at > (gint64) (heartbeats * FT_SECOND);
 }
 
 /* Counts the time for which spot machines have been up. */
@@ -599,25 +605,26 @@
   guint up = 0;
   GHashTableIter it;
   gpointer value;
-  if (scheduler->spot_observed_at > 0) {
-    g_hash_table_iter_init (&it, scheduler->machines);
+  if (scheduler->autoscaler.spot_observed_at > 0) {
+    g_hash_table_iter_init (&it, scheduler->machine_table.machines);
     while (g_hash_table_iter_next (&it, NULL, &value)) {
       const FtMachine *machine = value;
       up += machine->spot && machine->state == FT_MACHINE_UP;
     }
-    ft_spot_risk_observe (&scheduler->spot_risk, up,
-                          (double) (scheduler->now - scheduler->spot_observed_at) / FT_SECOND);
+    ft_spot_risk_observe (&scheduler->autoscaler.spot_risk, up,
+                          (double) (scheduler->context.now - scheduler->autoscaler.spot_observed_at) / FT_SECOND);
   }
-  scheduler->spot_observed_at = scheduler->now;
+  scheduler->autoscaler.spot_observed_at = scheduler->context.now;
 }
 
 void
 ft_autoscaler_tick (FtScheduler *scheduler)
 {
   give_up_machines (scheduler);
-  if (!scheduler->may_start || scheduler->now < scheduler->next_autoscale || !machines_known (scheduler))
+  if (!scheduler->context.may_start || scheduler->context.now < scheduler->autoscaler.next_autoscale
+      || !machines_known (scheduler))
     return;
-  scheduler->next_autoscale = scheduler->now + (gint64) (FT_AUTOSCALE_EVERY_S * FT_SECOND);
+  scheduler->autoscaler.next_autoscale = scheduler->context.now + (gint64) (FT_AUTOSCALE_EVERY_S * FT_SECOND);
   observe_spot (scheduler);
   plan_scale_out (scheduler);
   scale_in_idle (scheduler);
@@ -654,11 +661,11 @@
 next_scale_in (FtScheduler *scheduler)
 {
   FtCloudCall *call = NULL;
-  for (GList *link = scheduler->terminating.head; link != NULL; link = link->next) {
+  for (GList *link = scheduler->autoscaler.terminating.head; link != NULL; link = link->next) {
     FtMachine *machine = link->data;
-    scheduler->looked_at++;
-    if (machine->terminate_in_flight || machine->terminate_at > scheduler->now
-        || (!scheduler->may_start && !may_hold_cancelled (scheduler, machine)))
+    scheduler->context.looked_at++;
+    if (machine->terminate_in_flight || machine->terminate_at > scheduler->context.now
+        || (!scheduler->context.may_start && !may_hold_cancelled (scheduler, machine)))
       continue;
     if (call == NULL)
       call = call_new (FT_CLOUD_SCALE_IN);
@@ -673,13 +680,13 @@
 FtCloudCall *
 ft_scheduler_next_cloud (FtScheduler *scheduler, gint64 now)
 {
-  scheduler->now = now;
+  scheduler->context.now = now;
   FtCloudCall *call = next_scale_in (scheduler);
-  if (call != NULL || !scheduler->may_start)
+  if (call != NULL || !scheduler->context.may_start)
     return call;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->pools);
+  g_hash_table_iter_init (&it, scheduler->autoscaler.pools);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtPool *pool = value;
     if (pool->booking == NULL || pool->in_flight || pool->retry_at > now)
@@ -701,15 +708,16 @@
 {
   for (guint i = 0; i < call->names->len; i++) {
     const char *name = g_ptr_array_index (call->names, i);
-    if (g_hash_table_contains (scheduler->machines, name) || g_hash_table_contains (scheduler->gone, name))
+    if (g_hash_table_contains (scheduler->machine_table.machines, name)
+        || g_hash_table_contains (scheduler->machine_table.gone, name))
       continue;
     FtMachine *machine = ft_machine_new (scheduler, name, NULL, pool->type, pool->zone, pool->spot);
     ft_machine_set_reconciled (machine); /* it has never been sent a command */
-    g_hash_table_insert (scheduler->machines, machine->name, machine);
+    g_hash_table_insert (scheduler->machine_table.machines, machine->name, machine);
     g_message ("machine %s: rented by %s", name, call->booking);
   }
   if (call->names->len < pool->asked)
-    pool->refused_until = scheduler->now + (gint64) (FT_REFUSED_PAUSE_S * FT_SECOND);
+    pool->refused_until = scheduler->context.now + (gint64) (FT_REFUSED_PAUSE_S * FT_SECOND);
   g_clear_pointer (&pool->booking, g_free);
 }
 
@@ -723,24 +731,24 @@
   if (result == FT_CLOUD_OK) {
     launched (scheduler, pool, call);
   } else if (result == FT_CLOUD_REFUSED) {
-    pool->refused_until = scheduler->now + (gint64) (FT_REFUSED_PAUSE_S * FT_SECOND);
+    pool->refused_until = scheduler->context.now + (gint64) (FT_REFUSED_PAUSE_S * FT_SECOND);
     g_clear_pointer (&pool->booking, g_free);
   } else {
     /* Perhaps carried out: the same booking is repeated until it is answered. */
-    pool->retry_at = scheduler->now + FT_SECOND;
+    pool->retry_at = scheduler->context.now + FT_SECOND;
   }
-  scheduler->next_autoscale = scheduler->now;
+  scheduler->autoscaler.next_autoscale = scheduler->context.now;
 }
 
 static void
 scale_in_done (FtScheduler *scheduler, const FtCloudCall *call, FtCloudResult result)
 {
   for (guint i = 0; i < call->names->len; i++) {
-    FtMachine *machine = g_hash_table_lookup (scheduler->machines, g_ptr_array_index (call->names, i));
+    FtMachine *machine = g_hash_table_lookup (scheduler->machine_table.machines, g_ptr_array_index (call->names, i));
     if (machine == NULL)
       continue;
     machine->terminate_in_flight = FALSE;
-    machine->terminate_at = scheduler->now + (gint64) (FT_TERMINATE_RETRY_S * FT_SECOND);
+    machine->terminate_at = scheduler->context.now + (gint64) (FT_TERMINATE_RETRY_S * FT_SECOND);
     if (result == FT_CLOUD_OK && machine->state != FT_MACHINE_GONE)
       ft_machine_gone (scheduler, machine, "returned");
   }
@@ -750,9 +758,9 @@
 void
 ft_scheduler_cloud_done (FtScheduler *scheduler, const FtCloudCall *call, FtCloudResult result, gint64 now)
 {
-  scheduler->now = now;
+  scheduler->context.now = now;
   if (result != FT_CLOUD_FAILED)
-    scheduler->cloud_answered_at = now;
+    scheduler->context.cloud_answered_at = now;
   if (call->op == FT_CLOUD_SCALE_OUT)
     scale_out_done (scheduler, call, result);
   else
@@ -767,10 +775,10 @@
   if (entry->state == FT_LISTED_FAILED)
     return;
   FtMachine *machine = ft_machine_new (scheduler, entry->name, entry->addr, entry->type, entry->zone, entry->spot);
-  machine->launched_at = scheduler->now - (gint64) (entry->age_s * FT_SECOND);
+  machine->launched_at = scheduler->context.now - (gint64) (entry->age_s * FT_SECOND);
   ft_machine_set_reconciled (machine); /* in no registry: never sent a command */
   machine->listed_running = entry->state == FT_LISTED_RUNNING;
-  g_hash_table_insert (scheduler->machines, machine->name, machine);
+  g_hash_table_insert (scheduler->machine_table.machines, machine->name, machine);
   g_message ("machine %s: found in the list", machine->name);
 }
 
@@ -785,7 +793,7 @@
     ft_machine_set_reconciled (machine);
   }
   /* A machine known from the registry or a heartbeat is older than this leadership. */
-  machine->launched_at = MIN (machine->launched_at, scheduler->now - (gint64) (entry->age_s * FT_SECOND));
+  machine->launched_at = MIN (machine->launched_at, scheduler->context.now - (gint64) (entry->age_s * FT_SECOND));
   if (machine->addr == NULL && entry->addr != NULL)
     machine->addr = g_strdup (entry->addr);
 }
@@ -793,16 +801,16 @@
 void
 ft_scheduler_listed (FtScheduler *scheduler, GArray *list, gint64 now)
 {
-  scheduler->now = scheduler->cloud_answered_at = now;
-  if (!scheduler->loaded)
+  scheduler->context.now = scheduler->context.cloud_answered_at = now;
+  if (!scheduler->recovery.loaded)
     return; /* the registry is not read: a listed machine may hold tasks */
   /* The list lags and may go back: it adds machines and tells of failed ones;
    * that a machine is missing from it proves nothing. */
   for (guint i = 0; i < list->len; i++) {
     const FtListedMachine *entry = &g_array_index (list, FtListedMachine, i);
-    if (g_hash_table_contains (scheduler->gone, entry->name))
+    if (g_hash_table_contains (scheduler->machine_table.gone, entry->name))
       continue;
-    FtMachine *machine = g_hash_table_lookup (scheduler->machines, entry->name);
+    FtMachine *machine = g_hash_table_lookup (scheduler->machine_table.machines, entry->name);
     if (machine == NULL)
       listed_new (scheduler, entry);
     else
--- a/src/core/commands.c
+++ b/src/core/command_queue.c
@@ -1,5 +1,5 @@
 /* What workers are told: commands in the answers to their heartbeats, and directly. */
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 static void
 add_command (GArray *commands, FtCommandOp op, const FtAttempt *a)
@@ -11,7 +11,7 @@
 static gboolean
 wants_start (const FtScheduler *scheduler, const FtMachine *machine, const FtAttempt *attempt)
 {
-  return scheduler->may_start && machine->registered && attempt->bound
+  return scheduler->context.may_start && machine->registered && attempt->bound
          && attempt->index < attempt->job->spec->dispatch_watermark && !attempt->shown && !attempt->exited
          && !attempt->stop_wanted && machine->state != FT_MACHINE_TERMINATING && attempt->job->state == FT_JOB_OPEN;
 }
@@ -25,21 +25,22 @@
   if (!attempt->exited || !attempt->forget_ok || attempt->direct_unanswered || attempt->direct_in_flight)
     return FALSE;
   return !attempt->by_direct
-         || scheduler->now - attempt->exited_at > ft_seconds (FT_COPY_LEASES * scheduler->settings->lease_s);
+         || scheduler->context.now - attempt->exited_at
+                > ft_seconds (FT_COPY_LEASES * scheduler->context.settings->lease_s);
 }
 
 void
 ft_scheduler_allow (FtScheduler *scheduler, gboolean may_start)
 {
-  scheduler->may_start = may_start;
+  scheduler->context.may_start = may_start;
 }
 
 GArray *
 ft_scheduler_answer (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now)
 {
   GArray *commands = ft_commands_new ();
-  FtMachine *machine = g_hash_table_lookup (scheduler->machines, heartbeat->machine);
-  scheduler->now = now;
+  FtMachine *machine = g_hash_table_lookup (scheduler->machine_table.machines, heartbeat->machine);
+  scheduler->context.now = now;
   if (machine == NULL)
     return commands;
   machine->last_answer = now;
@@ -47,7 +48,7 @@
   if (!machine->reconciled)
     machine->probe_at = MAX (machine->probe_at, now + ft_seconds (FT_PROBE_FIRST_S));
   if (heartbeat->incarnation != machine->incarnation || heartbeat->sequence != machine->sequence
-      || heartbeat->token < scheduler->token || machine->incarnation <= machine->expired_incarnation) {
+      || heartbeat->token < scheduler->context.token || machine->incarnation <= machine->expired_incarnation) {
     if (heartbeat->incarnation == machine->incarnation)
       machine->answered = MAX (machine->answered, heartbeat->sequence);
     return commands;
@@ -62,7 +63,7 @@
     FtAttempt *attempt = value;
     if (attempt->stop_wanted && attempt->shown && !attempt->exited)
       add_command (commands, FT_COMMAND_STOP, attempt);
-    else if (scheduler->may_start && may_forget (scheduler, attempt))
+    else if (scheduler->context.may_start && may_forget (scheduler, attempt))
       add_command (commands, FT_COMMAND_FORGET, attempt);
   }
   g_hash_table_iter_init (&it, machine->attempts);
@@ -105,13 +106,13 @@
 gint64
 ft_machine_silent_since (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  return MAX (machine->last_status_at, scheduler->on_time_since);
+  return MAX (machine->last_status_at, scheduler->context.on_time_since);
 }
 
 gboolean
 ft_machine_heartbeat_overdue (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  return scheduler->now - ft_machine_silent_since (scheduler, machine) > ft_machine_overdue_us (scheduler);
+  return scheduler->context.now - ft_machine_silent_since (scheduler, machine) > ft_machine_overdue_us (scheduler);
 }
 
 gboolean
@@ -119,7 +120,7 @@
 {
   gboolean ask = !machine->reconciled || ft_machine_not_receiving (machine)
                  || (machine->state == FT_MACHINE_UP && ft_machine_heartbeat_overdue (scheduler, machine));
-  return ask && scheduler->now >= machine->probe_at && machine->addr != NULL && !machine->command_in_flight
+  return ask && scheduler->context.now >= machine->probe_at && machine->addr != NULL && !machine->command_in_flight
          && machine->state != FT_MACHINE_GONE;
 }
 
@@ -127,8 +128,8 @@
 probe (FtScheduler *scheduler, FtMachine *machine)
 {
   guint pause = 1u << MIN (machine->probe_fails, FT_PROBE_DOUBLINGS);
-  machine->probe_at = scheduler->now + (gint64) (FT_PROBE_EVERY_S * pause * FT_SECOND);
-  scheduler->probes_in_flight++;
+  machine->probe_at = scheduler->context.now + (gint64) (FT_PROBE_EVERY_S * pause * FT_SECOND);
+  scheduler->command_queue.probes_in_flight++;
   return direct_new (machine, ft_commands_new ());
 }
 
@@ -163,20 +164,21 @@
 FtDirect *
 ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now)
 {
-  scheduler->now = now;
+  scheduler->context.now = now;
   FtMachine *machine;
-  while ((machine = g_queue_pop_head (&scheduler->directs)) != NULL) {
+  while ((machine = g_queue_pop_head (&scheduler->command_queue.directs)) != NULL) {
     machine->direct_queued = FALSE;
-    scheduler->looked_at++;
+    scheduler->context.looked_at++;
     FtDirect *direct = direct_to (scheduler, machine);
     if (direct != NULL)
       return direct;
   }
   /* Those that do not answer keep their place for long: commands go first, and
    * only so many are asked at a time. */
-  while (scheduler->probes_in_flight < FT_PROBES_MAX && (machine = g_queue_pop_head (&scheduler->probes)) != NULL) {
+  while (scheduler->command_queue.probes_in_flight < FT_PROBES_MAX
+         && (machine = g_queue_pop_head (&scheduler->command_queue.probes)) != NULL) {
     machine->probe_queued = FALSE;
-    scheduler->looked_at++;
+    scheduler->context.looked_at++;
     if (ft_machine_wants_probe (scheduler, machine))
       return probe (scheduler, machine);
   }
@@ -205,11 +207,11 @@
 ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirect *direct, FtDirectResult result,
                           const FtWorkerHeartbeat *heartbeat, gint64 now)
 {
-  scheduler->now = now;
-  FtMachine *machine = g_hash_table_lookup (scheduler->machines, direct->machine);
+  scheduler->context.now = now;
+  FtMachine *machine = g_hash_table_lookup (scheduler->machine_table.machines, direct->machine);
   if (direct->commands->len == 0)
-    scheduler->probes_in_flight--;
-  if (heartbeat != NULL && heartbeat->token > scheduler->token)
+    scheduler->command_queue.probes_in_flight--;
+  if (heartbeat != NULL && heartbeat->token > scheduler->context.token)
     return FALSE;
   if (machine == NULL)
     return TRUE;
--- a/src/core/explain.c
+++ b/src/core/explain.c
@@ -1,5 +1,5 @@
 /* What operators are shown of jobs, machines and teams, and what they change by hand. */
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 static const char *
 why_waiting (const FtScheduler *scheduler, const FtJob *job)
@@ -14,7 +14,7 @@
     return "";
   if (job->team != NULL && !ft_quota_allows (scheduler, job->team, job->spec))
     return "the team's limit is reached";
-  if (job->no_room_pass == scheduler->pass)
+  if (job->no_room_pass == scheduler->placement.pass)
     return "no allowed machine has room";
   return "paused after failures, or waiting for the next pass";
 }
@@ -24,7 +24,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->jobs);
+  g_hash_table_iter_init (&it, scheduler->job_table.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtJob *job = value;
     const FtJobInfo info = { .ref = job->spec->ref,
@@ -41,13 +41,13 @@
 GStrv
 ft_scheduler_job_dependencies (const FtScheduler *scheduler, const char *ref)
 {
-  return ft_dependency_graph_dependencies (scheduler->dependencies, ref);
+  return ft_dependency_graph_dependencies (scheduler->job_table.dependencies, ref);
 }
 
 GStrv
 ft_scheduler_job_dependents (const FtScheduler *scheduler, const char *ref)
 {
-  return ft_dependency_graph_dependents (scheduler->dependencies, ref);
+  return ft_dependency_graph_dependents (scheduler->job_table.dependencies, ref);
 }
 
 void
@@ -56,7 +56,7 @@
   GHashTableIter it;
   gpointer value;
   *open = *waiting = 0;
-  g_hash_table_iter_init (&it, scheduler->jobs);
+  g_hash_table_iter_init (&it, scheduler->job_table.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtJobState state = ((const FtJob *) value)->state;
     *open += state < FT_JOB_CANCELLING;
@@ -85,7 +85,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
     visit (machine->name, ft_machine_state_name (machine->state), machine->type_name, machine->zone, machine->spot,
@@ -96,28 +96,28 @@
 void
 ft_scheduler_each_team (FtScheduler *scheduler, FtTeamVisitor visit, gpointer data)
 {
-  for (guint i = 0; i < scheduler->settings->n_teams; i++)
-    visit (scheduler->teams[i].limit, scheduler->teams[i].cpus, scheduler->teams[i].gpus, data);
+  for (guint i = 0; i < scheduler->context.settings->n_teams; i++)
+    visit (scheduler->quota.teams[i].limit, scheduler->quota.teams[i].cpus, scheduler->quota.teams[i].gpus, data);
 }
 
 gboolean
 ft_scheduler_drain (FtScheduler *scheduler, const char *name, gboolean drain)
 {
-  FtMachine *machine = g_hash_table_lookup (scheduler->machines, name);
+  FtMachine *machine = g_hash_table_lookup (scheduler->machine_table.machines, name);
   if (drain)
-    g_hash_table_add (scheduler->drained, g_strdup (name));
+    g_hash_table_add (scheduler->machine_table.drained, g_strdup (name));
   else
-    g_hash_table_remove (scheduler->drained, name);
+    g_hash_table_remove (scheduler->machine_table.drained, name);
   g_message ("machine %s: %s", name, drain ? "drained" : "undrained");
   if (machine == NULL)
     return FALSE;
   machine->drained = drain;
-  scheduler->placement_due = TRUE;
+  scheduler->context.placement_due = TRUE;
   return TRUE;
 }
 
 gboolean
 ft_scheduler_knows (const FtScheduler *scheduler, const char *name)
 {
-  return g_hash_table_contains (scheduler->machines, name);
+  return g_hash_table_contains (scheduler->machine_table.machines, name);
 }
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -17,7 +17,7 @@
 static gint64
 ran_for (const FtScheduler *scheduler, const FtAttempt *attempt)
 {
-  return attempt->running ? scheduler->now - attempt->running_at : 0;
+  return attempt->running ? scheduler->context.now - attempt->running_at : 0;
 }
 
 /* Tasks of the job do well on other machines: one has completed, or runs for longer than
@@ -58,10 +58,10 @@
   guint shunned = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
     shunned += ((const FtMachine *) value)->quarantined;
-  return shunned < MAX (FT_QUARANTINE_MIN, FT_QUARANTINE_SHARE * g_hash_table_size (scheduler->machines));
+  return shunned < MAX (FT_QUARANTINE_MIN, FT_QUARANTINE_SHARE * g_hash_table_size (scheduler->machine_table.machines));
 }
 
 void
--- a/src/core/fault.h
+++ b/src/core/fault.h
@@ -4,7 +4,7 @@
  * A machine is judged by comparison: tasks of the same job do well elsewhere, or different
  * jobs, none of them known to fail everywhere, fail on it in a row. */
 #pragma once
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 /* The attempt has exited with an error; its job is open. */
 void ft_fault_task_failed (FtScheduler *scheduler, const FtAttempt *attempt);
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -1,4 +1,4 @@
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 FtJob *
 ft_job_new (FtJobSpec *spec, FtTeam *team, guint64 revision, FtTaskState initial)
@@ -66,7 +66,7 @@
   if (job->write_queued || job->scheduler == NULL || job->state == FT_JOB_ENDED)
     return;
   job->write_queued = TRUE;
-  g_queue_push_tail (&job->scheduler->pending_jobs, job);
+  g_queue_push_tail (&job->scheduler->write_queue.pending_jobs, job);
 }
 
 guint
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -1,4 +1,4 @@
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 static const char *const names[] = { "booting", "up", "silent", "returning", "gone" };
 
@@ -44,11 +44,11 @@
   machine->addr = g_strdup (addr);
   machine->type_name = g_strdup (type);
   machine->zone = g_strdup (zone);
-  machine->zone_view = ft_zone_get (scheduler->zones, zone);
+  machine->zone_view = ft_zone_get (scheduler->machine_table.zones, zone);
   machine->spot = spot;
-  machine->type = ft_catalog_find (scheduler->catalog, type);
-  machine->launched_at = machine->idle_since = scheduler->now;
-  machine->drained = g_hash_table_contains (scheduler->drained, name);
+  machine->type = ft_catalog_find (scheduler->context.catalog, type);
+  machine->launched_at = machine->idle_since = scheduler->context.now;
+  machine->drained = g_hash_table_contains (scheduler->machine_table.drained, name);
   machine->attempts = g_hash_table_new_full (attempt_hash, attempt_equal, NULL, (GDestroyNotify) attempt_free);
   machine->images = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return machine;
@@ -61,7 +61,7 @@
   if (machine->reconciled)
     return;
   machine->reconciled = TRUE;
-  scheduler->placement_due = TRUE;
+  scheduler->context.placement_due = TRUE;
   ft_recovery_uncount (machine);
 }
 
@@ -71,7 +71,7 @@
   if (machine->direct_queued || machine->state == FT_MACHINE_GONE)
     return;
   machine->direct_queued = TRUE;
-  g_queue_push_tail (&machine->scheduler->directs, machine);
+  g_queue_push_tail (&machine->scheduler->command_queue.directs, machine);
 }
 
 void
@@ -80,16 +80,16 @@
   if (machine->probe_queued || machine->state == FT_MACHINE_GONE)
     return;
   machine->probe_queued = TRUE;
-  g_queue_push_tail (&machine->scheduler->probes, machine);
+  g_queue_push_tail (&machine->scheduler->command_queue.probes, machine);
 }
 
 void
 ft_machine_free (FtMachine *machine)
 {
   if (machine->probe_queued)
-    g_queue_remove (&machine->scheduler->probes, machine);
+    g_queue_remove (&machine->scheduler->command_queue.probes, machine);
   if (machine->direct_queued)
-    g_queue_remove (&machine->scheduler->directs, machine);
+    g_queue_remove (&machine->scheduler->command_queue.directs, machine);
   g_hash_table_unref (machine->attempts);
   g_hash_table_unref (machine->images);
   g_free (machine->name);
@@ -121,7 +121,7 @@
   g_message ("machine %s: %s -> %s", machine->name, names[from], names[to]);
   machine->state = to;
   if (to == FT_MACHINE_TERMINATING)
-    g_queue_push_tail (&machine->scheduler->terminating, machine);
+    g_queue_push_tail (&machine->scheduler->autoscaler.terminating, machine);
   return TRUE;
 }
 
@@ -132,8 +132,9 @@
          && !ft_machine_not_receiving (machine) && !ft_machine_not_reporting (scheduler, machine)
          && machine->type != NULL && !machine->drained && !machine->quarantined && machine->notice_until == 0
          && machine->incarnation > machine->expired_incarnation
-         && scheduler->now - machine->last_status_at
-                < (gint64) ((scheduler->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_USABLE_MARGIN_S) * FT_SECOND);
+         && scheduler->context.now - machine->last_status_at
+                < (gint64) ((scheduler->context.settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_USABLE_MARGIN_S)
+                            * FT_SECOND);
 }
 
 /* Its heartbeats come, but neither answers nor commands seem to reach it. */
@@ -146,26 +147,28 @@
 gint64
 ft_machine_lease_us (const FtScheduler *scheduler)
 {
-  return (gint64) ((scheduler->settings->lease_s * (1 + FT_CLOCK_DRIFT) + FT_WORKER_LEASE_MARGIN_S) * FT_SECOND);
+  return (gint64) ((scheduler->context.settings->lease_s * (1 + FT_CLOCK_DRIFT) + FT_WORKER_LEASE_MARGIN_S)
+                   * FT_SECOND);
 }
 
 gint64
 ft_machine_silence_us (const FtScheduler *scheduler)
 {
-  return (gint64) ((scheduler->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S + FT_SILENCE_MARGIN_S)
-                   * FT_SECOND);
+  return (
+      gint64) ((scheduler->context.settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S + FT_SILENCE_MARGIN_S)
+               * FT_SECOND);
 }
 
 gint64
 ft_machine_overdue_us (const FtScheduler *scheduler)
 {
-  return (gint64) ((scheduler->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_OVERDUE_MARGIN_S) * FT_SECOND);
+  return (gint64) ((scheduler->context.settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_OVERDUE_MARGIN_S) * FT_SECOND);
 }
 
 gint64
 ft_machine_no_heartbeat_since (const FtScheduler *scheduler, const FtMachine *machine)
 {
-  return MAX (machine->last_heartbeat_at, MAX (scheduler->on_time_since, scheduler->answering_since));
+  return MAX (machine->last_heartbeat_at, MAX (scheduler->context.on_time_since, scheduler->context.answering_since));
 }
 
 /* Commands reach it, but its heartbeats reach nobody: whatever is started there dies with
@@ -174,7 +177,8 @@
 ft_machine_not_reporting (const FtScheduler *scheduler, const FtMachine *machine)
 {
   return machine->state == FT_MACHINE_UP
-         && scheduler->now - ft_machine_no_heartbeat_since (scheduler, machine) > ft_machine_silence_us (scheduler);
+         && scheduler->context.now - ft_machine_no_heartbeat_since (scheduler, machine)
+                > ft_machine_silence_us (scheduler);
 }
 
 gboolean
@@ -315,9 +319,9 @@
   FtMachine *machine = attempt->machine;
   ft_attempt_release (attempt);
   unbind (attempt);
-  scheduler->placement_due = TRUE;
+  scheduler->context.placement_due = TRUE;
   if (ft_machine_idle (machine))
-    machine->idle_since = scheduler->now;
+    machine->idle_since = scheduler->context.now;
   if (!(attempt->exited && attempt->listed))
     g_hash_table_remove (machine->attempts, attempt);
 }
@@ -341,9 +345,9 @@
   g_message ("machine %s: gone (%s)", machine->name, why);
   ft_machine_end_incarnation (scheduler, machine);
   ft_machine_set_reconciled (machine);
-  g_queue_remove (&scheduler->terminating, machine);
+  g_queue_remove (&scheduler->autoscaler.terminating, machine);
   ft_machine_set_state (machine, FT_MACHINE_GONE);
-  g_hash_table_add (scheduler->gone, g_strdup (machine->name));
+  g_hash_table_add (scheduler->machine_table.gone, g_strdup (machine->name));
   ft_registry_remove (scheduler, machine);
-  scheduler->placement_due = TRUE;
+  scheduler->context.placement_due = TRUE;
 }
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -1,6 +1,6 @@
 /* Places queued tasks: best fit among a few sampled machines with room, all
  * machines scanned if none of the sample has any. */
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 #include <math.h>
 
@@ -31,13 +31,14 @@
     return FALSE;
   gint64 dependencies = (gint64) (job->spec->estimate_s * FT_TOO_LATE_SHARE * FT_SECOND);
   gint64 patience = (gint64) (FT_TOO_LATE_PATIENCE * (double) (job->deadline_at - job->accepted_at));
-  return scheduler->now + dependencies > job->deadline_at && scheduler->now < job->deadline_at + patience;
+  return scheduler->context.now + dependencies > job->deadline_at
+         && scheduler->context.now < job->deadline_at + patience;
 }
 
 static gboolean
 wants_placing (const FtScheduler *scheduler, const FtJob *job)
 {
-  return job->state == FT_JOB_OPEN && job->counts[FT_TASK_QUEUED] > 0 && job->not_before <= scheduler->now;
+  return job->state == FT_JOB_OPEN && job->counts[FT_TASK_QUEUED] > 0 && job->not_before <= scheduler->context.now;
 }
 
 static void
@@ -45,8 +46,8 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_ptr_array_set_size (scheduler->order, 0);
-  g_hash_table_iter_init (&it, scheduler->jobs);
+  g_ptr_array_set_size (scheduler->placement.order, 0);
+  g_hash_table_iter_init (&it, scheduler->job_table.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtJob *job = value;
     if (job->state != FT_JOB_OPEN || job->team == NULL)
@@ -54,16 +55,16 @@
     job->too_late = too_late (scheduler, job);
     /* Whatever the order is, nothing waits for ever to begin: not what is too late
      * for its deadline, not the largest jobs of a class. */
-    job->starved = !job->begun && scheduler->now - job->ready_at > (gint64) (FT_STARVED_AFTER_S * FT_SECOND);
-    g_ptr_array_add (scheduler->order, job);
+    job->starved = !job->begun && scheduler->context.now - job->ready_at > (gint64) (FT_STARVED_AFTER_S * FT_SECOND);
+    g_ptr_array_add (scheduler->placement.order, job);
   }
-  scheduler->looked_at += scheduler->order->len;
+  scheduler->context.looked_at += scheduler->placement.order->len;
   ft_quota_mark_guaranteed (scheduler);
-  g_ptr_array_sort (scheduler->order, by_urgency);
-  g_ptr_array_set_size (scheduler->waiting, 0);
-  for (guint i = 0; i < scheduler->order->len; i++)
-    if (wants_placing (scheduler, g_ptr_array_index (scheduler->order, i)))
-      g_ptr_array_add (scheduler->waiting, g_ptr_array_index (scheduler->order, i));
+  g_ptr_array_sort (scheduler->placement.order, by_urgency);
+  g_ptr_array_set_size (scheduler->placement.waiting, 0);
+  for (guint i = 0; i < scheduler->placement.order->len; i++)
+    if (wants_placing (scheduler, g_ptr_array_index (scheduler->placement.order, i)))
+      g_ptr_array_add (scheduler->placement.waiting, g_ptr_array_index (scheduler->placement.order, i));
 }
 
 static guint
@@ -146,7 +147,7 @@
 static gboolean
 avoided (const FtScheduler *scheduler, const FtTask *task, const FtMachine *machine)
 {
-  return task->avoid == machine && scheduler->now < task->not_before + (gint64) (FT_AVOID_S * FT_SECOND);
+  return task->avoid == machine && scheduler->context.now < task->not_before + (gint64) (FT_AVOID_S * FT_SECOND);
 }
 
 static gboolean
@@ -191,11 +192,12 @@
   guint seen = 0;
   if (known_full (pass, job->spec))
     return NULL;
-  double spot_delay_s = ft_spot_risk_delay_s (&scheduler->spot_risk, job->spec);
-  guint n = pass->machines->len, start = n > 0 ? (guint) g_rand_int_range (scheduler->random, 0, (gint32) n) : 0;
-  for (guint i = 0; i < n && seen < scheduler->tuning.sample_size; i++) {
+  double spot_delay_s = ft_spot_risk_delay_s (&scheduler->autoscaler.spot_risk, job->spec);
+  guint n = pass->machines->len,
+        start = n > 0 ? (guint) g_rand_int_range (scheduler->context.random, 0, (gint32) n) : 0;
+  for (guint i = 0; i < n && seen < scheduler->context.tuning.sample_size; i++) {
     FtMachine *machine = g_ptr_array_index (pass->machines, (start + i) % n);
-    scheduler->looked_at++;
+    scheduler->context.looked_at++;
     if (!candidate (scheduler, job, task, whereabouts, machine))
       continue;
     seen++;
@@ -215,7 +217,7 @@
 static guint64
 next_attempt (FtScheduler *scheduler)
 {
-  return (scheduler->token << FT_ATTEMPT_BITS) + scheduler->next_attempt++;
+  return (scheduler->context.token << FT_ATTEMPT_BITS) + scheduler->placement.next_attempt++;
 }
 
 /* A task is sent once the job's mark lies beyond it. Raised with some reserve: one
@@ -237,8 +239,8 @@
   FtAttempt *attempt = ft_attempt_new (machine, job, job->spec->ref, index, id);
   ft_attempt_reserve (attempt);
   ft_attempt_bind (attempt, FT_TASK_STARTING);
-  attempt->placed_at = scheduler->now;
-  attempt->placed_pass = scheduler->pass;
+  attempt->placed_at = scheduler->context.now;
+  attempt->placed_pass = scheduler->placement.pass;
   raise_watermark (job, index);
   ft_machine_queue_direct (machine);
   g_message ("task %s/%u: placed on %s attempt %" G_GUINT64_FORMAT, job->spec->ref, index, machine->name, id);
@@ -269,7 +271,7 @@
 {
   for (guint i = 0; i < job->spec->tasks; i++) {
     FtAttempt *a = job->tasks[i].attempt;
-    if (a != NULL && a->placed_pass == scheduler->pass)
+    if (a != NULL && a->placed_pass == scheduler->placement.pass)
       ft_attempt_end (scheduler, a);
   }
 }
@@ -281,7 +283,7 @@
   guint placed = 0;
   while (placed < most && ft_machine_room (machine, job->spec) > 0
          && ft_quota_allows (scheduler, job->team, job->spec)) {
-    guint index = next_queued (job, scheduler->now);
+    guint index = next_queued (job, scheduler->context.now);
     if (index >= job->spec->tasks || avoided (scheduler, &job->tasks[index], machine))
       break;
     place (scheduler, job, index, machine, next_attempt (scheduler));
@@ -303,12 +305,12 @@
     return 0;
   find_whereabouts (job, &w);
   while (placed < FT_PASS_TASKS && ft_quota_allows (scheduler, job->team, job->spec)) {
-    guint index = next_queued (job, scheduler->now);
+    guint index = next_queued (job, scheduler->context.now);
     if (index >= job->spec->tasks)
       break;
     FtMachine *machine = pick (scheduler, job, &job->tasks[index], &w, pass);
     if (machine == NULL) {
-      job->no_room_pass = scheduler->pass;
+      job->no_room_pass = scheduler->placement.pass;
       break;
     }
     guint n = place_on (scheduler, job, machine, zoned ? 1 : FT_PASS_TASKS - placed);
@@ -334,14 +336,14 @@
     return 0;
   guint64 id = next_attempt (scheduler);
   for (;;) {
-    guint index = next_queued (job, scheduler->now);
+    guint index = next_queued (job, scheduler->context.now);
     if (index >= job->spec->tasks || !ft_quota_allows (scheduler, job->team, job->spec))
       break;
     find_whereabouts (job, &w);
     FtMachine *machine = pick (scheduler, job, &job->tasks[index], &w, pass);
     g_hash_table_unref (w.zone_count);
     if (machine == NULL) {
-      job->no_room_pass = scheduler->pass;
+      job->no_room_pass = scheduler->placement.pass;
       break;
     }
     place (scheduler, job, index, machine, id);
@@ -364,55 +366,56 @@
 {
   GHashTableIter it;
   gpointer value;
-  pass->machines = g_ptr_array_sized_new (g_hash_table_size (scheduler->machines));
-  g_hash_table_iter_init (&it, scheduler->machines);
+  pass->machines = g_ptr_array_sized_new (g_hash_table_size (scheduler->machine_table.machines));
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
     if (ft_machine_usable (scheduler, machine) && machine->cpus < machine->type->cpus
         && machine->memory_gb < machine->type->memory_gb)
       g_ptr_array_add (pass->machines, value);
   }
-  scheduler->looked_at += g_hash_table_size (scheduler->machines);
+  scheduler->context.looked_at += g_hash_table_size (scheduler->machine_table.machines);
 }
 
 void
 ft_placement_pass (FtScheduler *scheduler)
 {
   Pass pass = { 0 };
-  scheduler->placement_due = FALSE;
-  scheduler->pass++;
-  scheduler->next_pass = scheduler->now + (gint64) (FT_PASS_EVERY_S * FT_SECOND);
+  scheduler->context.placement_due = FALSE;
+  scheduler->placement.pass++;
+  scheduler->placement.next_pass = scheduler->context.now + (gint64) (FT_PASS_EVERY_S * FT_SECOND);
   collect (scheduler);
-  if (!scheduler->may_start || !scheduler->loaded || scheduler->waiting->len == 0)
+  if (!scheduler->context.may_start || !scheduler->recovery.loaded || scheduler->placement.waiting->len == 0)
     return;
   find_machines (scheduler, &pass);
-  guint placed = 0, preempting = scheduler->now >= scheduler->next_preempt ? 0 : FT_PREEMPT_JOBS;
-  for (guint i = 0; i < scheduler->waiting->len && placed < FT_PASS_TASKS; i++) {
-    FtJob *job = g_ptr_array_index (scheduler->waiting, i);
+  guint placed = 0, preempting = scheduler->context.now >= scheduler->placement.next_preempt ? 0 : FT_PREEMPT_JOBS;
+  for (guint i = 0; i < scheduler->placement.waiting->len && placed < FT_PASS_TASKS; i++) {
+    FtJob *job = g_ptr_array_index (scheduler->placement.waiting, i);
     placed += place_job (scheduler, job, &pass);
-    if (job->no_room_pass == scheduler->pass && job->counts[FT_TASK_QUEUED] > 0 && preempting < FT_PREEMPT_JOBS) {
+    if (job->no_room_pass == scheduler->placement.pass && job->counts[FT_TASK_QUEUED] > 0
+        && preempting < FT_PREEMPT_JOBS) {
       ft_preempt_for (scheduler, job);
       preempting++;
-      scheduler->next_preempt = scheduler->now + (gint64) (FT_PREEMPT_EVERY_S * FT_SECOND);
+      scheduler->placement.next_preempt = scheduler->context.now + (gint64) (FT_PREEMPT_EVERY_S * FT_SECOND);
     }
   }
   g_ptr_array_unref (pass.machines);
-  g_clear_pointer (&scheduler->victims, g_ptr_array_unref);
+  g_clear_pointer (&scheduler->preemption.victims, g_ptr_array_unref);
   if (placed >= FT_PASS_TASKS)
-    scheduler->placement_due = TRUE;
+    scheduler->context.placement_due = TRUE;
 }
 
 void
 ft_placement_fill (FtScheduler *scheduler, FtMachine *machine)
 {
-  if (!scheduler->may_start || !scheduler->loaded || !ft_machine_usable (scheduler, machine))
+  if (!scheduler->context.may_start || !scheduler->recovery.loaded || !ft_machine_usable (scheduler, machine))
     return;
-  for (guint i = 0, looked = 0; i < scheduler->waiting->len && looked < FT_FILL_JOBS; i++) {
-    FtJob *job = g_ptr_array_index (scheduler->waiting, i);
+  for (guint i = 0, looked = 0; i < scheduler->placement.waiting->len && looked < FT_FILL_JOBS; i++) {
+    FtJob *job = g_ptr_array_index (scheduler->placement.waiting, i);
     if (!wants_placing (scheduler, job))
       continue;
     looked++;
-    scheduler->looked_at++;
+    scheduler->context.looked_at++;
     gboolean plain = job->spec->kind != FT_KIND_GANG && !job->spec->one_zone && !job->spec->spread;
     if (plain && ft_machine_allowed (machine, job->spec))
       place_on (scheduler, job, machine, FT_PASS_TASKS);
@@ -422,6 +425,6 @@
 void
 ft_placement_forget (FtScheduler *scheduler, FtJob *job)
 {
-  g_ptr_array_remove (scheduler->order, job);
-  g_ptr_array_remove (scheduler->waiting, job);
+  g_ptr_array_remove (scheduler->placement.order, job);
+  g_ptr_array_remove (scheduler->placement.waiting, job);
 }
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -1,6 +1,6 @@
 /* Makes room for a job that found none: by stopping work of lower priority, or
  * work that another team runs beyond its own guarantee. */
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 /* Stopping is worth it only for what has hardly begun and can still be in time
  * when it starts again later. */
@@ -8,10 +8,10 @@
 cheap_to_stop (const FtScheduler *scheduler, const FtAttempt *victim)
 {
   const FtJob *owner = victim->job;
-  double ran = victim->running ? (double) (scheduler->now - victim->running_at) / FT_SECOND : 0;
+  double ran = victim->running ? (double) (scheduler->context.now - victim->running_at) / FT_SECOND : 0;
   if (owner->spec->checkpoint_s <= 0 && ran > FT_PREEMPT_RAN_SHARE * owner->spec->estimate_s)
     return FALSE;
-  double left = (double) (owner->deadline_at - scheduler->now) / FT_SECOND;
+  double left = (double) (owner->deadline_at - scheduler->context.now) / FT_SECOND;
   return owner->deadline_at == 0 || left < 0 || left > FT_PREEMPT_SLACK * owner->spec->estimate_s;
 }
 
@@ -39,30 +39,30 @@
 {
   GHashTableIter machines, attempts;
   gpointer m, value;
-  scheduler->victims = g_ptr_array_new ();
-  scheduler->stops_pending = 0;
-  g_hash_table_iter_init (&machines, scheduler->machines);
+  scheduler->preemption.victims = g_ptr_array_new ();
+  scheduler->preemption.stops_pending = 0;
+  g_hash_table_iter_init (&machines, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&machines, NULL, &m)) {
     gboolean usable = ft_machine_usable (scheduler, m);
     g_hash_table_iter_init (&attempts, ((FtMachine *) m)->attempts);
     while (g_hash_table_iter_next (&attempts, NULL, &value)) {
       const FtAttempt *attempt = value;
-      scheduler->looked_at++;
-      scheduler->stops_pending += attempt->stop_wanted && !attempt->exited;
+      scheduler->context.looked_at++;
+      scheduler->preemption.stops_pending += attempt->stop_wanted && !attempt->exited;
       if (usable && attempt->bound && !attempt->stop_wanted && !attempt->exited && attempt->job != NULL
           && cheap_to_stop (scheduler, attempt))
-        g_ptr_array_add (scheduler->victims, value);
+        g_ptr_array_add (scheduler->preemption.victims, value);
     }
   }
-  g_ptr_array_sort (scheduler->victims, youngest_first);
+  g_ptr_array_sort (scheduler->preemption.victims, youngest_first);
 }
 
 static FtAttempt *
 youngest_victim (FtScheduler *scheduler, const FtJob *job, guint *from)
 {
-  for (; *from < scheduler->victims->len; (*from)++) {
-    FtAttempt *victim = g_ptr_array_index (scheduler->victims, *from);
-    scheduler->looked_at++;
+  for (; *from < scheduler->preemption.victims->len; (*from)++) {
+    FtAttempt *victim = g_ptr_array_index (scheduler->preemption.victims, *from);
+    scheduler->context.looked_at++;
     if (may_stop (scheduler, job, victim) && victim->cpus >= job->spec->cpus
         && ft_machine_allowed (victim->machine, job->spec))
       return victim;
@@ -73,21 +73,21 @@
 gboolean
 ft_preempt_for (FtScheduler *scheduler, FtJob *job)
 {
-  if (scheduler->now - job->ready_at < (gint64) (FT_PREEMPT_AFTER_S * FT_SECOND))
+  if (scheduler->context.now - job->ready_at < (gint64) (FT_PREEMPT_AFTER_S * FT_SECOND))
     return FALSE;
-  if (scheduler->victims == NULL)
+  if (scheduler->preemption.victims == NULL)
     find_victims (scheduler);
   guint wanted = MIN (job->counts[FT_TASK_QUEUED], ft_quota_count (scheduler, job->team, job->spec));
   guint from = 0;
   gboolean any = FALSE;
-  while (scheduler->stops_pending < wanted) {
+  while (scheduler->preemption.stops_pending < wanted) {
     FtAttempt *victim = youngest_victim (scheduler, job, &from);
     if (victim == NULL)
       break;
     g_message ("task %s/%u: stopped on %s for job %s", victim->job_ref, victim->index, victim->machine->name,
                job->spec->ref);
     ft_attempt_want_stop (victim, victim->job->spec->checkpoint_s > 0 ? victim->job->spec->save_s : 0);
-    scheduler->stops_pending++;
+    scheduler->preemption.stops_pending++;
     any = TRUE;
   }
   return any;
--- a/src/core/quota.c
+++ b/src/core/quota.c
@@ -1,4 +1,4 @@
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 /* Amounts are sums of decimal numbers; this absorbs their rounding. */
 #define EPSILON 1e-6
@@ -6,9 +6,9 @@
 FtTeam *
 ft_quota_team (FtScheduler *scheduler, const char *name)
 {
-  for (guint i = 0; i < scheduler->settings->n_teams; i++)
-    if (g_strcmp0 (scheduler->teams[i].limit->name, name) == 0)
-      return &scheduler->teams[i];
+  for (guint i = 0; i < scheduler->context.settings->n_teams; i++)
+    if (g_strcmp0 (scheduler->quota.teams[i].limit->name, name) == 0)
+      return &scheduler->quota.teams[i];
   return NULL;
 }
 
@@ -57,13 +57,13 @@
 void
 ft_quota_mark_guaranteed (FtScheduler *scheduler)
 {
-  g_ptr_array_sort (scheduler->order, by_acceptance);
-  guint n = scheduler->settings->n_teams;
+  g_ptr_array_sort (scheduler->placement.order, by_acceptance);
+  guint n = scheduler->context.settings->n_teams;
   g_autofree double *cpus = g_new0 (double, n);
   g_autofree double *gpus = g_new0 (double, n);
-  for (guint i = 0; i < scheduler->order->len; i++) {
-    FtJob *job = g_ptr_array_index (scheduler->order, i);
-    guint t = (guint) (job->team - scheduler->teams);
+  for (guint i = 0; i < scheduler->placement.order->len; i++) {
+    FtJob *job = g_ptr_array_index (scheduler->placement.order, i);
+    guint t = (guint) (job->team - scheduler->quota.teams);
     cpus[t] += job->spec->cpus * job->spec->tasks;
     gpus[t] += job->spec->gpus * job->spec->tasks;
     job->guaranteed = cpus[t] <= job->team->limit->cpus + EPSILON && gpus[t] <= job->team->limit->gpus + EPSILON;
--- a/src/core/recovery.c
+++ b/src/core/recovery.c
@@ -1,15 +1,15 @@
 /* After a takeover: every machine of the registry is reconciled before a task
  * that might be running unseen is placed again. */
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 static void
 count (FtMachine *machine, int sign)
 {
   FtScheduler *scheduler = machine->scheduler;
   machine->counted_unreconciled = sign > 0;
-  scheduler->unreconciled += (guint) sign;
-  scheduler->unreconciled_cpus += sign * (machine->type != NULL ? machine->type->cpus : FT_CAPACITY_UNKNOWN);
-  scheduler->unreconciled_gpus += sign * (machine->type != NULL ? machine->type->gpus : FT_CAPACITY_UNKNOWN);
+  scheduler->recovery.unreconciled += (guint) sign;
+  scheduler->recovery.unreconciled_cpus += sign * (machine->type != NULL ? machine->type->cpus : FT_CAPACITY_UNKNOWN);
+  scheduler->recovery.unreconciled_gpus += sign * (machine->type != NULL ? machine->type->gpus : FT_CAPACITY_UNKNOWN);
 }
 
 void
@@ -27,11 +27,11 @@
 {
   GHashTableIter it;
   gpointer value;
-  scheduler->unreconciled = 0;
-  scheduler->unreconciled_cpus = scheduler->unreconciled_gpus = 0;
-  if (scheduler->recovered)
+  scheduler->recovery.unreconciled = 0;
+  scheduler->recovery.unreconciled_cpus = scheduler->recovery.unreconciled_gpus = 0;
+  if (scheduler->recovery.recovered)
     return;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
     machine->counted_unreconciled = FALSE;
@@ -43,8 +43,8 @@
 void
 ft_recovery_unreconciled (const FtScheduler *scheduler, double *cpus, double *gpus)
 {
-  *cpus = scheduler->loaded ? scheduler->unreconciled_cpus : FT_CAPACITY_UNKNOWN;
-  *gpus = scheduler->loaded ? scheduler->unreconciled_gpus : FT_CAPACITY_UNKNOWN;
+  *cpus = scheduler->recovery.loaded ? scheduler->recovery.unreconciled_cpus : FT_CAPACITY_UNKNOWN;
+  *gpus = scheduler->recovery.loaded ? scheduler->recovery.unreconciled_gpus : FT_CAPACITY_UNKNOWN;
 }
 
 static void
@@ -59,13 +59,13 @@
 void
 ft_recovery_tick (FtScheduler *scheduler)
 {
-  if (scheduler->recovered || !scheduler->loaded || scheduler->unreconciled > 0)
+  if (scheduler->recovery.recovered || !scheduler->recovery.loaded || scheduler->recovery.unreconciled > 0)
     return;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->jobs);
+  g_hash_table_iter_init (&it, scheduler->job_table.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     requeue_unknown_tasks (value);
-  scheduler->recovered = scheduler->placement_due = TRUE;
-  g_message ("recovery: all machines accounted for under token %" G_GUINT64_FORMAT, scheduler->token);
+  scheduler->recovery.recovered = scheduler->context.placement_due = TRUE;
+  g_message ("recovery: all machines accounted for under token %" G_GUINT64_FORMAT, scheduler->context.token);
 }
--- /dev/null
+++ b/src/core/recovery.h
@@ -0,0 +1,17 @@
+/* After a takeover: what is still to be reconciled. */
+#pragma once
+#include <glib.h>
+
+typedef struct _FtScheduler FtScheduler;
+typedef struct _FtMachine FtMachine;
+
+typedef struct {
+  gboolean loaded, recovered;
+  guint unreconciled; /* machines not reconciled, and what they can hold */
+  double unreconciled_cpus, unreconciled_gpus;
+} FtRecovery;
+
+void ft_recovery_tick (FtScheduler *scheduler);
+void ft_recovery_recount (FtScheduler *scheduler);
+void ft_recovery_uncount (FtMachine *machine);
+void ft_recovery_unreconciled (const FtScheduler *scheduler, double *cpus, double *gpus);
--- a/src/core/registry.c
+++ b/src/core/registry.c
@@ -4,7 +4,7 @@
  * A row that was written under a larger limit of the state service stays as it is while
  * nothing of it changes. When it must be written its machines move to new rows; the old row
  * is deleted once all of these are stored, so that each machine is named at any moment. */
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 #include <string.h>
 
@@ -19,13 +19,13 @@
 static FtRegistryRow *
 find_or_add_row (FtScheduler *scheduler, const char *id)
 {
-  FtRegistryRow *row = g_hash_table_lookup (scheduler->rows, id);
+  FtRegistryRow *row = g_hash_table_lookup (scheduler->registry.rows, id);
   if (row != NULL)
     return row;
   row = g_new0 (FtRegistryRow, 1);
   row->id = g_strdup (id);
   row->machines = g_ptr_array_new ();
-  g_hash_table_insert (scheduler->rows, row->id, row);
+  g_hash_table_insert (scheduler->registry.rows, row->id, row);
   return row;
 }
 
@@ -45,14 +45,14 @@
   }
   row->write_queued = TRUE;
   row->write_at = write_at;
-  g_queue_push_tail (&scheduler->pending_rows, row);
+  g_queue_push_tail (&scheduler->registry.pending_rows, row);
 }
 
 /* The most that the entries of a row may take. */
 static gsize
 row_bytes_most (const FtScheduler *scheduler)
 {
-  double largest = MIN (scheduler->settings->value_kb * 1024.0 / scheduler->value_divisor,
+  double largest = MIN (scheduler->context.settings->value_kb * 1024.0 / scheduler->registry.value_divisor,
                         (double) FT_BODY_MAX / FT_REGISTRY_ROWS_AT_ONCE);
   return (gsize) (largest * FT_REGISTRY_ROW_SHARE);
 }
@@ -60,13 +60,14 @@
 static FtRegistryRow *
 row_with_room (FtScheduler *scheduler, gsize bytes)
 {
-  if (scheduler->open_row == NULL || scheduler->open_row->bytes + bytes > row_bytes_most (scheduler)) {
+  if (scheduler->registry.open_row == NULL
+      || scheduler->registry.open_row->bytes + bytes > row_bytes_most (scheduler)) {
     /* The token makes the name unique: no row of an earlier leadership has it. */
-    g_autofree char *id
-        = g_strdup_printf ("%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, scheduler->token, scheduler->next_row++);
-    scheduler->open_row = find_or_add_row (scheduler, id);
+    g_autofree char *id = g_strdup_printf ("%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, scheduler->context.token,
+                                           scheduler->registry.next_row++);
+    scheduler->registry.open_row = find_or_add_row (scheduler, id);
   }
-  return scheduler->open_row;
+  return scheduler->registry.open_row;
 }
 
 static void
@@ -81,7 +82,7 @@
 join_new_row (FtScheduler *scheduler, FtMachine *machine)
 {
   join (row_with_room (scheduler, entry_bytes (machine)), machine);
-  queue_row (scheduler, machine->row, scheduler->now);
+  queue_row (scheduler, machine->row, scheduler->context.now);
 }
 
 void
@@ -99,7 +100,7 @@
   row->stored = TRUE;
   if (machine == NULL || machine->row != NULL) {
     /* Named by another row as well, after a split that did not end: one is enough. */
-    queue_row (scheduler, row, scheduler->now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
+    queue_row (scheduler, row, scheduler->context.now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
     return;
   }
   join (row, machine);
@@ -113,7 +114,7 @@
   FtRegistryRow *row = machine->split_row;
   machine->split_row = NULL;
   if (row != NULL && --row->moving == 0)
-    queue_row (scheduler, row, scheduler->now);
+    queue_row (scheduler, row, scheduler->context.now);
 }
 
 /* Moves the machines of a row that is too large to new rows. */
@@ -133,7 +134,7 @@
   g_ptr_array_set_size (row->machines, 0);
   row->bytes = 0;
   if (row->moving == 0)
-    queue_row (scheduler, row, scheduler->now);
+    queue_row (scheduler, row, scheduler->context.now);
 }
 
 /* A name that stays a while costs the next leader a probe, nothing else. */
@@ -141,8 +142,8 @@
 ft_registry_remove (FtScheduler *scheduler, FtMachine *machine)
 {
   FtRegistryRow *row = machine->row;
-  if (g_hash_table_contains (scheduler->drained, machine->name))
-    g_queue_push_tail (&scheduler->drain_deletions, g_strdup (machine->name));
+  if (g_hash_table_contains (scheduler->machine_table.drained, machine->name))
+    g_queue_push_tail (&scheduler->registry.drain_deletions, g_strdup (machine->name));
   machine->registered = FALSE;
   leave_split_row (scheduler, machine);
   if (row == NULL)
@@ -150,7 +151,7 @@
   machine->row = NULL;
   row->bytes -= MIN (row->bytes, entry_bytes (machine));
   g_ptr_array_remove_fast (row->machines, machine);
-  queue_row (scheduler, row, scheduler->now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
+  queue_row (scheduler, row, scheduler->context.now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
 }
 
 static FtWrite *
@@ -174,17 +175,17 @@
 void
 ft_registry_writes (FtScheduler *scheduler, GPtrArray *writes, guint most)
 {
-  guint n = g_queue_get_length (&scheduler->pending_rows);
+  guint n = g_queue_get_length (&scheduler->registry.pending_rows);
   for (guint i = 0; i < n && most > 0; i++) {
-    FtRegistryRow *row = g_queue_pop_head (&scheduler->pending_rows);
-    if (row->in_flight || row->write_at > scheduler->now) {
-      g_queue_push_tail (&scheduler->pending_rows, row);
+    FtRegistryRow *row = g_queue_pop_head (&scheduler->registry.pending_rows);
+    if (row->in_flight || row->write_at > scheduler->context.now) {
+      g_queue_push_tail (&scheduler->registry.pending_rows, row);
       continue;
     }
     row->write_queued = FALSE;
     if (row->bytes > row_bytes_most (scheduler)) {
       split (scheduler, row);
-      n = g_queue_get_length (&scheduler->pending_rows);
+      n = g_queue_get_length (&scheduler->registry.pending_rows);
       i = 0;
       continue;
     }
@@ -197,26 +198,26 @@
 void
 ft_registry_written (FtScheduler *scheduler, const FtWrite *write, gboolean applied)
 {
-  FtRegistryRow *row = g_hash_table_lookup (scheduler->rows, write->name);
+  FtRegistryRow *row = g_hash_table_lookup (scheduler->registry.rows, write->name);
   if (row == NULL)
     return;
   row->in_flight = FALSE;
   if (!applied) {
-    queue_row (scheduler, row, scheduler->now);
+    queue_row (scheduler, row, scheduler->context.now);
     return;
   }
   row->stored = write->kind == FT_WRITE_REGISTRY_ROW;
   for (guint i = 0; i < write->machines->len; i++) {
     const FtListedMachine *entry = &g_array_index (write->machines, FtListedMachine, i);
-    FtMachine *machine = g_hash_table_lookup (scheduler->machines, entry->name);
+    FtMachine *machine = g_hash_table_lookup (scheduler->machine_table.machines, entry->name);
     if (machine == NULL || machine->row != row)
       continue;
     leave_split_row (scheduler, machine);
     if (machine->registered)
       continue;
     machine->registered = TRUE;
-    scheduler->placement_due = TRUE;
+    scheduler->context.placement_due = TRUE;
   }
-  if (!row->stored && !row->write_queued && row->machines->len == 0 && row != scheduler->open_row)
-    g_hash_table_remove (scheduler->rows, row->id);
+  if (!row->stored && !row->write_queued && row->machines->len == 0 && row != scheduler->registry.open_row)
+    g_hash_table_remove (scheduler->registry.rows, row->id);
 }
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -1,7 +1,7 @@
 #include "core/scheduler.h"
 
 #include "core/autoscaler.h"
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 /* ---- life ---- */
 
@@ -10,34 +10,36 @@
                   guint32 seed)
 {
   FtScheduler *scheduler = g_new0 (FtScheduler, 1);
-  scheduler->settings = settings;
-  scheduler->catalog = ft_catalog_ref (catalog);
-  scheduler->token = token;
-  scheduler->answer_grace_us = answer_grace_us;
-  scheduler->now = scheduler->took_over_at = scheduler->cancellations_known_until = now;
-  scheduler->random = g_rand_new_with_seed (seed);
-  scheduler->next_attempt = scheduler->next_booking = 1;
-  ft_tuning_defaults (&scheduler->tuning);
-  scheduler->value_divisor = 1;
-  scheduler->drained = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  scheduler->teams = g_new0 (FtTeam, settings->n_teams);
+  scheduler->context.settings = settings;
+  scheduler->context.catalog = ft_catalog_ref (catalog);
+  scheduler->context.token = token;
+  scheduler->context.answer_grace_us = answer_grace_us;
+  scheduler->context.now = scheduler->context.took_over_at = scheduler->context.cancellations_known_until = now;
+  scheduler->context.random = g_rand_new_with_seed (seed);
+  scheduler->placement.next_attempt = scheduler->autoscaler.next_booking = 1;
+  ft_tuning_defaults (&scheduler->context.tuning);
+  scheduler->registry.value_divisor = 1;
+  scheduler->machine_table.drained = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  scheduler->quota.teams = g_new0 (FtTeam, settings->n_teams);
   for (guint i = 0; i < settings->n_teams; i++)
-    scheduler->teams[i].limit = &settings->teams[i];
+    scheduler->quota.teams[i].limit = &settings->teams[i];
   ft_open_jobs_init (scheduler);
-  scheduler->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_machine_free);
-  scheduler->zones = ft_zones_new ();
-  scheduler->gone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  scheduler->pools = ft_autoscaler_pools_new ();
-  scheduler->order = g_ptr_array_new ();
-  scheduler->waiting = g_ptr_array_new ();
-  scheduler->rows = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_registry_row_free);
-  g_queue_init (&scheduler->pending_jobs);
-  g_queue_init (&scheduler->directs);
-  g_queue_init (&scheduler->probes);
-  g_queue_init (&scheduler->terminating);
-  g_queue_init (&scheduler->pending_rows);
-  g_queue_init (&scheduler->drain_deletions);
-  g_queue_init (&scheduler->chunk_deletions);
+  scheduler->machine_table.machines
+      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_machine_free);
+  scheduler->machine_table.zones = ft_zones_new ();
+  scheduler->machine_table.gone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  scheduler->autoscaler.pools = ft_autoscaler_pools_new ();
+  scheduler->placement.order = g_ptr_array_new ();
+  scheduler->placement.waiting = g_ptr_array_new ();
+  scheduler->registry.rows
+      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_registry_row_free);
+  g_queue_init (&scheduler->write_queue.pending_jobs);
+  g_queue_init (&scheduler->command_queue.directs);
+  g_queue_init (&scheduler->command_queue.probes);
+  g_queue_init (&scheduler->autoscaler.terminating);
+  g_queue_init (&scheduler->registry.pending_rows);
+  g_queue_init (&scheduler->registry.drain_deletions);
+  g_queue_init (&scheduler->write_queue.chunk_deletions);
   return scheduler;
 }
 
@@ -47,50 +49,50 @@
   if (scheduler == NULL)
     return;
   /* Attempts know their jobs: machines go first. */
-  g_hash_table_unref (scheduler->machines);
+  g_hash_table_unref (scheduler->machine_table.machines);
   ft_open_jobs_clear (scheduler);
-  g_hash_table_unref (scheduler->zones);
-  g_hash_table_unref (scheduler->gone);
-  g_hash_table_unref (scheduler->drained);
-  g_hash_table_unref (scheduler->pools);
-  g_ptr_array_unref (scheduler->order);
-  g_ptr_array_unref (scheduler->waiting);
-  g_hash_table_unref (scheduler->rows);
-  g_queue_clear (&scheduler->pending_jobs);
-  g_queue_clear (&scheduler->directs);
-  g_queue_clear (&scheduler->probes);
-  g_queue_clear (&scheduler->terminating);
-  g_queue_clear (&scheduler->pending_rows);
-  g_queue_clear_full (&scheduler->drain_deletions, g_free);
-  g_queue_clear_full (&scheduler->chunk_deletions, (GDestroyNotify) ft_write_free);
-  g_rand_free (scheduler->random);
-  ft_catalog_unref (scheduler->catalog);
-  g_free (scheduler->teams);
+  g_hash_table_unref (scheduler->machine_table.zones);
+  g_hash_table_unref (scheduler->machine_table.gone);
+  g_hash_table_unref (scheduler->machine_table.drained);
+  g_hash_table_unref (scheduler->autoscaler.pools);
+  g_ptr_array_unref (scheduler->placement.order);
+  g_ptr_array_unref (scheduler->placement.waiting);
+  g_hash_table_unref (scheduler->registry.rows);
+  g_queue_clear (&scheduler->write_queue.pending_jobs);
+  g_queue_clear (&scheduler->command_queue.directs);
+  g_queue_clear (&scheduler->command_queue.probes);
+  g_queue_clear (&scheduler->autoscaler.terminating);
+  g_queue_clear (&scheduler->registry.pending_rows);
+  g_queue_clear_full (&scheduler->registry.drain_deletions, g_free);
+  g_queue_clear_full (&scheduler->write_queue.chunk_deletions, (GDestroyNotify) ft_write_free);
+  g_rand_free (scheduler->context.random);
+  ft_catalog_unref (scheduler->context.catalog);
+  g_free (scheduler->quota.teams);
   g_free (scheduler);
 }
 
 void
 ft_scheduler_set_tuning (FtScheduler *scheduler, const FtTuning *tuning)
 {
-  scheduler->tuning = *tuning;
+  scheduler->context.tuning = *tuning;
 }
 
 void
 ft_scheduler_lower_value_limit (FtScheduler *scheduler)
 {
-  if (scheduler->settings->value_kb / (scheduler->value_divisor * 2) >= FT_VALUE_KB_MIN)
-    scheduler->value_divisor *= 2;
+  if (scheduler->context.settings->value_kb / (scheduler->registry.value_divisor * 2) >= FT_VALUE_KB_MIN)
+    scheduler->registry.value_divisor *= 2;
 }
 
 void
 ft_scheduler_set_catalog (FtScheduler *scheduler, FtCatalog *catalog)
 {
   ft_catalog_ref (catalog);
-  ft_catalog_unref (scheduler->catalog);
-  scheduler->catalog = catalog;
+  ft_catalog_unref (scheduler->context.catalog);
+  scheduler->context.catalog = catalog;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
     machine->type = ft_catalog_find (catalog, machine->type_name);
@@ -104,7 +106,7 @@
   guint n = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachineState state = ((FtMachine *) value)->state;
     n += state == FT_MACHINE_UP || state == FT_MACHINE_SILENT;
@@ -118,17 +120,17 @@
 ft_scheduler_load_machine (FtScheduler *scheduler, const char *row, const char *name, const char *addr,
                            const char *type, const char *zone, gboolean spot)
 {
-  FtMachine *known = g_hash_table_lookup (scheduler->machines, name);
-  if (known != NULL || g_hash_table_contains (scheduler->gone, name)) {
+  FtMachine *known = g_hash_table_lookup (scheduler->machine_table.machines, name);
+  if (known != NULL || g_hash_table_contains (scheduler->machine_table.gone, name)) {
     ft_registry_loaded (scheduler, row, known);
     return;
   }
   FtMachine *machine = ft_machine_new (scheduler, name, addr, type, zone, spot);
   ft_registry_loaded (scheduler, row, machine);
   /* A former leader that lost the store may have answered it until then. */
-  machine->last_answer = scheduler->took_over_at + scheduler->answer_grace_us;
-  machine->last_status_at = scheduler->now;
-  g_hash_table_insert (scheduler->machines, machine->name, machine);
+  machine->last_answer = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
+  machine->last_status_at = scheduler->context.now;
+  g_hash_table_insert (scheduler->machine_table.machines, machine->name, machine);
 }
 
 void
@@ -136,10 +138,10 @@
 {
   GHashTableIter it;
   gpointer value;
-  scheduler->now = now;
-  scheduler->loaded = scheduler->placement_due = TRUE;
-  scheduler->loaded_at = now;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  scheduler->context.now = now;
+  scheduler->recovery.loaded = scheduler->context.placement_due = TRUE;
+  scheduler->context.loaded_at = now;
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
     machine->last_status_at = machine->last_heartbeat_at = now; /* silence counts from here */
@@ -155,7 +157,7 @@
 gboolean
 ft_scheduler_is_loaded (const FtScheduler *scheduler)
 {
-  return scheduler->loaded;
+  return scheduler->recovery.loaded;
 }
 
 /* ---- time ---- */
@@ -169,16 +171,17 @@
    * not: what was on the machine is over only when a heartbeat of a later incarnation
    * comes or the machine is gone. The expired incarnation is not used again. */
   if (machine->incarnation > machine->expired_incarnation && machine->last_answer > 0
-      && scheduler->now > machine->last_answer + ft_machine_lease_us (scheduler)) {
+      && scheduler->context.now > machine->last_answer + ft_machine_lease_us (scheduler)) {
     g_message ("machine %s: worker lease over, session %" G_GUINT64_FORMAT, machine->name, machine->incarnation);
     machine->expired_incarnation = machine->incarnation;
   }
   /* Probes alone tell nothing while a heartbeat is not due: right after a takeover
    * this controller is busy, and gives back no healthy fleet for its own lateness. */
-  gboolean silent = scheduler->now - ft_machine_silent_since (scheduler, machine) > ft_machine_silence_us (scheduler)
-                    || (ft_machine_heartbeat_overdue (scheduler, machine)
-                        && (machine->zone_view->unreachable
-                            || machine->probe_fails >= (machine->reconciled ? FT_PROBES : FT_PROBES_TAKEOVER)));
+  gboolean silent
+      = scheduler->context.now - ft_machine_silent_since (scheduler, machine) > ft_machine_silence_us (scheduler)
+        || (ft_machine_heartbeat_overdue (scheduler, machine)
+            && (machine->zone_view->unreachable
+                || machine->probe_fails >= (machine->reconciled ? FT_PROBES : FT_PROBES_TAKEOVER)));
   if (machine->state == FT_MACHINE_UP && silent)
     ft_machine_set_state (machine, FT_MACHINE_SILENT);
 }
@@ -203,13 +206,13 @@
 {
   GHashTableIter it;
   gpointer value;
-  scheduler->now = now;
-  scheduler->may_start = may_start;
-  if (scheduler->last_tick > 0 && now - scheduler->last_tick > ft_seconds (FT_LATE_TICK_S))
-    scheduler->on_time_since = now;
-  scheduler->last_tick = now;
+  scheduler->context.now = now;
+  scheduler->context.may_start = may_start;
+  if (scheduler->context.last_tick > 0 && now - scheduler->context.last_tick > ft_seconds (FT_LATE_TICK_S))
+    scheduler->context.on_time_since = now;
+  scheduler->context.last_tick = now;
   ft_zones_update (scheduler);
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
     check_machine (scheduler, machine);
@@ -222,47 +225,47 @@
   }
   ft_recovery_tick (scheduler);
   ft_placement_pass (scheduler); /* pauses end with time alone */
-  if (scheduler->loaded)
+  if (scheduler->recovery.loaded)
     ft_autoscaler_tick (scheduler);
 }
 
 void
 ft_scheduler_place (FtScheduler *scheduler, gint64 now, gboolean may_start)
 {
-  scheduler->now = now;
-  scheduler->may_start = may_start;
+  scheduler->context.now = now;
+  scheduler->context.may_start = may_start;
   /* Many reports come between two passes; what each has freed is filled by its
    * answer, without one. */
-  if (scheduler->placement_due && now >= scheduler->next_pass)
+  if (scheduler->context.placement_due && now >= scheduler->placement.next_pass)
     ft_placement_pass (scheduler);
 }
 
 void
 ft_scheduler_late (FtScheduler *scheduler, gint64 now)
 {
-  scheduler->on_time_since = now;
+  scheduler->context.on_time_since = now;
 }
 
 void
 ft_scheduler_cancellations_known (FtScheduler *scheduler, gint64 at)
 {
-  scheduler->cancellations_known_until = MAX (scheduler->cancellations_known_until, at);
+  scheduler->context.cancellations_known_until = MAX (scheduler->context.cancellations_known_until, at);
 }
 
 void
 ft_scheduler_unanswering (FtScheduler *scheduler, gint64 now)
 {
-  scheduler->answering_since = now;
+  scheduler->context.answering_since = now;
 }
 
 gint64
 ft_scheduler_last_heard (const FtScheduler *scheduler)
 {
-  return scheduler->last_heard;
+  return scheduler->context.last_heard;
 }
 
 guint
 ft_scheduler_looked_at (const FtScheduler *scheduler)
 {
-  return scheduler->looked_at;
+  return scheduler->context.looked_at;
 }
--- /dev/null
+++ b/src/core/scheduler_private.h
@@ -0,0 +1,31 @@
+/* A scheduler is composed of the core's modules. Everything here belongs to one leadership and
+ * dies with it. For the core's modules only. */
+#pragma once
+#include "core/autoscaler.h"
+#include "core/command_queue.h"
+#include "core/context.h"
+#include "core/job_table.h"
+#include "core/machine.h"
+#include "core/machine_table.h"
+#include "core/placement.h"
+#include "core/preempt.h"
+#include "core/quota.h"
+#include "core/recovery.h"
+#include "core/registry.h"
+#include "core/scheduler.h"
+#include "core/worker_heartbeats.h"
+#include "core/write_queue.h"
+
+struct _FtScheduler {
+  FtCoreContext context;
+  FtQuota quota;
+  FtJobTable job_table;
+  FtMachineTable machine_table;
+  FtRegistry registry;
+  FtRecovery recovery;
+  FtWriteQueue write_queue;
+  FtCommandQueue command_queue;
+  FtPlacement placement;
+  FtPreemption preemption;
+  FtAutoscaler autoscaler;
+};
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -1,4 +1,4 @@
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 static const char *const names[]
     = { "unknown", "queued", "starting", "fetching", "running", "saving", "finished", "done", "dropped" };
--- /dev/null
+++ b/src/core/task.h
@@ -0,0 +1,29 @@
+/* A task of a job and its state. */
+#pragma once
+#include <glib.h>
+
+typedef struct _FtJob FtJob;
+typedef struct _FtMachine FtMachine;
+typedef struct _FtAttempt FtAttempt;
+
+typedef enum {
+  FT_TASK_UNKNOWN,  /* after a takeover: may be on a machine not yet heard from */
+  FT_TASK_QUEUED,   /* on no machine */
+  FT_TASK_STARTING, /* bound; the start is decided, no heartbeat shows it yet */
+  FT_TASK_FETCHING,
+  FT_TASK_RUNNING,
+  FT_TASK_CHECKPOINTING,
+  FT_TASK_FINISHED,  /* reported done, not committed yet */
+  FT_TASK_DONE,      /* done and committed */
+  FT_TASK_CANCELLED, /* its job was cancelled and it is on no machine */
+} FtTaskState;
+
+typedef struct {
+  guint8 state; /* FtTaskState; changed by ft_task_set_state() only */
+  guint8 fails;
+  gint64 not_before;
+  FtAttempt *attempt; /* the binding, owned by its machine; NULL when unbound */
+  FtMachine *avoid;   /* where it failed last; compared only */
+} FtTask;
+
+gboolean ft_task_set_state (FtJob *job, guint index, FtTaskState to);
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -1,6 +1,6 @@
 /* What the workers report: machines come up and fall silent, attempts begin, go on and end. */
 #include "core/fault.h"
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 static void
 task_failed (FtScheduler *scheduler, FtAttempt *attempt, FtExitReason why)
@@ -10,7 +10,7 @@
   task->fails = MIN (task->fails + 1, FT_FAILS_COUNTED);
   task->avoid = attempt->machine;
   double pause = MIN (FT_RETRY_FIRST_S * (1u << (task->fails - 1)), FT_RETRY_LONGEST_S);
-  task->not_before = scheduler->now + (gint64) (pause * FT_SECOND);
+  task->not_before = scheduler->context.now + (gint64) (pause * FT_SECOND);
   if (why == FT_EXIT_ERROR)
     ft_fault_task_failed (scheduler, attempt);
 }
@@ -21,9 +21,9 @@
   FtMachine *machine = attempt->machine;
   attempt->exited = TRUE;
   attempt->listed = TRUE;
-  attempt->exited_at = scheduler->now;
+  attempt->exited_at = scheduler->context.now;
   ft_attempt_release (attempt);
-  scheduler->placement_due = TRUE;
+  scheduler->context.placement_due = TRUE;
   if (attempt->bound && why == FT_EXIT_DONE) {
     ft_fault_task_completed (machine);
     ft_task_set_state (attempt->job, attempt->index, FT_TASK_FINISHED);
@@ -38,7 +38,8 @@
   if (attempt->bound) {
     /* Its room is somebody else's for the moment: it does not take it back at once. */
     if (why == FT_EXIT_STOPPED && attempt->stop_wanted && machine->notice_until == 0)
-      attempt->job->tasks[attempt->index].not_before = scheduler->now + (gint64) (FT_PREEMPTED_PAUSE_S * FT_SECOND);
+      attempt->job->tasks[attempt->index].not_before
+          = scheduler->context.now + (gint64) (FT_PREEMPTED_PAUSE_S * FT_SECOND);
     gboolean blameless = why == FT_EXIT_STOPPED || why == FT_EXIT_PEERS || why == FT_EXIT_ALONE;
     if (!blameless && attempt->job->state == FT_JOB_OPEN)
       task_failed (scheduler, attempt, why);
@@ -60,7 +61,7 @@
   }
   if (state != FT_TASK_PHASE_FETCHING && state != FT_TASK_PHASE_WAITING && !attempt->running) {
     attempt->running = TRUE;
-    attempt->running_at = scheduler->now;
+    attempt->running_at = scheduler->context.now;
   }
   if (attempt->bound)
     ft_task_set_state (attempt->job, attempt->index, states[state]);
@@ -70,24 +71,24 @@
 static void
 adopt (FtScheduler *scheduler, FtMachine *machine, const FtTaskStatus *t)
 {
-  FtJob *job = g_hash_table_lookup (scheduler->jobs, t->job);
+  FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, t->job);
   if (job != NULL && t->index >= job->spec->tasks)
     job = NULL;
   FtTask *task = job != NULL ? &job->tasks[t->index] : NULL;
   FtAttempt *attempt = ft_attempt_new (machine, job, t->job, t->index, t->attempt);
   attempt->shown = attempt->listed = TRUE;
-  attempt->placed_at = scheduler->now;
+  attempt->placed_at = scheduler->context.now;
   gboolean open = job != NULL && job->state == FT_JOB_OPEN;
   gboolean free_task
       = open && task->attempt == NULL && (task->state == FT_TASK_UNKNOWN || task->state == FT_TASK_QUEUED);
   if (t->state == FT_TASK_PHASE_EXITED) {
     attempt->exited = TRUE;
-    attempt->exited_at = scheduler->now;
+    attempt->exited_at = scheduler->context.now;
     attempt->by_direct = TRUE; /* for all we know */
     attempt->forget_ok = !(free_task && t->exit_reason == FT_EXIT_DONE);
     if (free_task && t->exit_reason == FT_EXIT_DONE)
       ft_attempt_bind (attempt, FT_TASK_FINISHED);
-    scheduler->placement_due = TRUE;
+    scheduler->context.placement_due = TRUE;
     return;
   }
   attempt->by_direct = TRUE; /* for all we know */
@@ -180,17 +181,17 @@
   if (machine->notice_until == 0)
     g_message ("machine %s: notice, taken in %.1f s", machine->name, notice_s);
   gboolean first = machine->notice_until == 0;
-  machine->notice_until = scheduler->now + (gint64) (notice_s * FT_SECOND);
+  machine->notice_until = scheduler->context.now + (gint64) (notice_s * FT_SECOND);
   if (!first)
     return;
-  ft_spot_risk_lost (&scheduler->spot_risk);
+  ft_spot_risk_lost (&scheduler->autoscaler.spot_risk);
   g_autoptr (GList) all = g_hash_table_get_values (machine->attempts);
   for (GList *link = all; link != NULL; link = link->next) {
     FtAttempt *attempt = link->data;
     if (!attempt->bound || attempt->exited)
       continue;
     const FtJobSpec *spec = attempt->job->spec;
-    double ran = attempt->running ? (double) (scheduler->now - attempt->running_at) / FT_SECOND : 0;
+    double ran = attempt->running ? (double) (scheduler->context.now - attempt->running_at) / FT_SECOND : 0;
     if (spec->checkpoint_s > 0 && attempt->running)
       ft_attempt_want_stop (attempt, spec->save_s);
     else if (ran + notice_s < FT_NOTICE_LOST_SHARE * spec->estimate_s)
@@ -201,15 +202,15 @@
 static FtMachine *
 machine_of_heartbeat (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat)
 {
-  FtMachine *machine = g_hash_table_lookup (scheduler->machines, heartbeat->machine);
+  FtMachine *machine = g_hash_table_lookup (scheduler->machine_table.machines, heartbeat->machine);
   if (machine == NULL) {
     /* Rented by a former leader, or by a request executed late. It is in no
      * registry, so it has never been sent a command: it holds no task. */
     machine = ft_machine_new (scheduler, heartbeat->machine, heartbeat->addr, heartbeat->type, heartbeat->zone,
                               heartbeat->spot);
     ft_machine_set_reconciled (machine);
-    machine->last_answer = scheduler->now;
-    g_hash_table_insert (scheduler->machines, machine->name, machine);
+    machine->last_answer = scheduler->context.now;
+    g_hash_table_insert (scheduler->machine_table.machines, machine->name, machine);
     g_message ("machine %s: first heard of by its report", machine->name);
   }
   if (g_strcmp0 (machine->addr, heartbeat->addr) != 0) {
@@ -224,7 +225,7 @@
 static void
 update_receiving (FtScheduler *scheduler, FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
 {
-  gboolean missing = machine->answered > 0 && heartbeat->token < scheduler->token;
+  gboolean missing = machine->answered > 0 && heartbeat->token < scheduler->context.token;
   gboolean expected = FALSE;
   GHashTableIter it;
   gpointer value;
@@ -240,7 +241,7 @@
   else if (expected || machine->not_receiving_since == 0)
     machine->unacknowledged = 0;
   if (machine->unacknowledged >= FT_UNACKNOWLEDGED_MAX && machine->not_receiving_since == 0) {
-    machine->not_receiving_since = scheduler->now;
+    machine->not_receiving_since = scheduler->context.now;
     g_message ("machine %s: does not hear us", machine->name);
   } else if (machine->unacknowledged == 0) {
     machine->not_receiving_since = 0;
@@ -266,20 +267,20 @@
 {
   return heartbeat->incarnation <= machine->expired_incarnation || heartbeat->incarnation < machine->incarnation
          || (heartbeat->incarnation == machine->incarnation && heartbeat->sequence <= machine->sequence)
-         || (machine->acknowledged_token && heartbeat->token < scheduler->token);
+         || (machine->acknowledged_token && heartbeat->token < scheduler->context.token);
 }
 
 static void
 now_up (FtScheduler *scheduler, FtMachine *machine)
 {
-  machine->last_status_at = scheduler->now;
+  machine->last_status_at = scheduler->context.now;
   machine->probe_fails = 0;
   if (machine->state != FT_MACHINE_BOOTING && machine->state != FT_MACHINE_SILENT)
     return;
   if (machine->state == FT_MACHINE_BOOTING)
-    machine->idle_since = scheduler->now;
+    machine->idle_since = scheduler->context.now;
   ft_machine_set_state (machine, FT_MACHINE_UP);
-  scheduler->placement_due = TRUE;
+  scheduler->context.placement_due = TRUE;
 }
 
 /* Only what was sent after the worker saw our token counts: before that a
@@ -289,9 +290,9 @@
                     gboolean is_heartbeat)
 {
   if (!machine->acknowledged_token)
-    scheduler->placement_due = TRUE;
+    scheduler->context.placement_due = TRUE;
   machine->acknowledged_token = TRUE;
-  scheduler->last_heard = scheduler->now;
+  scheduler->context.last_heard = scheduler->context.now;
   if (!machine->reconciled) {
     ft_machine_set_reconciled (machine);
     g_message ("machine %s: accounted for", machine->name);
@@ -310,11 +311,11 @@
     begin_incarnation (scheduler, machine, heartbeat->incarnation);
   machine->sequence = heartbeat->sequence;
   if (is_heartbeat)
-    machine->last_heartbeat_at = scheduler->now;
-  ft_zone_heard (machine->zone_view, scheduler->now);
+    machine->last_heartbeat_at = scheduler->context.now;
+  ft_zone_heard (machine->zone_view, scheduler->context.now);
   now_up (scheduler, machine);
   ft_registry_add (scheduler, machine);
-  if (heartbeat->token >= scheduler->token)
+  if (heartbeat->token >= scheduler->context.token)
     token_acknowledged (scheduler, machine, heartbeat, is_heartbeat);
   if (is_heartbeat) {
     update_receiving (scheduler, machine, heartbeat);
@@ -328,11 +329,11 @@
 gboolean
 ft_scheduler_heartbeat (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now)
 {
-  scheduler->now = now;
-  if (heartbeat->token > scheduler->token)
+  scheduler->context.now = now;
+  if (heartbeat->token > scheduler->context.token)
     return FALSE;
   /* Before the registry is read, nobody knows what a machine may hold. */
-  if (scheduler->loaded && !g_hash_table_contains (scheduler->gone, heartbeat->machine))
+  if (scheduler->recovery.loaded && !g_hash_table_contains (scheduler->machine_table.gone, heartbeat->machine))
     ft_machine_apply_status (scheduler, machine_of_heartbeat (scheduler, heartbeat), heartbeat, TRUE);
   ft_recovery_tick (scheduler);
   return TRUE;
--- a/src/core/journal.c
+++ b/src/core/write_queue.c
@@ -1,6 +1,6 @@
 /* What the leader writes to the store: ends of jobs, marks, chunks of done-sets and registry
  * rows, in batches; and what becomes of them once a batch is committed or refused. */
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 void
 ft_write_free (FtWrite *write)
@@ -58,8 +58,8 @@
 static guint
 max_registry_rows (FtScheduler *scheduler, const Batch *batch)
 {
-  gboolean others_turn = scheduler->wrote_registry && batch->left <= FT_REGISTRY_ROWS_AT_ONCE
-                         && !g_queue_is_empty (&scheduler->pending_jobs);
+  gboolean others_turn = scheduler->write_queue.wrote_registry && batch->left <= FT_REGISTRY_ROWS_AT_ONCE
+                         && !g_queue_is_empty (&scheduler->write_queue.pending_jobs);
   return others_turn ? 0 : MIN (batch->left, FT_REGISTRY_ROWS_AT_ONCE);
 }
 
@@ -69,9 +69,9 @@
   guint before = batch->writes->len;
   ft_registry_writes (scheduler, batch->writes, max_registry_rows (scheduler, batch));
   batch->left -= batch->writes->len - before;
-  scheduler->wrote_registry = batch->writes->len > before;
-  while (batch->left > 0 && !g_queue_is_empty (&scheduler->drain_deletions)) {
-    g_autofree char *name = g_queue_pop_head (&scheduler->drain_deletions);
+  scheduler->write_queue.wrote_registry = batch->writes->len > before;
+  while (batch->left > 0 && !g_queue_is_empty (&scheduler->registry.drain_deletions)) {
+    g_autofree char *name = g_queue_pop_head (&scheduler->registry.drain_deletions);
     batch_add (batch, ft_write_new (FT_WRITE_DRAIN_DELETE, name));
   }
 }
@@ -124,8 +124,9 @@
 static double
 chunk_every_s (const FtScheduler *scheduler)
 {
-  double rate = scheduler->settings->store_write_rps * FT_CHUNK_WRITE_SHARE;
-  return MAX (FT_CHUNK_EVERY_S, rate > 0 ? g_queue_get_length ((GQueue *) &scheduler->pending_jobs) / rate : 0);
+  double rate = scheduler->context.settings->store_write_rps * FT_CHUNK_WRITE_SHARE;
+  return MAX (FT_CHUNK_EVERY_S,
+              rate > 0 ? g_queue_get_length ((GQueue *) &scheduler->write_queue.pending_jobs) / rate : 0);
 }
 
 /* Adds at most that many; how many are left to add. */
@@ -134,7 +135,7 @@
 {
   /* A result stays with its worker until it is committed: a chunk that waits a
    * little covers many, and the end of the job covers all. */
-  if (job->state != FT_JOB_OPEN || scheduler->now < job->chunk_at || g_hash_table_size (job->dirty_chunks) == 0)
+  if (job->state != FT_JOB_OPEN || scheduler->context.now < job->chunk_at || g_hash_table_size (job->dirty_chunks) == 0)
     return most;
   GHashTableIter it;
   gpointer key;
@@ -148,7 +149,7 @@
       g_hash_table_iter_remove (&it);
     most--;
   }
-  job->chunk_at = scheduler->now + (gint64) (chunk_every_s (scheduler) * FT_SECOND);
+  job->chunk_at = scheduler->context.now + (gint64) (chunk_every_s (scheduler) * FT_SECOND);
   return most;
 }
 
@@ -187,9 +188,9 @@
 static void
 requeue_pending_jobs (FtScheduler *scheduler)
 {
-  guint n = g_queue_get_length (&scheduler->pending_jobs);
+  guint n = g_queue_get_length (&scheduler->write_queue.pending_jobs);
   for (guint i = 0; i < n; i++) {
-    FtJob *job = g_queue_pop_head (&scheduler->pending_jobs);
+    FtJob *job = g_queue_pop_head (&scheduler->write_queue.pending_jobs);
     job->write_queued = FALSE;
     if (job_ends (job) || wants_watermark (job)
         || (job->state == FT_JOB_OPEN && g_hash_table_size (job->dirty_chunks) > 0))
@@ -200,37 +201,38 @@
 GPtrArray *
 ft_scheduler_next_writes (FtScheduler *scheduler, guint ops, gboolean spare, gint64 now)
 {
-  scheduler->now = now;
+  scheduler->context.now = now;
   Batch batch = { g_ptr_array_new_with_free_func ((GDestroyNotify) ft_write_free), ops };
-  if (!scheduler->loaded)
+  if (!scheduler->recovery.loaded)
     return batch.writes;
   add_registry_rows (scheduler, &batch);
   /* Ends of jobs first: somebody waits for them. */
-  for (GList *link = scheduler->pending_jobs.head; link != NULL && batch.left > 0; link = link->next)
+  for (GList *link = scheduler->write_queue.pending_jobs.head; link != NULL && batch.left > 0; link = link->next)
     if (job_ends (link->data))
       add_end (link->data, &batch);
-  for (GList *link = scheduler->pending_jobs.head; link != NULL && batch.left > 0; link = link->next)
+  for (GList *link = scheduler->write_queue.pending_jobs.head; link != NULL && batch.left > 0; link = link->next)
     if (wants_watermark (link->data))
       add_watermark (link->data, &batch);
   /* Without spare changes each further one would hold up the ends and marks of the next batch. */
   guint chunks = spare ? G_MAXUINT : FT_CHUNKS_WITHOUT_SPARE;
   guint drops = chunks;
-  for (GList *link = scheduler->pending_jobs.head; link != NULL && batch.left > 0 && chunks > 0; link = link->next) {
+  for (GList *link = scheduler->write_queue.pending_jobs.head; link != NULL && batch.left > 0 && chunks > 0;
+       link = link->next) {
     const FtJob *job = link->data;
     if (!job->final_in_flight && !job->conflicted && !job_ends (job))
       chunks = add_chunks (scheduler, link->data, &batch, chunks);
   }
-  scheduler->looked_at += g_queue_get_length (&scheduler->pending_jobs);
+  scheduler->context.looked_at += g_queue_get_length (&scheduler->write_queue.pending_jobs);
   requeue_pending_jobs (scheduler);
-  for (; batch.left > 0 && drops > 0 && !g_queue_is_empty (&scheduler->chunk_deletions); drops--)
-    batch_add (&batch, g_queue_pop_head (&scheduler->chunk_deletions));
+  for (; batch.left > 0 && drops > 0 && !g_queue_is_empty (&scheduler->write_queue.chunk_deletions); drops--)
+    batch_add (&batch, g_queue_pop_head (&scheduler->write_queue.chunk_deletions));
   return batch.writes;
 }
 
 static void
 chunk_written (FtScheduler *scheduler, const FtWrite *write)
 {
-  FtJob *job = g_hash_table_lookup (scheduler->jobs, write->name);
+  FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, write->name);
   if (job == NULL)
     return;
   g_hash_table_add (job->written, GUINT_TO_POINTER (write->chunk));
@@ -259,7 +261,7 @@
   while (g_hash_table_iter_next (&it, &key, NULL)) {
     FtWrite *drop = ft_write_new (FT_WRITE_CHUNK_DELETE, job->spec->ref);
     drop->chunk = GPOINTER_TO_UINT (key);
-    g_queue_push_tail (&scheduler->chunk_deletions, drop);
+    g_queue_push_tail (&scheduler->write_queue.chunk_deletions, drop);
   }
 }
 
@@ -278,7 +280,7 @@
 static void
 write_done (FtScheduler *scheduler, const FtWrite *write)
 {
-  FtJob *job = g_hash_table_lookup (scheduler->jobs, write->name);
+  FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, write->name);
   switch (write->kind) {
   case FT_WRITE_REGISTRY_ROW:
   case FT_WRITE_REGISTRY_ROW_DELETE:
@@ -305,7 +307,7 @@
 void
 ft_scheduler_writes_committed (FtScheduler *scheduler, GPtrArray *writes, gint64 now)
 {
-  scheduler->now = now;
+  scheduler->context.now = now;
   for (guint i = 0; i < writes->len; i++)
     write_done (scheduler, g_ptr_array_index (writes, i));
 }
@@ -313,14 +315,14 @@
 static void
 write_undone (FtScheduler *scheduler, FtWrite *write)
 {
-  FtJob *job = g_hash_table_lookup (scheduler->jobs, write->name);
+  FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, write->name);
   switch (write->kind) {
   case FT_WRITE_REGISTRY_ROW:
   case FT_WRITE_REGISTRY_ROW_DELETE:
     ft_registry_written (scheduler, write, FALSE);
     break;
   case FT_WRITE_DRAIN_DELETE:
-    g_queue_push_tail (&scheduler->drain_deletions, g_strdup (write->name));
+    g_queue_push_tail (&scheduler->registry.drain_deletions, g_strdup (write->name));
     break;
   case FT_WRITE_WATERMARK:
     if (job == NULL)
@@ -332,13 +334,13 @@
     if (job == NULL)
       break;
     g_hash_table_add (job->dirty_chunks, GUINT_TO_POINTER (write->chunk));
-    job->chunk_at = scheduler->now;
+    job->chunk_at = scheduler->context.now;
     ft_job_queue_write (job);
     break;
   case FT_WRITE_CHUNK_DELETE: {
     FtWrite *again = ft_write_new (FT_WRITE_CHUNK_DELETE, write->name);
     again->chunk = write->chunk;
-    g_queue_push_tail (&scheduler->chunk_deletions, again);
+    g_queue_push_tail (&scheduler->write_queue.chunk_deletions, again);
     break;
   }
   case FT_WRITE_JOB_DONE:
@@ -355,10 +357,10 @@
 void
 ft_scheduler_writes_failed (FtScheduler *scheduler, GPtrArray *writes, const char *conflicted, gint64 now)
 {
-  scheduler->now = now;
+  scheduler->context.now = now;
   for (guint i = 0; i < writes->len; i++)
     write_undone (scheduler, g_ptr_array_index (writes, i));
-  FtJob *job = conflicted != NULL ? g_hash_table_lookup (scheduler->jobs, conflicted) : NULL;
+  FtJob *job = conflicted != NULL ? g_hash_table_lookup (scheduler->job_table.jobs, conflicted) : NULL;
   if (job != NULL)
     job->conflicted = TRUE; /* until ft_scheduler_job_conflict_resolved() */
 }
@@ -367,8 +369,8 @@
 static FtJob *
 conflict_over (FtScheduler *scheduler, const char *ref, gint64 now)
 {
-  scheduler->now = now;
-  FtJob *job = g_hash_table_lookup (scheduler->jobs, ref);
+  scheduler->context.now = now;
+  FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, ref);
   if (job == NULL)
     return NULL;
   job->conflicted = FALSE;
@@ -393,7 +395,7 @@
   if (job == NULL)
     return;
   if (!done) {
-    ft_job_cancel (scheduler, job, scheduler->now);
+    ft_job_cancel (scheduler, job, scheduler->context.now);
     return;
   }
   leave_chunks (scheduler, job);
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -1,7 +1,7 @@
 #include "core/zone.h"
 
 #include "core/constants.h"
-#include "core/model.h"
+#include "core/scheduler_private.h"
 
 static void
 zone_free (FtZone *zone)
@@ -49,10 +49,10 @@
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->zones);
+  g_hash_table_iter_init (&it, scheduler->machine_table.zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
     ((FtZone *) value)->members = 0;
-  g_hash_table_iter_init (&it, scheduler->machines);
+  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
     machine->zone_view->members += machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT;
@@ -63,16 +63,16 @@
 static gboolean
 quiet (const FtScheduler *scheduler, const FtZone *zone)
 {
-  gint64 since = MAX (zone->last_heard, MAX (scheduler->on_time_since, scheduler->answering_since));
+  gint64 since = MAX (zone->last_heard, MAX (scheduler->context.on_time_since, scheduler->context.answering_since));
   return zone->members >= FT_ZONE_MEMBERS
-         && scheduler->now - MAX (since, scheduler->loaded_at) > ft_machine_overdue_us (scheduler);
+         && scheduler->context.now - MAX (since, scheduler->context.loaded_at) > ft_machine_overdue_us (scheduler);
 }
 
 static gboolean
 heard_of_late (const FtScheduler *scheduler, const FtZone *zone)
 {
   return zone->members > 0 && zone->last_heard > 0
-         && scheduler->now - zone->last_heard <= ft_machine_overdue_us (scheduler);
+         && scheduler->context.now - zone->last_heard <= ft_machine_overdue_us (scheduler);
 }
 
 void
@@ -82,13 +82,13 @@
   gpointer value;
   gboolean any_heard = FALSE;
   count_members (scheduler);
-  g_hash_table_iter_init (&it, scheduler->zones);
+  g_hash_table_iter_init (&it, scheduler->machine_table.zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
     any_heard |= heard_of_late (scheduler, value);
   /* A leader that hears nobody is cut off itself, and can judge no zone. */
   if (!any_heard)
     return;
-  g_hash_table_iter_init (&it, scheduler->zones);
+  g_hash_table_iter_init (&it, scheduler->machine_table.zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
     if (quiet (scheduler, value))
       set_unreachable (value, TRUE);
--- a/src/net/admin.c
+++ b/src/net/admin.c
@@ -38,8 +38,8 @@
 peers_body (const FtNode *node, gint64 now)
 {
   json_t *list = json_array ();
-  for (guint i = 0; i < node->peers->len; i++) {
-    const FtPeerState *view = &g_array_index (node->peers, FtPeerState, i);
+  for (guint i = 0; i < node->peer_group.peers->len; i++) {
+    const FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
     json_array_append_new (
         list, json_pack ("{s:s, s:s, s:o}", "member", view->peer->member, "addr", view->peer->addr, "heard_s_ago",
                          view->heard_at > 0 ? json_real (round ((double) (now - view->heard_at) / 10000) / 100)
@@ -56,11 +56,11 @@
       "{s:s, s:s, s:b, s:b, s:s, s:s?, s:I, s:b, s:i, s:o}", "member", node->config->member, "version", FT_VERSION,
       "ready", ft_node_ready (node, now), "state_service", ft_store_client_contact (node->store, now), "lease",
       ft_lease_state_name (ft_lease_state (node->lease)), "leader", ft_node_leader (node), "token",
-      (json_int_t) (node->scheduler != NULL ? ft_lease_token (node->lease) : node->peer_leader_token), "recovered",
-      node->scheduler != NULL && ft_scheduler_is_loaded (node->scheduler), "user_connections",
-      (int) ft_http_server_connections (node->front), "peers", peers_body (node, now));
-  if (node->scheduler != NULL)
-    json_object_set_new (body, "lease_age_s", json_real ((double) (now - node->led_since) / FT_SECOND));
+      (json_int_t) (node->leader.scheduler != NULL ? ft_lease_token (node->lease) : node->peer_group.peer_leader_token),
+      "recovered", node->leader.scheduler != NULL && ft_scheduler_is_loaded (node->leader.scheduler),
+      "user_connections", (int) ft_http_server_connections (node->front), "peers", peers_body (node, now));
+  if (node->leader.scheduler != NULL)
+    json_object_set_new (body, "lease_age_s", json_real ((double) (now - node->leader.led_since) / FT_SECOND));
   ft_http_respond (request, 200, body);
 }
 
@@ -125,15 +125,15 @@
 get_list (FtNode *node, FtHttpRequest *request, const char *what)
 {
   json_t *list = json_array ();
-  JobList jobs = { node->scheduler, list };
+  JobList jobs = { node->leader.scheduler, list };
   if (strcmp (what, "teams") == 0)
-    ft_scheduler_each_team (node->scheduler, add_team, list);
+    ft_scheduler_each_team (node->leader.scheduler, add_team, list);
   else if (strcmp (what, "jobs") == 0)
-    ft_scheduler_each_job (node->scheduler, add_job, &jobs);
+    ft_scheduler_each_job (node->leader.scheduler, add_job, &jobs);
   else if (strcmp (what, "queue") == 0)
-    ft_scheduler_each_job (node->scheduler, add_waiting, &jobs);
+    ft_scheduler_each_job (node->leader.scheduler, add_waiting, &jobs);
   else
-    ft_scheduler_each_machine (node->scheduler, add_machine, list);
+    ft_scheduler_each_machine (node->leader.scheduler, add_machine, list);
   ft_http_respond (request, 200, json_pack ("{s:o}", what, list));
 }
 
@@ -142,9 +142,9 @@
 get_metrics (FtNode *node, FtHttpRequest *request)
 {
   json_t *body = ft_metrics_body (node->metrics), *counters = json_object_get (body, "counters");
-  if (node->scheduler != NULL) {
+  if (node->leader.scheduler != NULL) {
     guint open, waiting;
-    ft_scheduler_count_jobs (node->scheduler, &open, &waiting);
+    ft_scheduler_count_jobs (node->leader.scheduler, &open, &waiting);
     json_object_set_new (counters, "open_jobs", json_integer (open));
     json_object_set_new (counters, "waiting_jobs", json_integer (waiting));
   }
@@ -189,14 +189,14 @@
 void
 ft_node_apply_settings (FtNode *node, const FtTuning *tuning, guint64 version)
 {
-  if (version == node->settings_version && version != 0)
+  if (version == node->settings.settings_version && version != 0)
     return;
-  node->tuning = *tuning;
-  node->settings_version = version;
+  node->settings.tuning = *tuning;
+  node->settings.settings_version = version;
   ft_lease_set_times (node->lease, (gint64) (tuning->lease_s * FT_SECOND), (gint64) (tuning->sweep_s * FT_SECOND),
                       tuning->sweep_jitter, tuning->renew_fraction);
-  if (node->scheduler != NULL)
-    ft_scheduler_set_tuning (node->scheduler, tuning);
+  if (node->leader.scheduler != NULL)
+    ft_scheduler_set_tuning (node->leader.scheduler, tuning);
   const char *const choices[] = FT_LOG_CHOICES;
   guint level = (guint) tuning->log_level;
   const char *environment = g_getenv ("LOG_LEVEL");
@@ -210,7 +210,7 @@
   FtNode *node = data;
   FtTuning tuning;
   FtRow row;
-  node->settings_in_flight = FALSE;
+  node->settings.settings_in_flight = FALSE;
   if (status != 200 || !ft_store_row (body, &row))
     return;
   ft_row_settings_parse (row.value, &tuning);
@@ -224,10 +224,10 @@
 void
 ft_admin_tick (FtNode *node, gint64 now)
 {
-  if (now < node->next_settings || node->settings_in_flight)
+  if (now < node->settings.next_settings || node->settings.settings_in_flight)
     return;
-  node->next_settings = now + (gint64) (FT_SETTINGS_EVERY_S * FT_SECOND);
-  node->settings_in_flight = TRUE;
+  node->settings.next_settings = now + (gint64) (FT_SETTINGS_EVERY_S * FT_SECOND);
+  node->settings.settings_in_flight = TRUE;
   ft_store_client_get (node->store, FT_KEY_SETTINGS, FT_STORE_PRIORITY_READ, on_settings, node);
 }
 
@@ -240,7 +240,7 @@
     ft_node_apply_settings (call->node, &call->tuning, revision);
     ft_http_respond (call->request, 200, settings_body (&call->tuning, revision));
   } else if (status == 409) {
-    call->node->next_settings = 0; /* see the change at once */
+    call->node->settings.next_settings = 0; /* see the change at once */
     refuse (call->request, 409, "the settings have changed meanwhile: read them again");
   } else {
     refuse (call->request, 503, "the state service did not confirm the change: read the settings again");
@@ -261,7 +261,7 @@
     return FALSE;
   }
   *version = (guint64) json_integer_value (stated);
-  *tuning = node->tuning;
+  *tuning = node->settings.tuning;
   json_object_foreach ((json_t *) set, name, value)
   {
     const FtTuningInfo *info = ft_tuning_find (name);
@@ -286,8 +286,8 @@
   guint64 version;
   if (!read_change (node, request, &tuning, &version))
     return;
-  if (version != node->settings_version) {
-    refuse (request, 409, "the settings are at version %" G_GUINT64_FORMAT, node->settings_version);
+  if (version != node->settings.settings_version) {
+    refuse (request, 409, "the settings are at version %" G_GUINT64_FORMAT, node->settings.settings_version);
     return;
   }
   g_autofree char *why = ft_tuning_check (&tuning, &node->config->core);
@@ -324,8 +324,8 @@
   if (status != 200) {
     refuse (call->request, 503, "the state service did not confirm the change: try again");
   } else {
-    if (call->node->scheduler != NULL)
-      ft_scheduler_drain (call->node->scheduler, call->machine, call->drain);
+    if (call->node->leader.scheduler != NULL)
+      ft_scheduler_drain (call->node->leader.scheduler, call->machine, call->drain);
     ft_http_respond (call->request, 200, json_pack ("{s:s, s:b}", "machine", call->machine, "drained", call->drain));
   }
   admin_call_free (call);
@@ -334,7 +334,7 @@
 static void
 set_drain (FtNode *node, FtHttpRequest *request, const char *machine, gboolean drain)
 {
-  if (drain && !ft_scheduler_knows (node->scheduler, machine)) {
+  if (drain && !ft_scheduler_knows (node->leader.scheduler, machine)) {
     refuse (request, 404, "there is no machine %s", machine);
     return;
   }
@@ -360,7 +360,7 @@
 static gboolean
 need_leader (FtNode *node, FtHttpRequest *request)
 {
-  if (node->scheduler != NULL && ft_scheduler_is_loaded (node->scheduler))
+  if (node->leader.scheduler != NULL && ft_scheduler_is_loaded (node->leader.scheduler))
     return TRUE;
   const char *leader = ft_node_leader (node);
   const char *addr = leader != NULL ? peer_addr (node, leader) : NULL;
@@ -381,7 +381,7 @@
   else if (strcmp (what, "metrics") == 0)
     get_metrics (node, request);
   else if (strcmp (what, "settings") == 0)
-    ft_http_respond (request, 200, settings_body (&node->tuning, node->settings_version));
+    ft_http_respond (request, 200, settings_body (&node->settings.tuning, node->settings.settings_version));
   else if (!g_strv_contains (lists, what))
     refuse (request, 404, "there is no /admin/%s", what);
   else if (need_leader (node, request))
--- a/src/net/front.c
+++ b/src/net/front.c
@@ -13,8 +13,8 @@
 gboolean
 ft_node_peer_served (const FtNode *node, gint64 after, gint64 now)
 {
-  for (guint i = 0; i < node->peers->len; i++) {
-    const FtPeerState *view = &g_array_index (node->peers, FtPeerState, i);
+  for (guint i = 0; i < node->peer_group.peers->len; i++) {
+    const FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
     if (peer_fresh (view, now) && view->served_at > after)
       return TRUE;
   }
@@ -24,8 +24,8 @@
 gboolean
 ft_node_has_older_peer (const FtNode *node, gint64 now)
 {
-  for (guint i = 0; i < node->peers->len; i++) {
-    const FtPeerState *view = &g_array_index (node->peers, FtPeerState, i);
+  for (guint i = 0; i < node->peer_group.peers->len; i++) {
+    const FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
     if (peer_fresh (view, now) && !view->supports_dependencies)
       return TRUE;
   }
@@ -50,8 +50,8 @@
   if (ft_node_alone_unserved (node, now))
     return FALSE;
   gboolean heard = FALSE;
-  for (guint i = 0; i < node->peers->len; i++)
-    heard |= peer_fresh (&g_array_index (node->peers, FtPeerState, i), now);
+  for (guint i = 0; i < node->peer_group.peers->len; i++)
+    heard |= peer_fresh (&g_array_index (node->peer_group.peers, FtPeerState, i), now);
   return heard && ft_store_client_last_served (node->store) > 0;
 }
 
--- a/src/net/leader.c
+++ b/src/net/leader.c
@@ -30,7 +30,7 @@
 {
   Call *call = g_new0 (Call, 1);
   call->node = node;
-  call->term = node->term;
+  call->term = node->leader.term;
   call->sent_at = g_get_monotonic_time ();
   return call;
 }
@@ -52,7 +52,7 @@
 static gboolean
 term_is_over (const Call *call)
 {
-  return call->term != call->node->term || call->node->scheduler == NULL;
+  return call->term != call->node->leader.term || call->node->leader.scheduler == NULL;
 }
 
 static gboolean
@@ -104,16 +104,16 @@
     return;
   if (cancelled) {
     gint64 age_us = MAX (0, wall_ms () - ft_row_cancellation_time (row->value)) * 1000;
-    ft_scheduler_job_cancelled (node->scheduler, ref, age_us, now);
+    ft_scheduler_job_cancelled (node->leader.scheduler, ref, age_us, now);
     return;
   }
   FtJobSpec *spec = ft_row_open_parse (ref, row->value);
   if (spec == NULL)
     g_warning ("job %s: its row cannot be read", ref);
   else if (fresh)
-    ft_scheduler_job_added (node->scheduler, spec, ft_row_open_revision (row), now, wall_ms ());
+    ft_scheduler_job_added (node->leader.scheduler, spec, ft_row_open_revision (row), now, wall_ms ());
   else
-    ft_scheduler_load_job (node->scheduler, spec, ft_row_open_revision (row), now, wall_ms ());
+    ft_scheduler_load_job (node->leader.scheduler, spec, ft_row_open_revision (row), now, wall_ms ());
 }
 
 static void
@@ -123,14 +123,14 @@
   guint chunk;
   if (g_str_has_prefix (row->key, FT_PREFIX_OPEN)) {
     /* After a watch that fell behind, only jobs accepted meanwhile are new. */
-    load_open_row (node, row, ft_scheduler_is_loaded (node->scheduler));
+    load_open_row (node, row, ft_scheduler_is_loaded (node->leader.scheduler));
   } else if (ft_key_drained_name (row->key) != NULL) {
-    ft_scheduler_drain (node->scheduler, ft_key_drained_name (row->key), TRUE);
+    ft_scheduler_drain (node->leader.scheduler, ft_key_drained_name (row->key), TRUE);
   } else if (g_str_has_prefix (row->key, FT_PREFIX_REGISTRY)) {
-    if (!ft_row_machine_parse (node->scheduler, row))
+    if (!ft_row_machine_parse (node->leader.scheduler, row))
       g_warning ("machine %s: its row cannot be read", row->key);
   } else if (ft_key_chunk_parse (row->key, &ref, &chunk) && ft_row_chunk_bits (row->value) != NULL) {
-    ft_scheduler_load_done (node->scheduler, ref, chunk, ft_row_chunk_bits (row->value));
+    ft_scheduler_load_done (node->leader.scheduler, ref, chunk, ft_row_chunk_bits (row->value));
   }
 }
 
@@ -139,7 +139,7 @@
 cancellations_known (FtNode *node, gint64 at)
 {
   ft_lease_cancellations_known (node->lease, at);
-  ft_scheduler_cancellations_known (node->scheduler, at);
+  ft_scheduler_cancellations_known (node->leader.scheduler, at);
 }
 
 static void
@@ -148,10 +148,10 @@
   /* The pages differ in age, and an outage may lie between them: what is known is
    * known as of the first. What came later comes by the watch. */
   if (strcmp (prefix, FT_PREFIX_OPEN) == 0)
-    node->cancellations_read_at = began_at;
-  if (ft_scheduler_is_loaded (node->scheduler)) {
-    cancellations_known (node, node->cancellations_read_at);
-    node->next_watch = 0;
+    node->leader.cancellations_read_at = began_at;
+  if (ft_scheduler_is_loaded (node->leader.scheduler)) {
+    cancellations_known (node, node->leader.cancellations_read_at);
+    node->leader.next_watch = 0;
   } else if (strcmp (prefix, FT_PREFIX_OPEN) == 0) {
     load_next (node, FT_PREFIX_DONE, NULL, 0);
   } else if (strcmp (prefix, FT_PREFIX_DONE) == 0) {
@@ -159,12 +159,12 @@
   } else if (strcmp (prefix, FT_PREFIX_DRAINED) == 0) {
     load_next (node, FT_PREFIX_REGISTRY, NULL, 0);
   } else {
-    ft_scheduler_loaded (node->scheduler, g_get_monotonic_time ());
+    ft_scheduler_loaded (node->leader.scheduler, g_get_monotonic_time ());
     /* Only now: without the registry a cancelled task that is known of cannot be stopped, and
      * each answer to its worker would keep it alive. */
-    cancellations_known (node, node->cancellations_read_at);
-    ft_metrics_time (node->metrics, FT_TIME_RECOVERY, g_get_monotonic_time () - node->led_since);
-    node->next_watch = 0;
+    cancellations_known (node, node->leader.cancellations_read_at);
+    ft_metrics_time (node->metrics, FT_TIME_RECOVERY, g_get_monotonic_time () - node->leader.led_since);
+    node->leader.next_watch = 0;
     g_message ("node %s: leader under token %" G_GUINT64_FORMAT ", recovered the store", node->config->member,
                ft_lease_token (node->lease));
   }
@@ -191,7 +191,7 @@
   }
   G_GNUC_UNUSED g_autoptr (Call) owned = call;
   if (strcmp (call->prefix, FT_PREFIX_OPEN) == 0 && call->text == NULL)
-    ft_store_revision (body, &node->watch_since); /* changes since the first page come by the watch */
+    ft_store_revision (body, &node->leader.watch_since); /* changes since the first page come by the watch */
   for (guint i = 0; i < rows->len; i++)
     load_row (node, &g_array_index (rows, FtRow, i));
   if (more && rows->len > 0)
@@ -226,16 +226,16 @@
   FtNode *node = call->node;
   if (term_is_over (call))
     return;
-  node->watch_in_flight = FALSE;
+  node->leader.watch_in_flight = FALSE;
   if (status == 410) {
     load_next (node, FT_PREFIX_OPEN, NULL, 0);
     return;
   }
   g_autoptr (GArray) rows = status == 200 ? ft_store_events (body) : NULL;
-  if (rows == NULL || !ft_store_revision (body, &node->watch_since)) {
+  if (rows == NULL || !ft_store_revision (body, &node->leader.watch_since)) {
     if (status == 200)
       ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of events");
-    node->next_watch = soon (node);
+    node->leader.next_watch = soon (node);
     return;
   }
   for (guint i = 0; i < rows->len; i++)
@@ -247,10 +247,10 @@
 static void
 watch (FtNode *node, gint64 now)
 {
-  if (node->watch_in_flight || now < node->next_watch || !ft_scheduler_is_loaded (node->scheduler))
+  if (node->leader.watch_in_flight || now < node->leader.next_watch || !ft_scheduler_is_loaded (node->leader.scheduler))
     return;
-  node->watch_in_flight = TRUE;
-  ft_store_client_follow (node->store, FT_PREFIX_OPEN, node->watch_since, on_watch, call_new (node));
+  node->leader.watch_in_flight = TRUE;
+  ft_store_client_follow (node->store, FT_PREFIX_OPEN, node->leader.watch_since, on_watch, call_new (node));
 }
 
 /* ---- batches ---- */
@@ -259,11 +259,11 @@
 batch_over (FtNode *node, Call *call, gboolean applied, const char *conflicted)
 {
   gint64 now = g_get_monotonic_time ();
-  node->batch_in_flight = FALSE;
+  node->leader.batch_in_flight = FALSE;
   if (applied)
-    ft_scheduler_writes_committed (node->scheduler, call->writes, now);
+    ft_scheduler_writes_committed (node->leader.scheduler, call->writes, now);
   else
-    ft_scheduler_writes_failed (node->scheduler, call->writes, conflicted, now);
+    ft_scheduler_writes_failed (node->leader.scheduler, call->writes, conflicted, now);
   ft_node_pump (node);
 }
 
@@ -291,7 +291,7 @@
     return;
   }
   gboolean applied = (guint64) json_integer_value (json_object_get (row.value, "batch")) == call->batch;
-  node->journal_revision = row.revision;
+  node->leader.journal_revision = row.revision;
   batch_over (node, call, applied, NULL);
 }
 
@@ -320,9 +320,9 @@
   }
   gint64 now = g_get_monotonic_time ();
   if (state.open)
-    ft_scheduler_job_still_open (node->scheduler, call->text, row.revision, now);
+    ft_scheduler_job_still_open (node->leader.scheduler, call->text, row.revision, now);
   else
-    ft_scheduler_job_conflict_resolved (node->scheduler, call->text, state.end == FT_JOB_END_DONE, now);
+    ft_scheduler_job_conflict_resolved (node->leader.scheduler, call->text, state.end == FT_JOB_END_DONE, now);
   call_free (call);
   ft_node_pump (node);
 }
@@ -360,7 +360,7 @@
 static void
 shrink_batches (FtNode *node)
 {
-  node->batch_ops_most = MAX (FT_TXN_OPS_MIN, node->batch_ops_most / 2);
+  node->leader.batch_ops_most = MAX (FT_TXN_OPS_MIN, node->leader.batch_ops_most / 2);
 }
 
 /* The state service will not take it, however often it is sent: its limits may have changed.
@@ -372,8 +372,8 @@
   g_warning ("node %s: the state service refused a batch of %u writes as invalid", node->config->member,
              call->writes->len);
   shrink_batches (node);
-  ft_scheduler_lower_value_limit (node->scheduler);
-  node->next_batch = g_get_monotonic_time () + (gint64) (FT_BATCH_INVALID_PAUSE_S * FT_SECOND);
+  ft_scheduler_lower_value_limit (node->leader.scheduler);
+  node->leader.next_batch = g_get_monotonic_time () + (gint64) (FT_BATCH_INVALID_PAUSE_S * FT_SECOND);
   batch_over (node, call, FALSE, NULL);
 }
 
@@ -386,7 +386,7 @@
   if (term_is_over (call))
     return;
   if (status == 200 && ft_store_revision (body, &revision)) {
-    node->journal_revision = revision;
+    node->leader.journal_revision = revision;
     ft_metrics_count (node->metrics, FT_COUNT_BATCHES);
     ft_metrics_time (node->metrics, FT_TIME_BATCH, g_get_monotonic_time () - call->sent_at);
     batch_over (node, call, TRUE, NULL);
@@ -395,7 +395,7 @@
   } else if (status == 503 || status == 429) {
     if (status == 429)
       shrink_batches (node); /* more changes at once than the service takes in a second never pass */
-    node->next_batch = soon (node);
+    node->leader.next_batch = soon (node);
     batch_over (node, call, FALSE, NULL);
   } else if (status == 400) {
     batch_invalid (node, call);
@@ -408,9 +408,9 @@
 static void
 commit_batch (FtNode *node, gint64 now)
 {
-  if (node->batch_in_flight || now < node->next_batch)
+  if (node->leader.batch_in_flight || now < node->leader.next_batch)
     return;
-  GPtrArray *writes = ft_scheduler_next_writes (node->scheduler, node->batch_ops_most - 1,
+  GPtrArray *writes = ft_scheduler_next_writes (node->leader.scheduler, node->leader.batch_ops_most - 1,
                                                 ft_store_client_spare_writes (node->store), now);
   if (writes->len == 0) {
     g_ptr_array_unref (writes);
@@ -418,14 +418,14 @@
   }
   Call *call = call_new (node);
   call->writes = writes;
-  call->batch = ++node->journal_batch;
+  call->batch = ++node->leader.journal_batch;
   json_t *txn = ft_txn_new ();
   ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
-  ft_txn_if (txn, FT_KEY_JOURNAL, node->journal_revision);
+  ft_txn_if (txn, FT_KEY_JOURNAL, node->leader.journal_revision);
   ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (ft_lease_token (node->lease), call->batch));
   for (guint i = 0; i < writes->len; i++)
     ft_txn_add_write (txn, g_ptr_array_index (writes, i), wall_ms ());
-  node->batch_in_flight = TRUE;
+  node->leader.batch_in_flight = TRUE;
   ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, on_batch, call);
   json_decref (txn);
 }
@@ -441,12 +441,12 @@
   FtJobRow state;
   if (term_is_over (call))
     return;
-  node->dependency_reads--;
+  node->leader.dependency_reads--;
   /* Open, or not answered: the scheduler names it again. */
   if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state) || state.open)
     return;
   gint64 age_us = state.ended_wall_ms > 0 ? MAX (0, wall_ms () - state.ended_wall_ms) * 1000 : -1;
-  ft_scheduler_job_end_read (node->scheduler, call->text, state.end, age_us, g_get_monotonic_time ());
+  ft_scheduler_job_end_read (node->leader.scheduler, call->text, state.end, age_us, g_get_monotonic_time ());
   ft_node_pump (node);
 }
 
@@ -455,13 +455,13 @@
 static void
 read_dependencies (FtNode *node, gint64 now)
 {
-  while (node->dependency_reads < FT_DEPENDENCY_READS_MAX) {
-    const char *ref = ft_scheduler_next_unread_job (node->scheduler, now);
+  while (node->leader.dependency_reads < FT_DEPENDENCY_READS_MAX) {
+    const char *ref = ft_scheduler_next_unread_job (node->leader.scheduler, now);
     if (ref == NULL)
       return;
     Call *call = call_new (node);
     call->text = g_strdup (ref);
-    node->dependency_reads++;
+    node->leader.dependency_reads++;
     g_autofree char *key = ft_key_job (ref);
     ft_store_client_get (node->store, key, FT_STORE_PRIORITY_COMMIT, on_dependency_read, call);
   }
@@ -476,7 +476,7 @@
   FtNode *node = call->node;
   if (term_is_over (call))
     return;
-  node->directs--;
+  node->leader.directs--;
   g_autoptr (FtWorkerHeartbeat) heartbeat
       = status == 200 || status == 409 ? ft_message_worker_heartbeat_read (body, size) : NULL;
   FtDirectResult result = status == 200 && heartbeat != NULL   ? FT_DIRECT_OK
@@ -488,7 +488,7 @@
     ft_metrics_count (node->metrics, FT_COUNT_DIRECT_UNANSWERED);
   else
     ft_metrics_time (node->metrics, FT_TIME_DIRECT, g_get_monotonic_time () - call->sent_at);
-  if (!ft_scheduler_direct_done (node->scheduler, call->direct, result, heartbeat, g_get_monotonic_time ())) {
+  if (!ft_scheduler_direct_done (node->leader.scheduler, call->direct, result, heartbeat, g_get_monotonic_time ())) {
     ft_node_step_down (node, "a worker has seen a higher token");
     return;
   }
@@ -498,14 +498,14 @@
 static void
 send_directs (FtNode *node, gint64 now)
 {
-  while (node->directs < FT_DIRECT_MAX) {
-    FtDirect *direct = ft_scheduler_next_direct (node->scheduler, now);
+  while (node->leader.directs < FT_DIRECT_MAX) {
+    FtDirect *direct = ft_scheduler_next_direct (node->leader.scheduler, now);
     if (direct == NULL)
       return;
     Call *call = call_new (node);
     call->direct = direct;
     json_t *body = ft_message_commands (ft_lease_token (node->lease), direct->incarnation, direct->commands);
-    node->directs++;
+    node->leader.directs++;
     ft_http_send_raw (node->worker_client, "POST", direct->addr, "/commands", FT_BODY_CBOR, body, FT_COMMAND_TIMEOUT_S,
                       TRUE, on_direct, call);
     json_decref (body);
@@ -521,7 +521,7 @@
   FtNode *node = call->node;
   if (term_is_over (call))
     return;
-  node->cloud_calls--;
+  node->leader.cloud_calls--;
   FtCloudResult result = FT_CLOUD_FAILED;
   if (status == 200 && (call->cloud->op == FT_CLOUD_SCALE_IN || ft_cloud_launched (body, call->cloud)))
     result = FT_CLOUD_OK;
@@ -530,23 +530,23 @@
     result = FT_CLOUD_REFUSED;
   if (status == 200 && result == FT_CLOUD_FAILED)
     ft_node_malformed (node, FT_COUNT_MALFORMED_CLOUD, "answer to a rental");
-  ft_scheduler_cloud_done (node->scheduler, call->cloud, result, g_get_monotonic_time ());
+  ft_scheduler_cloud_done (node->leader.scheduler, call->cloud, result, g_get_monotonic_time ());
   ft_node_pump (node);
 }
 
 static void
 call_cloud (FtNode *node, gint64 now)
 {
-  while (node->cloud_calls < FT_CLOUD_CALLS_MAX && ft_budget_has (&node->cloud_budget, 1, now)) {
-    FtCloudCall *cloud = ft_scheduler_next_cloud (node->scheduler, now);
+  while (node->leader.cloud_calls < FT_CLOUD_CALLS_MAX && ft_budget_has (&node->leader.cloud_budget, 1, now)) {
+    FtCloudCall *cloud = ft_scheduler_next_cloud (node->leader.scheduler, now);
     if (cloud == NULL)
       return;
     Call *call = call_new (node);
     call->cloud = cloud;
     gboolean scale_out = cloud->op == FT_CLOUD_SCALE_OUT;
     json_t *body = scale_out ? ft_cloud_scale_out_body (cloud) : ft_cloud_scale_in_body (cloud);
-    node->cloud_calls++;
-    ft_budget_take (&node->cloud_budget, 1);
+    node->leader.cloud_calls++;
+    ft_budget_take (&node->leader.cloud_budget, 1);
     ft_http_send (node->cloud_client, "POST", node->config->cloud_addr, scale_out ? "/rentals" : "/rentals/return",
                   FT_BODY_CBOR, body, FT_CLOUD_TIMEOUT_S, FALSE, on_cloud, call);
     json_decref (body);
@@ -563,7 +563,7 @@
   gboolean more = FALSE;
   if (term_is_over (call))
     return;
-  node->list_in_flight = FALSE;
+  node->leader.list_in_flight = FALSE;
   if (status != 200)
     return;
   if (!ft_cloud_list (body, call->list, &more)) {
@@ -574,7 +574,7 @@
     list_machines (node, g_array_ref (call->list));
     return;
   }
-  ft_scheduler_listed (node->scheduler, call->list, g_get_monotonic_time ());
+  ft_scheduler_listed (node->leader.scheduler, call->list, g_get_monotonic_time ());
   ft_node_pump (node);
 }
 
@@ -587,8 +587,8 @@
                                        : g_strdup_printf ("/rentals?limit=%d", FT_CLOUD_LIST_LIMIT);
   Call *call = call_new (node);
   call->list = list;
-  node->list_in_flight = TRUE;
-  ft_budget_take (&node->cloud_budget, 1);
+  node->leader.list_in_flight = TRUE;
+  ft_budget_take (&node->leader.cloud_budget, 1);
   ft_http_send (node->cloud_client, "GET", node->config->cloud_addr, path, FT_BODY_CBOR, NULL, FT_CLOUD_TIMEOUT_S,
                 FALSE, on_list, call);
 }
@@ -600,16 +600,17 @@
 {
   gint64 now = g_get_monotonic_time ();
   ft_leader_end (node);
-  g_autoptr (FtCatalog) catalog = node->catalog != NULL ? ft_catalog_ref (node->catalog) : ft_catalog_new ();
-  node->scheduler = ft_scheduler_new (&node->config->core, catalog, ft_lease_token (node->lease), node->answer_grace_us,
-                                      now, g_rand_int (node->random));
-  ft_scheduler_set_tuning (node->scheduler, &node->tuning);
+  g_autoptr (FtCatalog) catalog
+      = node->catalog_cache.catalog != NULL ? ft_catalog_ref (node->catalog_cache.catalog) : ft_catalog_new ();
+  node->leader.scheduler = ft_scheduler_new (&node->config->core, catalog, ft_lease_token (node->lease),
+                                             node->answer_grace_us, now, g_rand_int (node->random));
+  ft_scheduler_set_tuning (node->leader.scheduler, &node->settings.tuning);
   ft_metrics_count (node->metrics, FT_COUNT_TAKEOVERS);
-  node->journal_revision = revision;
-  node->journal_batch = 0;
-  node->batch_ops_most = node->config->core.txn_ops;
-  node->led_since = now;
-  node->next_list = node->next_scheduler_tick = now;
+  node->leader.journal_revision = revision;
+  node->leader.journal_batch = 0;
+  node->leader.batch_ops_most = node->config->core.txn_ops;
+  node->leader.led_since = now;
+  node->leader.next_list = node->leader.next_scheduler_tick = now;
   ft_store_client_set_leading (node->store, TRUE);
   load_next (node, FT_PREFIX_OPEN, NULL, 0);
 }
@@ -617,21 +618,22 @@
 void
 ft_leader_end (FtNode *node)
 {
-  node->term++;
-  node->batch_in_flight = node->renew_in_flight = node->watch_in_flight = node->list_in_flight = FALSE;
-  node->directs = node->cloud_calls = node->dependency_reads = 0;
-  node->overrun_since = 0;
-  node->next_batch = node->next_watch = 0;
-  g_clear_pointer (&node->scheduler, ft_scheduler_free);
+  node->leader.term++;
+  node->leader.batch_in_flight = node->leadership.renew_in_flight = node->leader.watch_in_flight
+      = node->leader.list_in_flight = FALSE;
+  node->leader.directs = node->leader.cloud_calls = node->leader.dependency_reads = 0;
+  node->heartbeat_queue.overrun_since = 0;
+  node->leader.next_batch = node->leader.next_watch = 0;
+  g_clear_pointer (&node->leader.scheduler, ft_scheduler_free);
   ft_store_client_set_leading (node->store, FALSE);
 }
 
 void
 ft_leader_pump (FtNode *node, gint64 now)
 {
-  if (!ft_scheduler_is_loaded (node->scheduler))
+  if (!ft_scheduler_is_loaded (node->leader.scheduler))
     return;
-  ft_scheduler_place (node->scheduler, now, ft_lease_may_start (node->lease, now));
+  ft_scheduler_place (node->leader.scheduler, now, ft_lease_may_start (node->lease, now));
   commit_batch (node, now);
   read_dependencies (node, now);
   send_directs (node, now);
@@ -642,14 +644,14 @@
 ft_leader_tick (FtNode *node, gint64 now)
 {
   watch (node, now);
-  if (now >= node->next_list && !node->list_in_flight && ft_budget_has (&node->cloud_budget, 1, now)
-      && ft_scheduler_is_loaded (node->scheduler)) {
-    node->next_list = now + (gint64) (FT_LIST_EVERY_S * FT_SECOND);
+  if (now >= node->leader.next_list && !node->leader.list_in_flight
+      && ft_budget_has (&node->leader.cloud_budget, 1, now) && ft_scheduler_is_loaded (node->leader.scheduler)) {
+    node->leader.next_list = now + (gint64) (FT_LIST_EVERY_S * FT_SECOND);
     list_machines (node, ft_listed_new ());
   }
-  if (now >= node->next_scheduler_tick) {
-    node->next_scheduler_tick = now + (gint64) (FT_SCHEDULER_TICK_S * FT_SECOND);
-    ft_scheduler_tick (node->scheduler, now, ft_lease_may_start (node->lease, now));
+  if (now >= node->leader.next_scheduler_tick) {
+    node->leader.next_scheduler_tick = now + (gint64) (FT_SCHEDULER_TICK_S * FT_SECOND);
+    ft_scheduler_tick (node->leader.scheduler, now, ft_lease_may_start (node->lease, now));
     ft_leader_pump (node, now);
   }
 }
--- a/src/net/node.c
+++ b/src/net/node.c
@@ -7,9 +7,9 @@
 const char *
 ft_node_leader (const FtNode *node)
 {
-  if (node->scheduler != NULL)
+  if (node->leader.scheduler != NULL)
     return node->config->member;
-  return node->peer_leader != NULL ? node->peer_leader : ft_lease_holder (node->lease);
+  return node->peer_group.peer_leader != NULL ? node->peer_group.peer_leader : ft_lease_holder (node->lease);
 }
 
 void
@@ -24,7 +24,7 @@
 void
 ft_node_pump (FtNode *node)
 {
-  if (node->scheduler != NULL)
+  if (node->leader.scheduler != NULL)
     ft_leader_pump (node, g_get_monotonic_time ());
 }
 
@@ -42,7 +42,7 @@
   LeaseRequest *call = g_new0 (LeaseRequest, 1);
   call->node = node;
   call->sent_at = g_get_monotonic_time ();
-  call->term = node->term;
+  call->term = node->leader.term;
   return call;
 }
 
@@ -65,7 +65,7 @@
   g_autofree LeaseRequest *call = data;
   FtNode *node = call->node;
   gint64 now = g_get_monotonic_time ();
-  node->sweep_in_flight = FALSE;
+  node->leadership.sweep_in_flight = FALSE;
   gboolean more;
   g_autoptr (GArray) rows = status == 200 ? ft_store_rows (body, &more) : NULL;
   FtLeaseRows seen = { 0 };
@@ -115,9 +115,9 @@
   g_autofree LeaseRequest *call = data;
   FtNode *node = call->node;
   (void) body;
-  if (call->term != node->term)
+  if (call->term != node->leader.term)
     return;
-  node->renew_in_flight = FALSE;
+  node->leadership.renew_in_flight = FALSE;
   if (status == 200)
     ft_lease_renewed (node->lease, call->sent_at);
   else if (status == 409)
@@ -152,13 +152,14 @@
   gint64 gap = (gint64) ((settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S) * FT_SECOND);
   /* While it answers nobody the workers ask elsewhere: after an outage a leader gave up
    * the lease that it had just renewed, and nobody led for another takeover. */
-  gint64 answering = MAX (node->led_since, node->answering_since);
+  gint64 answering = MAX (node->leader.led_since, node->leadership.answering_since);
   if (now - answering < (gint64) (FT_CUT_OFF_GRACE_S * FT_SECOND))
     return FALSE;
   /* What we did not take in while we stood still proves nothing. */
-  gint64 since = MAX (answering, node->on_time_since);
-  gint64 heard = MAX (since, ft_scheduler_last_heard (node->scheduler));
-  return node->config->peers->len > 0 && now - heard > gap && ft_scheduler_up (node->scheduler) >= FT_CUT_OFF_MACHINES;
+  gint64 since = MAX (answering, node->leadership.on_time_since);
+  gint64 heard = MAX (since, ft_scheduler_last_heard (node->leader.scheduler));
+  return node->config->peers->len > 0 && now - heard > gap
+         && ft_scheduler_up (node->leader.scheduler) >= FT_CUT_OFF_MACHINES;
 }
 
 /* A controller that computes slower than before loses the race with its workers, and
@@ -168,9 +169,10 @@
 static gboolean
 overrun (const FtNode *node, gint64 now)
 {
-  return node->overrun_since > 0 && ft_node_peer_served (node, now - (gint64) (FT_PEER_FRESH_S * FT_SECOND), now)
-         && now - node->overrun_since > (gint64) (FT_OVERRUN_S * FT_SECOND)
-         && now - node->led_since > (gint64) (FT_OVERRUN_LED_S * FT_SECOND);
+  return node->heartbeat_queue.overrun_since > 0
+         && ft_node_peer_served (node, now - (gint64) (FT_PEER_FRESH_S * FT_SECOND), now)
+         && now - node->heartbeat_queue.overrun_since > (gint64) (FT_OVERRUN_S * FT_SECOND)
+         && now - node->leader.led_since > (gint64) (FT_OVERRUN_LED_S * FT_SECOND);
 }
 
 /* Why somebody else should lead; NULL: no reason known. */
@@ -189,7 +191,8 @@
 should_yield (const FtNode *node, gint64 now)
 {
   /* Answers that were waited for while we were busy ourselves are no sign of a cut. */
-  gint64 steady = MAX (node->led_since, node->on_time_since) + (gint64) (FT_CUT_OFF_GRACE_S * FT_SECOND);
+  gint64 steady
+      = MAX (node->leader.led_since, node->leadership.on_time_since) + (gint64) (FT_CUT_OFF_GRACE_S * FT_SECOND);
   return ft_lease_state (node->lease) == FT_LEASE_HOLDING && now > steady && ft_node_alone_unserved (node, now);
 }
 
@@ -201,7 +204,7 @@
 {
   g_warning ("node %s: cannot reach the state service, which others reach: starts nothing more", node->config->member);
   ft_lease_yield (node->lease, now);
-  node->yielded_at = node->next_peer_heartbeat = now;
+  node->leadership.yielded_at = node->peer_group.next_peer_heartbeat = now;
 }
 
 /* The peers are told as well, and look at once: a hint like any other. */
@@ -213,7 +216,7 @@
     renew (node, TRUE, on_released);
   ft_lease_released (node->lease, now);
   ft_leader_end (node);
-  node->yielded_at = node->next_peer_heartbeat = now;
+  node->leadership.yielded_at = node->peer_group.next_peer_heartbeat = now;
 }
 
 static void
@@ -221,26 +224,26 @@
 {
   ft_lease_tick (node->lease, now);
   if (!ft_lease_may_answer (node->lease, now)) {
-    node->answering_since = now;
-    if (node->scheduler != NULL)
-      ft_scheduler_unanswering (node->scheduler, now);
+    node->leadership.answering_since = now;
+    if (node->leader.scheduler != NULL)
+      ft_scheduler_unanswering (node->leader.scheduler, now);
   }
-  if (ft_lease_sweep_due (node->lease, now) && !node->sweep_in_flight) {
-    node->sweep_in_flight = TRUE;
+  if (ft_lease_sweep_due (node->lease, now) && !node->leadership.sweep_in_flight) {
+    node->leadership.sweep_in_flight = TRUE;
     ft_store_client_list (node->store, FT_PREFIX_LEASE, NULL, FT_STORE_PRIORITY_LEASE, on_sweep,
                           lease_request_new (node));
   }
   if (ft_lease_acquire_due (node->lease, now) && ft_store_client_contact (node->store, now)) {
     claim (node, now);
-  } else if (ft_lease_renew_due (node->lease, now) && !node->renew_in_flight) {
-    node->renew_in_flight = TRUE;
+  } else if (ft_lease_renew_due (node->lease, now) && !node->leadership.renew_in_flight) {
+    node->leadership.renew_in_flight = TRUE;
     ft_lease_renew_sent (node->lease, now);
     renew (node, FALSE, on_renewed);
   }
-  const char *why = node->scheduler != NULL ? resign_reason (node, now) : NULL;
+  const char *why = node->leader.scheduler != NULL ? resign_reason (node, now) : NULL;
   if (why != NULL)
     resign (node, now, why);
-  else if (node->scheduler != NULL && should_yield (node, now))
+  else if (node->leader.scheduler != NULL && should_yield (node, now))
     yield_leadership (node, now);
 }
 
@@ -251,24 +254,25 @@
 {
   FtNode *node = data;
   FtCatalog *catalog = status == 200 ? ft_cloud_catalog (body) : NULL;
-  node->catalog_in_flight = FALSE;
-  node->next_catalog = g_get_monotonic_time () + (gint64) ((catalog != NULL ? FT_CATALOG_EVERY_S : 1) * FT_SECOND);
+  node->catalog_cache.catalog_in_flight = FALSE;
+  node->catalog_cache.next_catalog
+      = g_get_monotonic_time () + (gint64) ((catalog != NULL ? FT_CATALOG_EVERY_S : 1) * FT_SECOND);
   if (status == 200 && catalog == NULL)
     ft_node_malformed (node, FT_COUNT_MALFORMED_CLOUD, "catalog");
   if (catalog == NULL)
     return;
-  ft_catalog_unref (node->catalog);
-  node->catalog = catalog;
-  if (node->scheduler != NULL)
-    ft_scheduler_set_catalog (node->scheduler, catalog);
+  ft_catalog_unref (node->catalog_cache.catalog);
+  node->catalog_cache.catalog = catalog;
+  if (node->leader.scheduler != NULL)
+    ft_scheduler_set_catalog (node->leader.scheduler, catalog);
 }
 
 static void
 catalog_tick (FtNode *node, gint64 now)
 {
-  if (node->catalog_in_flight || now < node->next_catalog)
+  if (node->catalog_cache.catalog_in_flight || now < node->catalog_cache.next_catalog)
     return;
-  node->catalog_in_flight = TRUE;
+  node->catalog_cache.catalog_in_flight = TRUE;
   ft_http_send (node->cloud_client, "GET", node->config->cloud_addr, "/catalog", FT_BODY_CBOR, NULL, FT_CLOUD_TIMEOUT_S,
                 FALSE, on_catalog, node);
 }
@@ -278,17 +282,17 @@
 {
   FtNode *node = data;
   gint64 now = g_get_monotonic_time ();
-  gint64 late = node->last_tick > 0 ? now - node->last_tick - FT_TICK_MS * 1000LL : 0;
-  node->last_tick = now;
+  gint64 late = node->leadership.last_tick > 0 ? now - node->leadership.last_tick - FT_TICK_MS * 1000LL : 0;
+  node->leadership.last_tick = now;
   if (late > (gint64) (FT_LATE_TICK_S * FT_SECOND)) {
-    node->on_time_since = now;
+    node->leadership.on_time_since = now;
     g_warning ("node %s: its timers were late by %.1f s", node->config->member, (double) late / FT_SECOND);
   }
   lease_tick (node, now);
   catalog_tick (node, now);
   ft_peers_tick (node, now);
   ft_admin_tick (node, now);
-  if (node->scheduler != NULL)
+  if (node->leader.scheduler != NULL)
     ft_leader_tick (node, now);
   return G_SOURCE_CONTINUE;
 }
@@ -307,22 +311,22 @@
   node->lease = ft_lease_new (config->member, node->incarnation, (gint64) (FT_LEASE_S * FT_SECOND),
                               (gint64) (FT_SWEEP_S * FT_SECOND), node->answer_grace_us, g_rand_int (node->random));
   node->metrics = ft_metrics_new ();
-  ft_tuning_defaults (&node->tuning);
+  ft_tuning_defaults (&node->settings.tuning);
   node->store = ft_store_client_new (config);
   node->worker_client = ft_http_client_new (2, config->max_connections / 4);
-  node->peer_client = ft_http_client_new (2, 16);
+  node->peer_group.peer_client = ft_http_client_new (2, 16);
   node->cloud_client = ft_http_client_new (4, 4);
-  ft_budget_init (&node->cloud_budget, config->core.cloud_rps * FT_CLOUD_SHARE, config->core.cloud_rps, now);
-  node->peers = g_array_new (FALSE, TRUE, sizeof (FtPeerState));
+  ft_budget_init (&node->leader.cloud_budget, config->core.cloud_rps * FT_CLOUD_SHARE, config->core.cloud_rps, now);
+  node->peer_group.peers = g_array_new (FALSE, TRUE, sizeof (FtPeerState));
   for (guint i = 0; i < config->peers->len; i++) {
     FtPeerState view = { .peer = &g_array_index (config->peers, FtPeer, i) };
-    g_array_append_val (node->peers, view);
+    g_array_append_val (node->peer_group.peers, view);
   }
-  node->peer_job_progress = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  g_queue_init (&node->recent_cancellations);
+  node->peer_group.peer_job_progress = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  g_queue_init (&node->peer_group.recent_cancellations);
   node->polls = ft_polls_new (node);
   node->job_cache = ft_job_cache_new ();
-  g_queue_init (&node->waiting_heartbeats);
+  g_queue_init (&node->heartbeat_queue.waiting_heartbeats);
   guint most = (guint) (config->max_connections * FT_SOCKET_SHARE) - FT_CONNECTIONS_PER_HOST;
   node->front = ft_http_server_new (config->listen, FT_BODY_CBOR, most, ft_front_handle, node, error);
   if (node->front != NULL)
@@ -352,16 +356,16 @@
   ft_store_client_free (node->store);
   ft_polls_free (node->polls);
   ft_http_client_free (node->worker_client);
-  ft_http_client_free (node->peer_client);
+  ft_http_client_free (node->peer_group.peer_client);
   ft_http_client_free (node->cloud_client);
   ft_lease_free (node->lease);
   ft_metrics_free (node->metrics);
-  ft_catalog_unref (node->catalog);
-  g_array_unref (node->peers);
-  g_hash_table_unref (node->peer_job_progress);
+  ft_catalog_unref (node->catalog_cache.catalog);
+  g_array_unref (node->peer_group.peers);
+  g_hash_table_unref (node->peer_group.peer_job_progress);
   ft_job_cache_free (node->job_cache);
   ft_peers_forget_cancellations (node, G_MAXINT64);
-  g_free (node->peer_leader);
+  g_free (node->peer_group.peer_leader);
   g_rand_free (node->random);
   g_free (node);
 }
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -25,52 +25,82 @@
   guint refused;      /* heartbeats in a row that were refused at once */
 } FtPeerState;
 
-struct _FtNode {
-  const FtConfig *config;
-  FtLease *lease;
-  FtStoreClient *store;
-  FtHttpClient *worker_client, *peer_client, *cloud_client;
-  FtHttpServer *front, *peer_server;
-  FtCatalog *catalog; /* NULL until known */
-  guint64 incarnation;
-  gint64 answer_grace_us;
-  GRand *random;
-
-  /* leadership; `term` changes whenever it begins or ends, so that answers to
-   * requests of an earlier one are told apart */
-  FtScheduler *scheduler;
+/* What this controller does while it leads. `term` changes whenever leading begins or ends, so
+ * that answers to requests of an earlier one are told apart. */
+typedef struct {
+  FtScheduler *scheduler; /* NULL: this controller does not lead */
   guint term;
+  gint64 led_since;
+  gint64 next_scheduler_tick;
   guint64 journal_revision, journal_batch;
   guint batch_ops_most; /* changes in a batch, the journal's row included */
-  gboolean sweep_in_flight, renew_in_flight, batch_in_flight, list_in_flight, catalog_in_flight, watch_in_flight;
-  guint directs, cloud_calls, dependency_reads;
-  guint64 watch_since;
-  gint64 cancellations_read_at; /* when the reading of the open jobs' rows began */
+  gboolean batch_in_flight, list_in_flight, watch_in_flight;
+  guint directs, cloud_calls, dependency_reads; /* under way */
+  guint64 watch_since;                          /* revision from which changes are watched */
+  gint64 cancellations_read_at;                 /* when the reading of the open jobs' rows began */
+  gint64 next_list, next_batch, next_watch;
+  FtBudget cloud_budget;
+} FtLeader;
+
+/* The requests and times of the lease. */
+typedef struct {
+  gboolean sweep_in_flight, renew_in_flight;
   gint64 last_tick;
-  gint64 next_scheduler_tick, next_list, next_catalog, next_peer_heartbeat, next_batch, next_watch;
-  gint64 led_since;
   gint64 answering_since; /* workers got no answer of ours until then */
   gint64 on_time_since;   /* our timers were late until then */
-  gint64 overrun_since;   /* reports wait too long since then; 0: they do not */
   gint64 yielded_at;      /* when we gave the lease up; 0: never */
-  FtBudget cloud_budget;
+} FtLeadership;
 
-  GQueue waiting_heartbeats; /* requests of workers that wait for a later turn */
+/* Worker heartbeats that wait for a later turn of the main loop. */
+typedef struct {
+  GQueue waiting_heartbeats; /* requests */
   guint heartbeats_source, heartbeats_turn, heartbeats_in_turn;
+  gint64 overrun_since; /* heartbeats wait too long since then; 0: they do not */
+} FtHeartbeatQueue;
 
+/* The other controllers, and what they have told us. */
+typedef struct {
+  FtHttpClient *peer_client;
   GArray *peers;     /* FtPeerState */
-  char *peer_leader; /* as the peers has it */
+  char *peer_leader; /* who leads, as the peers have it */
   guint64 peer_leader_token;
   GHashTable *peer_job_progress; /* ref -> FtJobProgress of the leader's last summary */
-  GQueue recent_cancellations;   /* what we have committed of late, for the peers: owned by peer.c */
+  GQueue recent_cancellations;   /* what we have committed of late, for the peers: owned by peers.c */
+  gint64 next_peer_heartbeat;
+} FtPeerGroup;
 
-  FtMetrics *metrics;
-  gint64 malformed_logged[FT_COUNTERS]; /* when a malformed message of that source was logged last */
-  FtTuning tuning;                      /* operators' settings in force, and their version */
+/* Operators' settings in force, and their version. */
+typedef struct {
+  FtTuning tuning;
   guint64 settings_version;
   gint64 next_settings;
   gboolean settings_in_flight;
+} FtSettingsReader;
 
+/* The cloud's machine types. */
+typedef struct {
+  FtCatalog *catalog; /* NULL until known */
+  gboolean catalog_in_flight;
+  gint64 next_catalog;
+} FtCatalogCache;
+
+struct _FtNode {
+  const FtConfig *config;
+  guint64 incarnation;
+  gint64 answer_grace_us;
+  GRand *random;
+  FtLease *lease;
+  FtStoreClient *store;
+  FtHttpClient *worker_client, *cloud_client;
+  FtHttpServer *front, *peer_server;
+  FtMetrics *metrics;
+  gint64 malformed_logged[FT_COUNTERS]; /* when a malformed message of that source was logged last */
+  FtLeadership leadership;
+  FtLeader leader;
+  FtHeartbeatQueue heartbeat_queue;
+  FtPeerGroup peer_group;
+  FtSettingsReader settings;
+  FtCatalogCache catalog_cache;
   FtPolls *polls;
   FtJobCache *job_cache; /* what was read of jobs */
   guint timer;
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -16,8 +16,8 @@
 static gboolean
 another_peer_answers (const FtNode *node, gint64 now)
 {
-  for (guint i = 0; i < node->peers->len; i++) {
-    const FtPeerState *view = &g_array_index (node->peers, FtPeerState, i);
+  for (guint i = 0; i < node->peer_group.peers->len; i++) {
+    const FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
     if (view->refused == 0 && view->answered_at > 0
         && now - view->answered_at < (gint64) (FT_PEER_WITNESS_S * FT_SECOND))
       return TRUE;
@@ -30,7 +30,7 @@
 {
   g_autofree HeartbeatCall *call = data;
   FtNode *node = call->node;
-  FtPeerState *view = &g_array_index (node->peers, FtPeerState, call->peer);
+  FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, call->peer);
   gint64 now = g_get_monotonic_time ();
   (void) body;
   view->in_flight = FALSE;
@@ -40,7 +40,8 @@
     return;
   }
   view->refused++;
-  node->next_peer_heartbeat = MIN (node->next_peer_heartbeat, now + (gint64) (FT_PEER_RETRY_S * FT_SECOND));
+  node->peer_group.next_peer_heartbeat
+      = MIN (node->peer_group.next_peer_heartbeat, now + (gint64) (FT_PEER_RETRY_S * FT_SECOND));
   /* Refused again and again, and silent itself: most likely its process ended. */
   if (view->refused >= FT_PEER_REFUSALS && now - view->heard_at > (gint64) (FT_PEER_EVERY_S * FT_SECOND))
     ft_lease_suspect (node->lease, view->peer->member, another_peer_answers (node, now), now);
@@ -67,8 +68,8 @@
 ft_peers_forget_cancellations (FtNode *node, gint64 before)
 {
   RecentCancellation *oldest;
-  while ((oldest = g_queue_peek_head (&node->recent_cancellations)) != NULL && oldest->at < before) {
-    g_queue_pop_head (&node->recent_cancellations);
+  while ((oldest = g_queue_peek_head (&node->peer_group.recent_cancellations)) != NULL && oldest->at < before) {
+    g_queue_pop_head (&node->peer_group.recent_cancellations);
     g_free (oldest->ref);
     g_free (oldest);
   }
@@ -77,8 +78,8 @@
 static void
 apply_advisory_cancellation (FtNode *node, const char *ref)
 {
-  if (node->scheduler != NULL)
-    ft_scheduler_cancellation_advised (node->scheduler, ref, g_get_monotonic_time ());
+  if (node->leader.scheduler != NULL)
+    ft_scheduler_cancellation_advised (node->leader.scheduler, ref, g_get_monotonic_time ());
 }
 
 /* The leader sees cancellations by its watch; one that the state service refuses does not,
@@ -89,8 +90,8 @@
   RecentCancellation *entry = g_new0 (RecentCancellation, 1);
   entry->ref = g_strdup (ref);
   entry->at = g_get_monotonic_time ();
-  g_queue_push_tail (&node->recent_cancellations, entry);
-  node->next_peer_heartbeat = entry->at;
+  g_queue_push_tail (&node->peer_group.recent_cancellations, entry);
+  node->peer_group.next_peer_heartbeat = entry->at;
   apply_advisory_cancellation (node, ref);
   ft_node_pump (node);
 }
@@ -99,7 +100,7 @@
 add_cancellations (FtNode *node, FtPeerHeartbeat *heartbeat, gint64 now)
 {
   ft_peers_forget_cancellations (node, now - (gint64) (FT_PEER_CANCELLATIONS_S * FT_SECOND));
-  for (GList *link = node->recent_cancellations.tail;
+  for (GList *link = node->peer_group.recent_cancellations.tail;
        link != NULL && heartbeat->cancellations->len < FT_PEER_CANCELLATIONS_MAX; link = link->prev)
     g_ptr_array_add (heartbeat->cancellations, g_strdup (((RecentCancellation *) link->data)->ref));
 }
@@ -112,25 +113,26 @@
   heartbeat->supports_dependencies = TRUE;
   heartbeat->served = served > 0;
   heartbeat->served_ms_ago = heartbeat->served ? (guint64) (now - served) / 1000 : 0;
-  heartbeat->yields = node->yielded_at > 0 && now - node->yielded_at < (gint64) (FT_YIELD_ADVERTISED_S * FT_SECOND);
+  heartbeat->yields = node->leadership.yielded_at > 0
+                      && now - node->leadership.yielded_at < (gint64) (FT_YIELD_ADVERTISED_S * FT_SECOND);
   add_cancellations (node, heartbeat, now);
-  if (node->scheduler == NULL)
+  if (node->leader.scheduler == NULL)
     return heartbeat;
   heartbeat->token = ft_lease_token (node->lease);
-  ft_scheduler_each_job (node->scheduler, add_job, heartbeat);
+  ft_scheduler_each_job (node->leader.scheduler, add_job, heartbeat);
   return heartbeat;
 }
 
 void
 ft_peers_tick (FtNode *node, gint64 now)
 {
-  if (now < node->next_peer_heartbeat)
+  if (now < node->peer_group.next_peer_heartbeat)
     return;
-  node->next_peer_heartbeat = now + (gint64) (FT_PEER_EVERY_S * FT_SECOND);
+  node->peer_group.next_peer_heartbeat = now + (gint64) (FT_PEER_EVERY_S * FT_SECOND);
   g_autoptr (FtPeerHeartbeat) heartbeat = next_heartbeat (node, now);
   json_t *body = ft_peer_heartbeat_body (heartbeat);
-  for (guint i = 0; i < node->peers->len; i++) {
-    FtPeerState *view = &g_array_index (node->peers, FtPeerState, i);
+  for (guint i = 0; i < node->peer_group.peers->len; i++) {
+    FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
     if (view->in_flight)
       continue;
     HeartbeatCall *call = g_new0 (HeartbeatCall, 1);
@@ -138,8 +140,8 @@
     call->peer = i;
     view->in_flight = TRUE;
     view->sent_at = now;
-    ft_http_send (node->peer_client, "POST", view->peer->addr, "/mesh/beat", FT_BODY_JSON, body, FT_PEER_TIMEOUT_S,
-                  FALSE, on_heartbeat_answered, call);
+    ft_http_send (node->peer_group.peer_client, "POST", view->peer->addr, "/mesh/beat", FT_BODY_JSON, body,
+                  FT_PEER_TIMEOUT_S, FALSE, on_heartbeat_answered, call);
   }
   json_decref (body);
 }
@@ -147,18 +149,18 @@
 static void
 take_summary (FtNode *node, const FtPeerHeartbeat *heartbeat)
 {
-  if (heartbeat->token < node->peer_leader_token)
+  if (heartbeat->token < node->peer_group.peer_leader_token)
     return;
-  node->peer_leader_token = heartbeat->token;
-  g_free (node->peer_leader);
-  node->peer_leader = g_strdup (heartbeat->member);
-  g_hash_table_remove_all (node->peer_job_progress);
+  node->peer_group.peer_leader_token = heartbeat->token;
+  g_free (node->peer_group.peer_leader);
+  node->peer_group.peer_leader = g_strdup (heartbeat->member);
+  g_hash_table_remove_all (node->peer_group.peer_job_progress);
   for (guint i = 0; i < heartbeat->jobs->len; i++) {
     const FtPeerHeartbeatJob *job = &g_array_index (heartbeat->jobs, FtPeerHeartbeatJob, i);
     FtJobProgress *view = g_new0 (FtJobProgress, 1);
     view->done = job->done;
     view->running = job->running;
-    g_hash_table_insert (node->peer_job_progress, g_strdup (job->ref), view);
+    g_hash_table_insert (node->peer_group.peer_job_progress, g_strdup (job->ref), view);
   }
 }
 
@@ -175,15 +177,15 @@
 static void
 check_succeeded (FtNode *node, guint64 token)
 {
-  if (node->scheduler != NULL && token > ft_lease_token (node->lease))
+  if (node->leader.scheduler != NULL && token > ft_lease_token (node->lease))
     ft_node_step_down (node, "a peer leads under a higher token");
 }
 
 static FtPeerState *
 find_peer (FtNode *node, const char *member)
 {
-  for (guint i = 0; i < node->peers->len; i++) {
-    FtPeerState *view = &g_array_index (node->peers, FtPeerState, i);
+  for (guint i = 0; i < node->peer_group.peers->len; i++) {
+    FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
     if (strcmp (view->peer->member, member) == 0)
       return view;
   }
--- a/src/net/user_api.c
+++ b/src/net/user_api.c
@@ -80,9 +80,9 @@
 open_body (FtNode *node, const char *ref)
 {
   FtJobProgress view = { 0 };
-  const FtJobProgress *seen = g_hash_table_lookup (node->peer_job_progress, ref);
-  if (node->scheduler != NULL)
-    view = ft_scheduler_view (node->scheduler, ref);
+  const FtJobProgress *seen = g_hash_table_lookup (node->peer_group.peer_job_progress, ref);
+  if (node->leader.scheduler != NULL)
+    view = ft_scheduler_view (node->leader.scheduler, ref);
   else if (seen != NULL)
     view = *seen;
   return ft_message_job_state (ref, view.running > 0 ? "running" : "queued", view.done, view.running, TRUE);
@@ -257,7 +257,7 @@
   return !ft_store_client_contact (node->store, g_get_monotonic_time ())
          || ft_store_client_queued (node->store) > FT_STORE_QUEUE_MAX
          || ft_store_client_write_wait_s (node->store) > FT_SUBMIT_WAIT_MAX_S
-         || (node->scheduler != NULL && ft_scheduler_open_tasks (node->scheduler) > FT_OPEN_TASKS_MAX);
+         || (node->leader.scheduler != NULL && ft_scheduler_open_tasks (node->leader.scheduler) > FT_OPEN_TASKS_MAX);
 }
 
 /* A job that waits for others is safe only with controllers that know of it: an older leader
@@ -276,7 +276,7 @@
     *why = "it is too large for a row of the state service: fewer or shorter names are needed";
     return FT_ADMIT_NEVER;
   }
-  return ft_admission_check (&node->config->core, node->catalog, spec, why);
+  return ft_admission_check (&node->config->core, node->catalog_cache.catalog, spec, why);
 }
 
 static void
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -8,7 +8,8 @@
 static void
 redirect (FtNode *node, FtHttpRequest *request)
 {
-  const char *holder = node->peer_leader != NULL ? node->peer_leader : ft_lease_holder (node->lease);
+  const char *holder
+      = node->peer_group.peer_leader != NULL ? node->peer_group.peer_leader : ft_lease_holder (node->lease);
   if (g_strcmp0 (holder, node->config->member) == 0)
     holder = NULL;
   ft_metrics_count (node->metrics, FT_COUNT_REDIRECTS);
@@ -19,7 +20,7 @@
 static gboolean
 entitled (const FtNode *node, gint64 now)
 {
-  return node->scheduler != NULL && ft_lease_may_answer (node->lease, now);
+  return node->leader.scheduler != NULL && ft_lease_may_answer (node->lease, now);
 }
 
 /* Everything is judged by the clock of this moment: the heartbeat may have waited. */
@@ -40,13 +41,13 @@
     return;
   }
   ft_metrics_count (node->metrics, FT_COUNT_HEARTBEATS);
-  if (!ft_scheduler_heartbeat (node->scheduler, heartbeat, now)) {
+  if (!ft_scheduler_heartbeat (node->leader.scheduler, heartbeat, now)) {
     ft_node_step_down (node, "a worker has seen a higher token");
     redirect (node, request);
     return;
   }
-  ft_scheduler_allow (node->scheduler, ft_lease_may_start (node->lease, now));
-  g_autoptr (GArray) commands = ft_scheduler_answer (node->scheduler, heartbeat, now);
+  ft_scheduler_allow (node->leader.scheduler, ft_lease_may_start (node->lease, now));
+  g_autoptr (GArray) commands = ft_scheduler_answer (node->leader.scheduler, heartbeat, now);
   ft_http_respond (request, 200, ft_message_answer (ft_lease_token (node->lease), commands));
   ft_node_pump (node);
 }
@@ -61,7 +62,7 @@
 static gboolean
 backlog_is_old (FtNode *node, gint64 now)
 {
-  const Waiting *oldest = g_queue_peek_head (&node->waiting_heartbeats);
+  const Waiting *oldest = g_queue_peek_head (&node->heartbeat_queue.waiting_heartbeats);
   return oldest != NULL && now - oldest->came_at > (gint64) (FT_HEARTBEAT_LATE_S * FT_SECOND);
 }
 
@@ -76,20 +77,20 @@
   gint64 now = g_get_monotonic_time ();
   gboolean old = backlog_is_old (node, now);
   if (!old)
-    node->overrun_since = 0;
-  else if (node->overrun_since == 0)
-    node->overrun_since = now;
-  if (old && node->scheduler != NULL)
-    ft_scheduler_late (node->scheduler, now);
-  for (guint i = 0; i < FT_HEARTBEATS_AT_ONCE && !g_queue_is_empty (&node->waiting_heartbeats); i++) {
-    g_autofree Waiting *waiting
-        = old ? g_queue_pop_tail (&node->waiting_heartbeats) : g_queue_pop_head (&node->waiting_heartbeats);
+    node->heartbeat_queue.overrun_since = 0;
+  else if (node->heartbeat_queue.overrun_since == 0)
+    node->heartbeat_queue.overrun_since = now;
+  if (old && node->leader.scheduler != NULL)
+    ft_scheduler_late (node->leader.scheduler, now);
+  for (guint i = 0; i < FT_HEARTBEATS_AT_ONCE && !g_queue_is_empty (&node->heartbeat_queue.waiting_heartbeats); i++) {
+    g_autofree Waiting *waiting = old ? g_queue_pop_tail (&node->heartbeat_queue.waiting_heartbeats)
+                                      : g_queue_pop_head (&node->heartbeat_queue.waiting_heartbeats);
     serve (node, waiting->request);
   }
-  if (!g_queue_is_empty (&node->waiting_heartbeats))
+  if (!g_queue_is_empty (&node->heartbeat_queue.waiting_heartbeats))
     return G_SOURCE_CONTINUE;
-  node->heartbeats_source = 0;
-  node->overrun_since = 0;
+  node->heartbeat_queue.heartbeats_source = 0;
+  node->heartbeat_queue.overrun_since = 0;
   return G_SOURCE_REMOVE;
 }
 
@@ -97,9 +98,9 @@
 ft_worker_refuse_all (FtNode *node)
 {
   Waiting *waiting;
-  if (node->heartbeats_source != 0)
-    g_source_remove (node->heartbeats_source);
-  while ((waiting = g_queue_pop_head (&node->waiting_heartbeats)) != NULL) {
+  if (node->heartbeat_queue.heartbeats_source != 0)
+    g_source_remove (node->heartbeat_queue.heartbeats_source);
+  while ((waiting = g_queue_pop_head (&node->heartbeat_queue.waiting_heartbeats)) != NULL) {
     ft_http_unavailable (waiting->request);
     g_free (waiting);
   }
@@ -109,10 +110,10 @@
 turn_is_full (FtNode *node)
 {
   guint turn = ft_http_server_turn (node->front);
-  if (turn != node->heartbeats_turn)
-    node->heartbeats_in_turn = 0;
-  node->heartbeats_turn = turn;
-  return ++node->heartbeats_in_turn > FT_HEARTBEATS_AT_ONCE;
+  if (turn != node->heartbeat_queue.heartbeats_turn)
+    node->heartbeat_queue.heartbeats_in_turn = 0;
+  node->heartbeat_queue.heartbeats_turn = turn;
+  return ++node->heartbeat_queue.heartbeats_in_turn > FT_HEARTBEATS_AT_ONCE;
 }
 
 void
@@ -123,14 +124,14 @@
     ft_http_respond (request, 405, NULL);
   } else if (!entitled (node, now)) {
     redirect (node, request); /* unread: that is the leader's work */
-  } else if (g_queue_is_empty (&node->waiting_heartbeats) && !turn_is_full (node)) {
+  } else if (g_queue_is_empty (&node->heartbeat_queue.waiting_heartbeats) && !turn_is_full (node)) {
     serve (node, request);
   } else {
     Waiting *waiting = g_new0 (Waiting, 1);
     waiting->request = request;
     waiting->came_at = now;
-    g_queue_push_tail (&node->waiting_heartbeats, waiting);
-    if (node->heartbeats_source == 0)
-      node->heartbeats_source = g_idle_add_full (G_PRIORITY_DEFAULT, on_waiting_heartbeats, node, NULL);
+    g_queue_push_tail (&node->heartbeat_queue.waiting_heartbeats, waiting);
+    if (node->heartbeat_queue.heartbeats_source == 0)
+      node->heartbeat_queue.heartbeats_source = g_idle_add_full (G_PRIORITY_DEFAULT, on_waiting_heartbeats, node, NULL);
   }
 }
--- a/tests/scheduler_harness.hpp
+++ b/tests/scheduler_harness.hpp
@@ -9,7 +9,7 @@
 
 extern "C" {
 #include "core/constants.h"
-#include "core/model.h"
+#include "core/scheduler_private.h"
 }
 
 constexpr gint64 kS = FT_SECOND;
@@ -102,12 +102,12 @@
   FtMachine *
   machine (const char *name)
   {
-    return (FtMachine *) g_hash_table_lookup (s->machines, name);
+    return (FtMachine *) g_hash_table_lookup (s->machine_table.machines, name);
   }
   FtJob *
   job (const char *ref)
   {
-    return (FtJob *) g_hash_table_lookup (s->jobs, ref);
+    return (FtJob *) g_hash_table_lookup (s->job_table.jobs, ref);
   }
   // The machine that has the task, "" if none.
   std::string
--- a/tests/test_registry.cpp
+++ b/tests/test_registry.cpp
@@ -29,7 +29,7 @@
   };
   EXPECT_EQ (rows (100 * kS), "");
   auto gone = [&] (const char *name) {
-    ft_machine_gone (b.s, (FtMachine *) g_hash_table_lookup (b.s->machines, name), "returned");
+    ft_machine_gone (b.s, (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, name), "returned");
   };
   gone ("n-2");
   EXPECT_EQ (rows (102 * kS), "put row-1 n-1");
@@ -135,7 +135,7 @@
       named.insert (names.begin (), names.end ());
     GHashTableIter it;
     gpointer key, value;
-    g_hash_table_iter_init (&it, b.s->machines);
+    g_hash_table_iter_init (&it, b.s->machine_table.machines);
     while (g_hash_table_iter_next (&it, &key, &value))
       ASSERT_TRUE (((FtMachine *) value)->state == FT_MACHINE_GONE || named.count ((const char *) key))
           << (const char *) key << " is named by no row";
--- a/tests/test_units.cpp
+++ b/tests/test_units.cpp
@@ -9,7 +9,7 @@
 #include "config.h"
 #include "core/admission.h"
 #include "core/constants.h"
-#include "core/model.h"
+#include "core/scheduler_private.h"
 #include "net/budget.h"
 #include "wire/cbor.h"
 #include "wire/cloud.h"
@@ -318,13 +318,13 @@
   for (guint64 sequence = 2; sequence < 11; sequence++, at += 2 * kS)
     g_autoptr (GArray) starts = b.exchange (at, sequence);
   b.other_up (at); // most others are heard
-  FtMachine *m = (FtMachine *) g_hash_table_lookup (b.s->machines, "n-1");
+  FtMachine *m = (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, "n-1");
   EXPECT_TRUE (ft_machine_not_receiving (m));
   EXPECT_FALSE (ft_machine_usable (b.s, m));
-  b.s->on_time_since = at - 5 * kS; // we were late ourselves
+  b.s->context.on_time_since = at - 5 * kS; // we were late ourselves
   ft_scheduler_tick (b.s, at, TRUE);
   EXPECT_EQ (m->state, FT_MACHINE_UP);
-  b.s->on_time_since = 0;
+  b.s->context.on_time_since = 0;
   ft_scheduler_tick (b.s, at, TRUE);
   EXPECT_EQ (m->state, FT_MACHINE_UP) << "the store was not seen since 100 s: we may be cut off ourselves";
   ft_scheduler_cancellations_known (b.s, at);
@@ -358,7 +358,7 @@
   SchedulerHarness b;
   ft_scheduler_loaded (b.s, 100 * kS);
   b.machine_up (100 * kS, 5);
-  FtMachine *m = (FtMachine *) g_hash_table_lookup (b.s->machines, "n-1");
+  FtMachine *m = (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, "n-1");
   // From before it knew us, with a higher number than any we saw: tokens only rise.
   g_autoptr (FtWorkerHeartbeat) before = b.heartbeat (1, 9, 2);
   ft_scheduler_heartbeat (b.s, before, 140 * kS);
@@ -374,7 +374,7 @@
   ghost->machine = g_strdup ("n-9");
   ft_scheduler_heartbeat (b.s, ghost, 140 * kS);
   b.write (140 * kS);
-  EXPECT_FALSE (ft_machine_usable (b.s, (FtMachine *) g_hash_table_lookup (b.s->machines, "n-9")));
+  EXPECT_FALSE (ft_machine_usable (b.s, (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, "n-9")));
   EXPECT_EQ (ft_scheduler_last_heard (b.s), 100 * kS);
 }
 
@@ -390,7 +390,7 @@
   late->estimate_s = 60;
   late->priority = FT_PRIORITY_LOW;
   ft_scheduler_job_added (b.s, late, 5, 101 * kS, 0);
-  b.s->may_start = FALSE;
+  b.s->context.may_start = FALSE;
   FtJobSpec *urgent = spec ("req-2", 1);
   urgent->cpus = 16;
   urgent->priority = FT_PRIORITY_HIGH;
@@ -432,8 +432,8 @@
     left = direct != nullptr;
     ft_direct_free (direct);
   }
-  FtMachine *m = (FtMachine *) g_hash_table_lookup (b.s->machines, "n-000007");
-  ASSERT_EQ (ft_machine_room (m, ((FtJob *) g_hash_table_lookup (b.s->jobs, "req-299"))->spec), 0u);
+  FtMachine *m = (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, "n-000007");
+  ASSERT_EQ (ft_machine_room (m, ((FtJob *) g_hash_table_lookup (b.s->job_table.jobs, "req-299"))->spec), 0u);
   guint before = ft_scheduler_looked_at (b.s);
   ft_scheduler_place (b.s, at, TRUE); // within the pause: no pass
   g_autoptr (FtWorkerHeartbeat) r = b.heartbeat (1, 2, 3);
@@ -596,7 +596,7 @@
   ASSERT_NE (direct, nullptr);
   ft_scheduler_direct_done (b.s, direct, FT_DIRECT_UNANSWERED, nullptr, 103 * kS);
   ft_direct_free (direct);
-  FtJob *job = (FtJob *) g_hash_table_lookup (b.s->jobs, "req-1");
+  FtJob *job = (FtJob *) g_hash_table_lookup (b.s->job_table.jobs, "req-1");
   ft_attempt_want_stop (job->tasks[0].attempt, 0);
   g_autoptr (GArray) first = b.exchange (104 * kS, 2);
   EXPECT_EQ (count (first, FT_COMMAND_START), 1u);
@@ -630,7 +630,7 @@
                      FT_EXIT_ERROR,    FALSE };
   g_autoptr (GArray) late = b.exchange (102 * kS, 4, { t });
   EXPECT_EQ (late->len, 0u);
-  FtJob *job = (FtJob *) g_hash_table_lookup (b.s->jobs, "req-1");
+  FtJob *job = (FtJob *) g_hash_table_lookup (b.s->job_table.jobs, "req-1");
   EXPECT_EQ (job->tasks[0].state, FT_TASK_STARTING);
 }
 
@@ -658,7 +658,7 @@
     g_autoptr (GArray) rest = b.exchange (now, sequence++, { t });
   }
   ft_scheduler_tick (b.s, now + kS, TRUE);
-  FtMachine *m = (FtMachine *) g_hash_table_lookup (b.s->machines, "n-1");
+  FtMachine *m = (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, "n-1");
   EXPECT_EQ (m->state, FT_MACHINE_TERMINATING);
 }
 
--- a/tests/test_zone.cpp
+++ b/tests/test_zone.cpp
@@ -58,7 +58,7 @@
   bool
   unreachable (const char *zone)
   {
-    return ft_zone_get (s->zones, zone)->unreachable;
+    return ft_zone_get (s->machine_table.zones, zone)->unreachable;
   }
   double
   overdue_s ()
