--- /dev/null
+++ b/.ci/check_docs.py
@@ -0,0 +1,75 @@
+#!/usr/bin/env python3
+"""Checks that what the documentation names exists in the code.
+
+Functions and types: each `ft_name()` or `FtName` in the pages below is defined in src.
+Log lines: each line quoted in the first column of a table headed "log line" in
+docs/operations.md stands in a string of src; "..." matches what a format inserts.
+"""
+import re
+import subprocess
+import sys
+
+PAGES = ["README.md", "docs/architecture.md", "docs/design.md", "docs/operations.md", "docs/fault-interactions.md"]
+
+
+def source_files():
+    out = subprocess.run(["git", "ls-files", "src/*.[ch]"], capture_output=True, text=True, check=True)
+    return out.stdout.split()
+
+
+def read(path):
+    with open(path, encoding="utf-8") as stream:
+        return stream.read()
+
+
+def unknown_names(page, text, code):
+    for match in re.finditer(r"`(ft_\w+) ?\(\)|`(Ft[A-Z]\w+)`", text):
+        name = match.group(1) or match.group(2)
+        if not re.search(rf"\b{name}\b", code):
+            yield f"{page}: {name} is not in src"
+
+
+def string_texts(code):
+    """The texts of all strings, with adjacent ones joined and formats as "..."."""
+    joined = re.sub(r'"\s*(?:G_GU?INT64_FORMAT\s*)?"', "", code)
+    for match in re.finditer(r'"((?:\\.|[^"\\\n])*)"', joined):
+        yield re.sub(r"%[-.0-9]*l?[a-z]?", "...", match.group(1))
+
+
+def log_lines(text):
+    in_table = False
+    for line in text.split("\n"):
+        if line.startswith("| log line"):
+            in_table = True
+        elif not line.startswith("|"):
+            in_table = False
+        elif in_table and not line.startswith("| ---"):
+            yield from re.findall(r"`([^`]+)`", line.split("|")[1])
+
+
+def unknown_log_lines(page, text, code):
+    texts = list(string_texts(code))
+    for line in log_lines(text):
+        pattern = re.compile(".*".join(re.escape(part) for part in line.split("...")))
+        if not any(pattern.search(candidate) for candidate in texts):
+            yield f"{page}: no string of src is like the log line: {line}"
+
+
+def main():
+    code = "\n".join(read(path) for path in source_files())
+    errors, names = [], 0
+    for page in PAGES:
+        text = read(page)
+        names += len(re.findall(r"`ft_\w+ ?\(\)`|`Ft[A-Z]\w+`", text))
+        errors += unknown_names(page, text, code)
+    operations = read("docs/operations.md")
+    lines = len(list(log_lines(operations)))
+    errors += unknown_log_lines("docs/operations.md", operations, code)
+    if names == 0 or lines == 0:
+        errors.append(f"nothing to check: {names} names, {lines} log lines")
+    print("\n".join(errors) if errors else f"{names} names and {lines} log lines of the pages are in src")
+    return 1 if errors else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
