--- a/tests/scheduler_harness.hpp
+++ b/tests/scheduler_harness.hpp
@@ -99,6 +99,7 @@
     ft_scheduler_place (s, now, TRUE);
     return ft_scheduler_answer (s, r, now);
   }
+  // What follows reads or sets internals of the scheduler; tests reach them only here.
   FtMachine *
   machine (const char *name)
   {
@@ -109,6 +110,45 @@
   {
     return (FtJob *) g_hash_table_lookup (s->job_table.jobs, ref);
   }
+  std::vector<FtMachine *>
+  machines ()
+  {
+    std::vector<FtMachine *> all;
+    GHashTableIter iter;
+    gpointer value;
+    g_hash_table_iter_init (&iter, s->machine_table.machines);
+    while (g_hash_table_iter_next (&iter, nullptr, &value))
+      all.push_back ((FtMachine *) value);
+    return all;
+  }
+  bool
+  zone_unreachable (const char *zone)
+  {
+    return ft_zone_get (s->machine_table.zones, zone)->unreachable;
+  }
+  // Placement has the job in its order, so that guarantees and scaling count it.
+  bool
+  in_placement_order (const FtJob *wanted)
+  {
+    return g_ptr_array_find (s->placement.order, wanted, nullptr);
+  }
+  const FtSpotRisk *
+  spot_risk ()
+  {
+    return &s->autoscaler.spot_risk;
+  }
+  // As while the lease is not held; a later tick says anew what holds.
+  void
+  forbid_starts ()
+  {
+    s->context.may_start = FALSE;
+  }
+  // Since when this process has run without a delay of its own.
+  void
+  set_on_time_since (gint64 since)
+  {
+    s->context.on_time_since = since;
+  }
   // The machine that has the task, "" if none.
   std::string
   place_of (const char *ref, guint index)
--- a/tests/test_dependency.cpp
+++ b/tests/test_dependency.cpp
@@ -244,7 +244,7 @@
     ft_scheduler_tick (p.s, at * kS, TRUE);
     ASSERT_FALSE (waiting->starved) << "it does not wait to begin";
   }
-  EXPECT_FALSE (g_ptr_array_find (p.s->placement.order, waiting, nullptr)) << "neither guarantee nor rentals see it";
+  EXPECT_FALSE (p.in_placement_order (waiting)) << "neither guarantee nor rentals see it";
   EXPECT_FALSE (waiting->guaranteed);
   EXPECT_EQ (waiting->team->unknown_cpus, 0);
 }
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -49,7 +49,7 @@
     FtAttempt *a = ft_attempt_new (at (on), job (ref), ref, index, t.attempt);
     ft_attempt_reserve (a);
     ft_attempt_bind (a, FT_TASK_STARTING);
-    s->context.may_start = FALSE;
+    forbid_starts ();
     g_autoptr (FtWorkerHeartbeat) r = heartbeat (1, ++sequence, 3, name (on).c_str ());
     t.job = g_strdup (ref);
     g_array_append_val (r->tasks, t);
--- /dev/null
+++ b/tests/test_job.cpp
@@ -0,0 +1,37 @@
+// States of a task and of a job, and the done-sets that a job stores.
+#include "scheduler_harness.hpp"
+
+namespace {
+
+TEST (Task, RefusesIllegalMoves)
+{
+  FtJob *job = ft_job_new (spec ("req-1", 2), nullptr, 1, FT_TASK_QUEUED);
+  EXPECT_FALSE (ft_task_set_state (job, 0, FT_TASK_DONE));
+  EXPECT_TRUE (ft_task_set_state (job, 0, FT_TASK_STARTING));
+  EXPECT_TRUE (ft_task_set_state (job, 0, FT_TASK_FINISHED));
+  EXPECT_TRUE (ft_task_set_state (job, 0, FT_TASK_DONE));
+  for (FtTaskState to : { FT_TASK_QUEUED, FT_TASK_RUNNING, FT_TASK_CANCELLED, FT_TASK_UNKNOWN })
+    EXPECT_FALSE (ft_task_set_state (job, 0, to));
+  EXPECT_EQ (job->counts[FT_TASK_DONE], 1u);
+  EXPECT_EQ (job->counts[FT_TASK_QUEUED], 1u);
+  EXPECT_TRUE (ft_job_set_state (job, FT_JOB_CANCELLING));
+  EXPECT_FALSE (ft_job_set_state (job, FT_JOB_OPEN));
+  ft_job_free (job);
+}
+
+TEST (Job, DoneSetsAreChunkedToFitTheValueLimit)
+{
+  FtJob *job = ft_job_new (spec ("req-1", FT_JOB_TASKS_MAX), nullptr, 1, FT_TASK_QUEUED);
+  ASSERT_EQ (ft_job_chunks (job), (FT_JOB_TASKS_MAX + FT_DONE_CHUNK - 1) / FT_DONE_CHUNK);
+  ft_task_set_state (job, FT_DONE_CHUNK + 9, FT_TASK_STARTING);
+  ft_task_set_state (job, FT_DONE_CHUNK + 9, FT_TASK_FINISHED);
+  g_autofree char *bits = ft_job_chunk_bits (job, 1);
+  EXPECT_LT (strlen (bits), 1024u);
+  gsize size;
+  g_autofree guchar *raw = g_base64_decode (bits, &size);
+  EXPECT_EQ (raw[1], 2);
+  EXPECT_EQ (raw[0], 0);
+  ft_job_free (job);
+}
+
+} // namespace
--- /dev/null
+++ b/tests/test_quota.cpp
@@ -0,0 +1,18 @@
+// Quota of a team while tasks are unknown.
+#include "scheduler_harness.hpp"
+
+namespace {
+
+TEST (Quota, UnknownTasksCountUpToWhatUnseenMachinesCanHold)
+{
+  SchedulerHarness b;
+  ft_scheduler_load_job (b.s, spec ("req-1", 20), 5, 100 * kS, 0); // 80 CPUs unknown
+  ft_scheduler_load_machine (b.s, "row-1", "n-9", "10.1.0.9:9000", "std", "a", FALSE);
+  ft_scheduler_loaded (b.s, 100 * kS);
+  g_autoptr (FtJobSpec) wanted = spec ("req-2", 1);
+  FtTeam *red = ft_quota_team (b.s, "red");
+  // 48 allowed, the unseen machine may hold 16 of them: 32 are left, 8 tasks.
+  EXPECT_EQ (ft_quota_count (b.s, red, wanted), 8u);
+}
+
+} // namespace
--- a/tests/test_registry.cpp
+++ b/tests/test_registry.cpp
@@ -28,9 +28,7 @@
     return text;
   };
   EXPECT_EQ (rows (100 * kS), "");
-  auto gone = [&] (const char *name) {
-    ft_machine_gone (b.s, (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, name), "returned");
-  };
+  auto gone = [&] (const char *name) { ft_machine_gone (b.s, b.machine (name), "returned"); };
   gone ("n-2");
   EXPECT_EQ (rows (102 * kS), "put row-1 n-1");
   EXPECT_EQ (rows (103 * kS), "");
@@ -133,12 +131,9 @@
     std::set<std::string> named;
     for (const auto &[row, names] : stored)
       named.insert (names.begin (), names.end ());
-    GHashTableIter it;
-    gpointer key, value;
-    g_hash_table_iter_init (&it, b.s->machine_table.machines);
-    while (g_hash_table_iter_next (&it, &key, &value))
-      ASSERT_TRUE (((FtMachine *) value)->state == FT_MACHINE_GONE || named.count ((const char *) key))
-          << (const char *) key << " is named by no row";
+    for (const FtMachine *machine : b.machines ())
+      ASSERT_TRUE (machine->state == FT_MACHINE_GONE || named.count (machine->name))
+          << machine->name << " is named by no row";
   }
 };
 
--- a/tests/test_journal.cpp
+++ b/tests/test_write_queue.cpp
@@ -1,4 +1,4 @@
-// What the leader writes, and in which order.
+// The queue of writes: what a batch for the store takes, and in which order.
 #include "scheduler_harness.hpp"
 
 namespace {
--- a/tests/test_zone.cpp
+++ b/tests/test_zone.cpp
@@ -55,11 +55,6 @@
       n += machine (name (zone, i).c_str ())->state == FT_MACHINE_TERMINATING;
     return n;
   }
-  bool
-  unreachable (const char *zone)
-  {
-    return ft_zone_get (s->machine_table.zones, zone)->unreachable;
-  }
   double
   overdue_s ()
   {
@@ -73,8 +68,8 @@
 {
   TwoZones day;
   day.run (day.overdue_s () + 1.5, { "a" });
-  EXPECT_TRUE (day.unreachable ("b"));
-  EXPECT_FALSE (day.unreachable ("a"));
+  EXPECT_TRUE (day.zone_unreachable ("b"));
+  EXPECT_FALSE (day.zone_unreachable ("a"));
   EXPECT_EQ (day.terminating ("b"), (guint) kEach);
   EXPECT_EQ (day.terminating ("a"), 0u);
 }
@@ -87,7 +82,7 @@
     day.run (2, { "a" });
     day.machine_up (day.now, ++day.sequence, "n-b0", "b");
   }
-  EXPECT_FALSE (day.unreachable ("b"));
+  EXPECT_FALSE (day.zone_unreachable ("b"));
   EXPECT_EQ (day.machine ("n-b0")->state, FT_MACHINE_UP);
 }
 
@@ -96,10 +91,10 @@
 {
   TwoZones deserted, without_store;
   deserted.run (deserted.overdue_s () + 4, {});
-  EXPECT_FALSE (deserted.unreachable ("a"));
-  EXPECT_FALSE (deserted.unreachable ("b"));
+  EXPECT_FALSE (deserted.zone_unreachable ("a"));
+  EXPECT_FALSE (deserted.zone_unreachable ("b"));
   without_store.run (without_store.overdue_s () + 4, { "a" }, false);
-  EXPECT_TRUE (without_store.unreachable ("b"));
+  EXPECT_TRUE (without_store.zone_unreachable ("b"));
   EXPECT_EQ (without_store.terminating ("b"), 0u);
   without_store.run (1, { "a" });
   EXPECT_EQ (without_store.terminating ("b"), (guint) kEach) << "as soon as it sees the store again";
@@ -132,7 +127,7 @@
   EXPECT_GE (asked["b"], 1u) << "one now and then shows whether the zone is back";
   EXPECT_LE (asked["b"], 4u);
   day.machine_up (day.now, ++day.sequence, "n-new", "b");
-  EXPECT_FALSE (day.unreachable ("b"));
+  EXPECT_FALSE (day.zone_unreachable ("b"));
 }
 
 // The same in the stand-in world: a zone with machines and without controllers is cut off.
