--- /dev/null
+++ b/tests/loopback/services.hpp
@@ -0,0 +1,113 @@
+// The key-value store and the cloud, as stand-ins over loopback HTTP.
+#pragma once
+#include "http.hpp"
+#include "world.hpp"
+
+namespace loopback {
+
+// Stand-ins for the key-value store and the cloud, served over HTTP from the test's own main context.
+struct Services {
+  sim::Store store;
+  std::string state_addr = free_address (), cloud_addr = free_address ();
+  FtHttpServer *state, *cloud;
+  bool down = false;
+  bool garbled = false;       // answers are valid CBOR that no message of the protocol allows
+  bool refuse_claims = false; // no controller can become the leader
+  Services ()
+  {
+    state = ft_http_server_new (state_addr.c_str (), FT_BODY_CBOR, 500, on_state, this, nullptr);
+    cloud = ft_http_server_new (cloud_addr.c_str (), FT_BODY_CBOR, 500, on_cloud, this, nullptr);
+  }
+  ~Services ()
+  {
+    ft_http_server_free (state);
+    ft_http_server_free (cloud);
+  }
+  static std::string
+  argument (FtHttpRequest *request, const char *name)
+  {
+    g_autoptr (GHashTable) all = g_uri_parse_params (ft_http_query (request), -1, "&", G_URI_PARAMS_NONE, nullptr);
+    auto value = all ? (const char *) g_hash_table_lookup (all, name) : nullptr;
+    return value ? value : "";
+  }
+  struct Follow {
+    Services *self;
+    FtHttpRequest *request;
+    std::string prefix;
+    guint64 since;
+    gint64 end;
+  };
+  static gboolean
+  follow (gpointer data)
+  {
+    auto waiting = (Follow *) data;
+    if (!waiting->self->store.changed (waiting->prefix, waiting->since) && g_get_monotonic_time () < waiting->end)
+      return G_SOURCE_CONTINUE;
+    auto [status, body] = waiting->self->store.follow (waiting->prefix, waiting->since);
+    ft_http_respond (waiting->request, status, body);
+    delete waiting;
+    return G_SOURCE_REMOVE;
+  }
+  static bool
+  claims (const json_t *txn)
+  {
+    const char *first
+        = json_string_value (json_object_get (json_array_get (json_object_get (txn, "apply"), 0), "write"));
+    return g_strcmp0 (first, "l/fence") == 0;
+  }
+  static void
+  on_state (FtHttpRequest *request, gpointer data)
+  {
+    auto self = (Services *) data;
+    std::string path = ft_http_path (request);
+    std::pair<guint, json_t *> answer = { 404, nullptr };
+    if (self->down) {
+      ft_http_respond (request, 503, nullptr);
+      return;
+    }
+    if (self->garbled && path != "/commit") {
+      ft_http_respond (request, 200, json_pack ("{s:i, s:s}", "pairs", 7, "events", "none"));
+      return;
+    }
+    if (path == "/commit") {
+      if (self->refuse_claims && claims (ft_http_body (request))) {
+        ft_http_respond (request, 503, nullptr);
+        return;
+      }
+      answer = self->store.commit (ft_http_body (request), g_get_monotonic_time ());
+    } else if (path == "/store") {
+      answer = self->store.list (argument (request, "under"), argument (request, "since"), 1000);
+    } else if (path == "/follow") {
+      gint64 block = g_ascii_strtoll (argument (request, "block_ms").c_str (), nullptr, 10) * 1000;
+      g_timeout_add (10, follow,
+                     new Follow{ self, request, argument (request, "under"),
+                                 g_ascii_strtoull (argument (request, "since").c_str (), nullptr, 10),
+                                 g_get_monotonic_time () + block });
+      return;
+    } else if (path.rfind ("/store/", 0) == 0) {
+      answer = self->store.get (path.substr (7));
+    }
+    ft_http_respond (request, answer.first, answer.second);
+  }
+  static void
+  on_cloud (FtHttpRequest *request, gpointer data)
+  {
+    std::string path = ft_http_path (request);
+    if (((Services *) data)->garbled)
+      ft_http_respond (request, 200, json_pack ("{s:s}", "hearths", "many"));
+    else if (path == "/catalog")
+      ft_http_respond (request, 200,
+                       json_loads ("{\"builds\":[{\"name\":\"std\",\"cores\":16,\"cards\":0,\"mem_gb\":64,"
+                                   "\"local_gb\":50,\"fetch_gb_per_s\":1,\"price\":1,\"market_price\":0.4,"
+                                   "\"ready_s\":30,\"yards\":[\"a\"]}]}",
+                                   0, nullptr));
+    else if (path == "/rentals" && g_str_equal (ft_http_method (request), "GET"))
+      ft_http_respond (request, 200, json_pack ("{s:[], s:b}", "hearths", "more", 0));
+    else if (path == "/rentals")
+      ft_http_respond (request, 503, json_pack ("{s:s}", "error", "no capacity"));
+    else
+      ft_http_respond (request, 200, json_object ());
+  }
+};
+
+} // namespace loopback
--- /dev/null
+++ b/tests/loopback/worker.hpp
@@ -0,0 +1,154 @@
+// A stand-in worker over loopback HTTP.
+#pragma once
+#include <algorithm>
+#include <map>
+#include <vector>
+
+#include "http.hpp"
+
+namespace loopback {
+
+// One worker that takes part in the protocol, with a tick every `every_ms`. Tasks run `ticks` ticks each; those of
+// req-3, req-30, ... run until they are stopped.
+struct Machine {
+  std::vector<std::string> nodes;
+  std::string name, addr = free_address ();
+  int ticks; // a task's run time, in ticks
+  int quiet; // ticks between two heartbeats when nothing changes
+  int since = 0;
+  bool changed = true;
+  FtHttpServer *server;
+  size_t node = 0;
+  guint64 sequence = 0, token = 0;
+  struct Task {
+    std::string name;
+    json_int_t attempt;
+    std::string state, cause;
+    int left;
+  };
+  std::vector<Task> tasks;
+  guint starts = 0;
+  guint cancelled_starts = 0;                // of them, those of jobs named req-3..., other than req-3 itself
+  std::map<std::string, guint> first_starts; // task -> the number of its first start
+  bool waiting = false;
+  guint timer;
+  explicit Machine (std::vector<std::string> nodes_, std::string name_ = "n-000001", guint every_ms = 150,
+                    int ticks_ = 2, int quiet_ = 1)
+      : nodes (nodes_), name (name_), ticks (ticks_), quiet (quiet_)
+  {
+    server = ft_http_server_new (addr.c_str (), FT_BODY_CBOR, 100, on_request, this, nullptr);
+    timer = g_timeout_add (every_ms, on_timer, this);
+  }
+  ~Machine ()
+  {
+    g_source_remove (timer);
+    wait_for ([this] { return !waiting; });
+    ft_http_server_free (server);
+  }
+  // It has a task of that job which has not exited.
+  bool
+  has (const std::string &job) const
+  {
+    return std::any_of (tasks.begin (), tasks.end (), [&] (const Task &task) {
+      return task.name.rfind (job + "/", 0) == 0 && task.state != "exited";
+    });
+  }
+  // The number, from 1, of the task's first start among the first starts of all tasks; 0: it never started.
+  guint
+  first_start_of (const std::string &task) const
+  {
+    auto it = first_starts.find (task);
+    return it == first_starts.end () ? 0 : it->second;
+  }
+  json_t *
+  heartbeat ()
+  {
+    json_t *list = json_array ();
+    for (const Task &task : tasks) {
+      json_t *item = json_pack ("{s:s, s:I, s:s}", "piece", task.name.c_str (), "try", task.attempt, "standing",
+                                task.state.c_str ());
+      if (!task.cause.empty ())
+        json_object_set_new (item, "cause", json_string (task.cause.c_str ()));
+      json_array_append_new (list, item);
+    }
+    return json_pack ("{s:s,s:s,s:s,s:s,s:b,s:i,s:I,s:I,s:n,s:o}", "hearth", name.c_str (), "address", addr.c_str (),
+                      "build", "std", "yard", "a", "loaners", 0, "shift", 1, "tally", (json_int_t) ++sequence, "baton",
+                      (json_int_t) token, "recall_s", "pieces", list);
+  }
+  void
+  execute (const json_t *orders)
+  {
+    changed |= json_array_size (orders) > 0;
+    size_t i;
+    json_t *command;
+    json_array_foreach (orders, i, command)
+    {
+      std::string verb = json_string_value (json_object_get (command, "verb"));
+      std::string name = json_string_value (json_object_get (command, "piece"));
+      json_int_t attempt = json_integer_value (json_object_get (command, "try"));
+      auto it = std::find_if (tasks.begin (), tasks.end (),
+                              [&] (const Task &task) { return task.name == name && task.attempt == attempt; });
+      if (verb == "start" && it == tasks.end ()) {
+        bool endless = name.rfind ("req-3", 0) == 0;
+        tasks.push_back ({ name, attempt, "running", "", endless ? 100000 : ticks });
+        starts++;
+        cancelled_starts += endless && name.rfind ("req-3/", 0) != 0;
+        first_starts.emplace (name, (guint) first_starts.size () + 1);
+      } else if (verb == "stop" && it != tasks.end () && it->state != "exited") {
+        it->state = "exited";
+        it->cause = "halted";
+      } else if (verb == "clear" && it != tasks.end () && it->state == "exited") {
+        tasks.erase (it);
+      }
+    }
+  }
+  static void
+  on_request (FtHttpRequest *request, gpointer data)
+  {
+    auto self = (Machine *) data;
+    const json_t *body = ft_http_body (request);
+    auto baton = (guint64) json_integer_value (json_object_get (body, "baton"));
+    bool ok = baton >= self->token && json_integer_value (json_object_get (body, "shift")) == 1;
+    if (ok) {
+      self->token = baton;
+      self->execute (json_object_get (body, "orders"));
+    }
+    ft_http_respond (request, ok ? 200 : 409, self->heartbeat ());
+  }
+  static void
+  on_answer (guint status, const json_t *body, gpointer data)
+  {
+    auto self = (Machine *) data;
+    self->waiting = false;
+    auto baton = (guint64) json_integer_value (json_object_get (body, "baton"));
+    if (status == 200 && baton >= self->token) {
+      self->token = baton;
+      self->execute (json_object_get (body, "orders"));
+    } else if (status != 200) {
+      self->node = (self->node + 1) % self->nodes.size ();
+    }
+  }
+  static gboolean
+  on_timer (gpointer data)
+  {
+    auto self = (Machine *) data;
+    for (Task &task : self->tasks)
+      if (task.state == "running" && --task.left <= 0) {
+        task.state = "exited";
+        task.cause = "done";
+        self->changed = true;
+      }
+    if (self->waiting || (++self->since < self->quiet && !self->changed))
+      return G_SOURCE_CONTINUE;
+    self->waiting = true;
+    self->changed = false;
+    self->since = 0;
+    json_t *body = self->heartbeat ();
+    ft_http_send (client (), "POST", self->nodes[self->node].c_str (), "/checkin", FT_BODY_CBOR, body, 2, FALSE,
+                  on_answer, self);
+    json_decref (body);
+    return G_SOURCE_CONTINUE;
+  }
+};
+
+} // namespace loopback
--- /dev/null
+++ b/tests/test_program_dependencies.cpp
@@ -0,0 +1,151 @@
+// Jobs with DAG dependencies: what only the whole program shows of them.
+#include "loopback.hpp"
+#include "loopback/three_controllers.hpp"
+
+using namespace loopback;
+
+namespace {
+
+class Pipelines : public ThreeControllers {
+protected:
+  void
+  SetUp () override
+  {
+    ASSERT_NO_FATAL_FAILURE (ThreeControllers::SetUp ());
+    find_leader ();
+  }
+  // The answer once the controller knows the catalog and its peers.
+  guint
+  submit_once_ready (size_t i, json_t *body)
+  {
+    guint status = 0;
+    wait_for ([&] {
+      status = submit (i, json_incref (body))->status;
+      return status != 503;
+    });
+    json_decref (body);
+    return status;
+  }
+  // A field that the leader shows operators of the job; "" if it does not list the job.
+  std::string
+  shown (const std::string &ref, const char *field)
+  {
+    auto jobs = administer ("GET", leader, "/admin/jobs");
+    const char *value = nullptr;
+    size_t i;
+    json_t *item;
+    json_array_foreach (json_object_get (jobs->body, "jobs"), i, item)
+    {
+      if (g_strcmp0 (json_string_value (json_object_get (item, "job")), ref.c_str ()) == 0)
+        value = json_string_value (json_object_get (item, field));
+    }
+    return value ? value : "";
+  }
+};
+
+TEST_F (Pipelines, StepsRunInTheirOrderAndStayKnownThroughTakeovers)
+{
+  Machine machine (controllers.front);
+  ASSERT_EQ (submit_once_ready (0, job ("req-3", 1)), 201u); // runs until it is cancelled
+  ASSERT_EQ (submit_once_ready (1, job ("req-1", 2)), 201u);
+  ASSERT_EQ (submit_once_ready (2, job_after ("req-11", { "req-1" }, 2)), 201u);
+  ASSERT_EQ (submit_once_ready (0, job_after ("req-12", { "req-11", "req-1", "req-11" })), 201u);
+  ASSERT_EQ (submit_once_ready (1, job_after ("req-13", { "req-3" })), 201u);
+  EXPECT_TRUE (reaches (2, "req-12", "done"));
+  EXPECT_LT (machine.first_start_of ("req-1/1"), machine.first_start_of ("req-11/0"));
+  EXPECT_LT (machine.first_start_of ("req-11/1"), machine.first_start_of ("req-12/0"));
+  EXPECT_EQ (submit_once_ready (2, job_after ("req-14", { "req-12" })), 201u) << "what it needs is done long ago";
+  EXPECT_TRUE (reaches (0, "req-14", "done"));
+  for (size_t i = 0; i < 3; i++) {
+    ASSERT_NO_FATAL_FAILURE (restart (i));
+    EXPECT_EQ (state_of (i, "req-13"), "queued");
+  }
+  EXPECT_EQ (submit_once_ready (2, job_after ("req-13", { "req-3" })), 200u) << "known already";
+  EXPECT_EQ (machine.first_start_of ("req-13/0"), 0u) << "req-3 is not done";
+}
+
+TEST_F (Pipelines, ListsOfDependenciesAreRefusedTheSameWayByEachController)
+{
+  ASSERT_EQ (submit_once_ready (0, job ("req-3", 1)), 201u);
+  ASSERT_EQ (submit_once_ready (1, job ("req-2", 1)), 201u);
+  EXPECT_EQ (cancel (2, "req-2"), "withdrawn");
+  for (int again = 0; again < 2; again++)
+    for (size_t i = 0; i < 3; i++) {
+      EXPECT_EQ (submit_once_ready (i, job_after ("req-1", { "req-3", "req-404" })), 422u);
+      // On the bench one that needed a cancelled job as well was accepted, and cancelled.
+      EXPECT_EQ (submit_once_ready (i, job_after ("req-1", { "req-2", "req-404" })), 422u);
+      EXPECT_EQ (submit_once_ready (i, job_after ("req-1", { "req-404", "req-2" })), 422u);
+      EXPECT_EQ (submit_once_ready (i, job_after ("req-1", { "req-1" })), 400u) << "itself";
+      EXPECT_EQ (submit_once_ready (i, job_after ("req-1", { "no job" })), 400u);
+      json_t *body = job ("req-1", 1);
+      json_object_set_new (body, "awaits", json_string ("req-3"));
+      EXPECT_EQ (submit_once_ready (i, body), 400u) << "no list";
+      std::vector<std::string> many;
+      for (int k = 0; k < 3000; k++)
+        many.push_back ("req-" + std::to_string (100000 + k));
+      EXPECT_EQ (submit_once_ready (i, job_after ("req-1", many)), 422u) << "more than a row holds";
+      EXPECT_EQ (look_up (i, "req-1")->status, 404u);
+    }
+  services.down = true;
+  EXPECT_TRUE (wait_for ([&] { return submit (0, job_after ("req-1", { "req-404" }))->status == 503; }))
+      << "nothing is known without the store";
+}
+
+TEST_F (Pipelines, CancellationTakesWhatComesAfterWithIt)
+{
+  Machine machine (controllers.front);
+  ASSERT_EQ (submit_once_ready (0, job ("req-3", 1)), 201u);
+  ASSERT_EQ (submit_once_ready (1, job_after ("req-11", { "req-3" })), 201u);
+  ASSERT_EQ (submit_once_ready (2, job_after ("req-12", { "req-11" })), 201u);
+  ASSERT_TRUE (reaches (0, "req-3", "running"));
+  EXPECT_EQ (cancel (1, "req-3"), "withdrawn");
+  for (size_t i = 0; i < 3; i++)
+    EXPECT_TRUE (reaches (i, "req-12", "withdrawn"));
+  auto late = submit (0, job_after ("req-13", { "req-12" }));
+  EXPECT_EQ (late->status, 201u) << "accepted all the same";
+  EXPECT_EQ (late->text ("standing"), "withdrawn");
+  EXPECT_EQ (state_of (2, "req-13"), "withdrawn");
+  EXPECT_EQ (cancel (1, "req-13"), "withdrawn");
+}
+
+// Nobody leads, and nobody can: each controller finds the cancellation in the rows when it is asked.
+TEST_F (Pipelines, ACancellationIsShownWithoutALeader)
+{
+  ASSERT_EQ (submit_once_ready (0, job ("req-3", 1)), 201u);
+  ASSERT_EQ (submit_once_ready (1, job_after ("req-11", { "req-3" })), 201u);
+  ASSERT_EQ (submit_once_ready (2, job_after ("req-12", { "req-11" })), 201u);
+  ASSERT_NO_FATAL_FAILURE (find_leader ());
+  size_t other = (leader + 1) % kControllers, third = (leader + 2) % kControllers;
+  services.refuse_claims = true;
+  controllers.kill (leader);
+  EXPECT_EQ (cancel (other, "req-3"), "withdrawn");
+  EXPECT_TRUE (reaches (third, "req-12", "withdrawn"));
+  EXPECT_EQ (state_of (other, "req-12"), "withdrawn");
+  // The leader that comes cleans up.
+  services.refuse_claims = false;
+  controllers.start (leader);
+  EXPECT_TRUE (wait_for ([&] {
+    json_t *all = services.store.dump ();
+    bool gone = json_object_get (all, "o/req-12") == nullptr && json_object_get (all, "o/req-11") == nullptr;
+    json_decref (all);
+    return gone;
+  }));
+  EXPECT_EQ (state_of (other, "req-11"), "withdrawn");
+}
+
+TEST_F (Pipelines, OperatorsSeeWhatAJobWaitsFor)
+{
+  ASSERT_EQ (submit_once_ready (0, job ("req-3", 1)), 201u);
+  ASSERT_EQ (submit_once_ready (1, job_after ("req-11", { "req-3" })), 201u);
+  ASSERT_NO_FATAL_FAILURE (find_leader ());
+  EXPECT_TRUE (wait_for ([&] { return shown ("req-11", "state") == "waiting"; }));
+  EXPECT_EQ (shown ("req-11", "awaits"), "req-3");
+  EXPECT_EQ (shown ("req-3", "awaited_by"), "req-11");
+  EXPECT_EQ (shown ("req-11", "waits_for"), "jobs that it needs are not done");
+  auto metrics = administer ("GET", leader, "/admin/metrics");
+  const json_t *counters = json_object_get (metrics->body, "counters");
+  EXPECT_EQ (json_integer_value (json_object_get (counters, "open_jobs")), 2);
+  EXPECT_EQ (json_integer_value (json_object_get (counters, "waiting_jobs")), 1);
+}
+
+} // namespace
