--- a/tests/scheduler_harness.hpp
+++ b/tests/scheduler_harness.hpp
@@ -31,6 +31,18 @@
   return spec;
 }
 
+// A job that was never started, with DAG dependencies.
+inline FtJobSpec *
+new_dependent_spec (const char *ref, std::vector<const char *> dependencies, guint tasks = 1)
+{
+  FtJobSpec *spec = new_job_spec (ref, tasks);
+  dependencies.push_back (nullptr);
+  spec->dependencies = g_strdupv ((char **) dependencies.data ());
+  spec->dispatch_watermark = 0;
+  spec->estimate_s = 10;
+  return spec;
+}
+
 // What a worker reports of one task. The name is not copied.
 inline FtTaskStatus
 task_status (const char *job, guint index, guint64 attempt, FtTaskPhase phase, FtExitReason reason = FT_EXIT_NONE)
--- /dev/null
+++ b/tests/test_dependency_graph.cpp
@@ -0,0 +1,157 @@
+// The graph of DAG dependencies between jobs, on its own.
+#include <set>
+
+#include "scheduler_harness.hpp"
+
+extern "C" {
+#include "core/dependency.h"
+}
+
+namespace {
+
+class Graph : public testing::Test {
+protected:
+  std::set<std::string> changed;
+  FtDependencyGraph *graph
+      = ft_dependency_graph_new ([] (const char *ref, gpointer data) { ((Graph *) data)->changed.insert (ref); }, this);
+  ~Graph () override { ft_dependency_graph_free (graph); }
+  void
+  add (const std::string &ref, std::vector<std::string> dependencies = {}, FtUrgency own = { FT_PRIORITY_LOW, 0 },
+       bool cancelled = false)
+  {
+    std::vector<const char *> list;
+    for (const std::string &dependency : dependencies)
+      list.push_back (dependency.c_str ());
+    list.push_back (nullptr);
+    ft_dependency_graph_add (graph, ref.c_str (), list.data (), cancelled, &own);
+  }
+  void
+  done (const std::string &ref, gint64 at = 5)
+  {
+    ft_dependency_graph_settle (graph, ref.c_str (), FT_JOB_END_DONE, at);
+  }
+  void
+  cancelled (const std::string &ref)
+  {
+    ft_dependency_graph_settle (graph, ref.c_str (), FT_JOB_END_CANCELLED, 5);
+  }
+  FtWait
+  wait (const std::string &ref)
+  {
+    return ft_dependency_graph_wait (graph, ref.c_str ());
+  }
+  const FtUrgency &
+  urgency (const std::string &ref)
+  {
+    return *ft_dependency_graph_urgency (graph, ref.c_str ());
+  }
+};
+
+TEST_F (Graph, AJobWaitsUntilTheLastOfItsDependenciesIsDone)
+{
+  add ("a");
+  add ("b");
+  add ("c", { "a", "b" });
+  EXPECT_EQ (wait ("a"), FT_WAIT_NONE);
+  EXPECT_EQ (wait ("c"), FT_WAIT_OTHERS);
+  done ("a", 7);
+  EXPECT_EQ (wait ("c"), FT_WAIT_OTHERS);
+  changed.clear ();
+  done ("b", 6);
+  EXPECT_EQ (wait ("c"), FT_WAIT_NONE);
+  EXPECT_EQ (changed.count ("c"), 1u);
+  EXPECT_EQ (ft_dependency_graph_met_at (graph, "c"), 7) << "the last of them counts";
+}
+
+TEST_F (Graph, ADiamondWaitsForBothSidesAndIsCancelledOnce)
+{
+  add ("top");
+  add ("left", { "top" });
+  add ("right", { "top", "top" });
+  add ("bottom", { "left", "right" });
+  done ("top");
+  EXPECT_EQ (wait ("left"), FT_WAIT_NONE);
+  EXPECT_EQ (wait ("right"), FT_WAIT_NONE) << "named twice counts once";
+  done ("left");
+  EXPECT_EQ (wait ("bottom"), FT_WAIT_OTHERS);
+  cancelled ("right");
+  EXPECT_EQ (wait ("bottom"), FT_WAIT_CANCELLED);
+}
+
+// A chain as long as users like: nothing recurses on it.
+TEST_F (Graph, ALongChainIsCancelledWhole)
+{
+  constexpr int kLength = 20000;
+  add ("j0");
+  for (int i = 1; i < kLength; i++)
+    add ("j" + std::to_string (i), { "j" + std::to_string (i - 1) });
+  cancelled ("j0");
+  for (int i = 1; i < kLength; i++)
+    ASSERT_EQ (wait ("j" + std::to_string (i)), FT_WAIT_CANCELLED) << i;
+}
+
+TEST_F (Graph, HundredsNeedOneAndOneNeedsHundreds)
+{
+  std::vector<std::string> all;
+  add ("first");
+  for (int i = 0; i < 400; i++) {
+    all.push_back ("m" + std::to_string (i));
+    add (all.back (), { "first" });
+  }
+  add ("last", all);
+  done ("first");
+  for (const std::string &ref : all) {
+    EXPECT_EQ (wait (ref), FT_WAIT_NONE);
+    EXPECT_EQ (wait ("last"), FT_WAIT_OTHERS);
+    done (ref);
+  }
+  EXPECT_EQ (wait ("last"), FT_WAIT_NONE);
+}
+
+// What comes after a cancelled one is cancelled too, also if it is added later.
+TEST_F (Graph, WhatIsAddedLaterIsCancelledWithWhatItNeeds)
+{
+  add ("a");
+  add ("b", { "a" });
+  cancelled ("a");
+  add ("c", { "b" });
+  EXPECT_EQ (wait ("c"), FT_WAIT_CANCELLED);
+  add ("d", {}, { FT_PRIORITY_LOW, 0 }, true);
+  EXPECT_EQ (wait ("d"), FT_WAIT_CANCELLED);
+}
+
+// Absence proves nothing: a dependency that nobody knows is to be read, at once, then now and then.
+TEST_F (Graph, AnUnknownDependencyIsToBeRead)
+{
+  add ("c", { "a", "b" });
+  std::set<std::string> named;
+  while (const char *ref = ft_dependency_graph_next_unread (graph, 100, 50))
+    ASSERT_TRUE (named.insert (ref).second);
+  EXPECT_EQ (named, (std::set<std::string>{ "a", "b" }));
+  EXPECT_EQ (ft_dependency_graph_next_unread (graph, 149, 50), nullptr);
+  add ("a"); // the watch has reported it
+  done ("b");
+  EXPECT_EQ (ft_dependency_graph_next_unread (graph, 200, 50), nullptr);
+  EXPECT_EQ (wait ("c"), FT_WAIT_OTHERS);
+  add ("e", { "f" });
+  EXPECT_STREQ (ft_dependency_graph_next_unread (graph, 200, 50), "f") << "a new one does not wait for others' turns";
+}
+
+TEST_F (Graph, AJobIsAsUrgentAsWhatNeedsIt)
+{
+  add ("a");
+  add ("b", { "a" });
+  add ("c", { "b" }, { FT_PRIORITY_HIGH, 100 * kS });
+  EXPECT_EQ (urgency ("a").priority, FT_PRIORITY_HIGH);
+  EXPECT_EQ (urgency ("b").deadline_at, 100 * kS);
+  EXPECT_EQ (urgency ("a").deadline_at, 100 * kS) << "through b";
+  add ("d", { "a" }, { FT_PRIORITY_PRODUCTION, 50 * kS });
+  EXPECT_EQ (urgency ("a").priority, FT_PRIORITY_PRODUCTION);
+  EXPECT_EQ (urgency ("a").deadline_at, 50 * kS);
+  EXPECT_EQ (urgency ("b").priority, FT_PRIORITY_HIGH);
+  cancelled ("d"); // nobody needs it for that any more
+  EXPECT_EQ (urgency ("a").priority, FT_PRIORITY_HIGH);
+  EXPECT_EQ (urgency ("a").deadline_at, 100 * kS);
+}
+
+} // namespace
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -1,4 +1,4 @@
-// Faulty machines are told from mistaken jobs by comparison.
+// Faulty machines are distinguished from mistaken jobs by comparison.
 #include <gtest/gtest.h>
 
 #include <map>
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -14,6 +14,14 @@
     FtLeaseRows rows = { token, (char *) holder, 1, fence, renewal, lease_us, released };
     ft_lease_observe (lease, now, &rows);
   }
+  // Acquires the lease that nobody held, by a transaction sent at 0 s.
+  void
+  acquire (gint64 answered_at = 0)
+  {
+    observe (0, 0, nullptr, 0, 0);
+    ft_lease_claim (lease, 0);
+    ft_lease_acquired (lease, answered_at, 10);
+  }
 };
 
 TEST (Lease, TakesARowUnrenewedForALeaseTimeAndNotBefore)
@@ -60,19 +68,17 @@
 TEST (Lease, ValidityCountsFromWhenTheRenewalWasSent)
 {
   LeaseView view;
-  view.observe (0, 0, nullptr, 0, 0);
-  ft_lease_claim (view.lease, 0);
-  ft_lease_acquired (view.lease, 1 * kS, 10);
+  view.acquire (1 * kS);
   ft_lease_cancellations_known (view.lease, 8 * kS);
   EXPECT_TRUE (ft_lease_may_start (view.lease, 9 * kS));
   EXPECT_FALSE (ft_lease_may_start (view.lease, 10 * kS));
   ft_lease_tick (view.lease, 10 * kS);
   EXPECT_EQ (ft_lease_state (view.lease), FT_LEASE_EXPIRED);
-  // A expired holder answers reports for the hold, counted from the older contact.
+  // A holder whose lease expired answers heartbeats for the grace period, counted from the older contact.
   ft_lease_cancellations_known (view.lease, 18 * kS);
   EXPECT_TRUE (ft_lease_may_answer (view.lease, 18 * kS));
   EXPECT_FALSE (ft_lease_may_answer (view.lease, 19 * kS));
-  // Nobody acquired in between: the renewal makes it go on.
+  // Nobody acquired it in between: the renewal makes it valid again.
   ft_lease_renewed (view.lease, 17 * kS);
   EXPECT_TRUE (ft_lease_may_start (view.lease, 20 * kS));
   ft_lease_lost (view.lease, 21 * kS);
@@ -98,13 +104,11 @@
   }
 }
 
-// A renewal that succeeds after an outage tells nothing of the cancellations meanwhile.
+// A renewal that succeeds after an outage shows nothing of the cancellations meanwhile.
 TEST (Lease, ARenewalAloneExtendsNoAnswerGracePeriodAndStartsNothing)
 {
   LeaseView view;
-  view.observe (0, 0, nullptr, 0, 0);
-  ft_lease_claim (view.lease, 0);
-  ft_lease_acquired (view.lease, 0, 10);
+  view.acquire ();
   ft_lease_cancellations_known (view.lease, 2 * kS);
   ft_lease_tick (view.lease, 10 * kS);
   ft_lease_renewed (view.lease, 30 * kS);
@@ -122,16 +126,14 @@
 TEST (Lease, AYieldingHolderStartsNothingAndAnswersUntilItsGracePeriodIsOver)
 {
   LeaseView view;
-  view.observe (0, 0, nullptr, 0, 0);
-  ft_lease_claim (view.lease, 0);
-  ft_lease_acquired (view.lease, 0, 10);
+  view.acquire ();
   ft_lease_cancellations_known (view.lease, kS);
   ft_lease_yield (view.lease, 2 * kS);
   EXPECT_EQ (ft_lease_state (view.lease), FT_LEASE_EXPIRED);
   EXPECT_FALSE (ft_lease_may_start (view.lease, 2 * kS));
   EXPECT_TRUE (ft_lease_may_answer (view.lease, 17 * kS));
   EXPECT_FALSE (ft_lease_may_answer (view.lease, 18 * kS));
-  // Nobody has taken the lease and the store is back: it goes on.
+  // Nobody has acquired the lease and the store is reachable again: it leads on.
   ft_lease_renewed (view.lease, 4 * kS);
   EXPECT_TRUE (ft_lease_may_start (view.lease, 5 * kS));
 }
@@ -181,9 +183,7 @@
 TEST (Lease, AReleasedHolderKeepsOff)
 {
   LeaseView view;
-  view.observe (0, 0, nullptr, 0, 0);
-  ft_lease_claim (view.lease, 0);
-  ft_lease_acquired (view.lease, 0, 10);
+  view.acquire ();
   ft_lease_released (view.lease, kS);
   view.observe (2 * kS, 1, "me", 10, 11, true);
   EXPECT_FALSE (ft_lease_acquire_due (view.lease, 2 * kS));
@@ -202,9 +202,7 @@
 TEST (Tuning, AHolderCountsWithWhatItsRenewalWrote)
 {
   LeaseView view;
-  view.observe (0, 0, nullptr, 0, 0);
-  ft_lease_claim (view.lease, 0);
-  ft_lease_acquired (view.lease, 0, 10);
+  view.acquire ();
   ft_lease_cancellations_known (view.lease, 9 * kS);
   ft_lease_set_times (view.lease, 18 * kS, kS, 0.25, 3);
   EXPECT_FALSE (ft_lease_may_start (view.lease, 10 * kS));
--- a/tests/test_program_dependencies.cpp
+++ b/tests/test_program_dependencies.cpp
@@ -43,7 +43,7 @@
   }
 };
 
-TEST_F (Pipelines, StepsRunInTheirOrderAndStayKnownThroughTakeovers)
+TEST_F (Pipelines, StepsRunInTheirOrderAndStayKnownThroughFailovers)
 {
   Machine machine (controllers.front);
   ASSERT_EQ (submit_once_ready (0, job ("req-3", 1)), 201u); // runs until it is cancelled
