--- a/src/ctl/transport.h
+++ b/src/ctl/transport.h
@@ -20,6 +20,8 @@
  * Returns: (transfer full): a transport; free it with ft_ctl_transport_free ().
  */
 FtCtlTransport *ft_ctl_transport_new (char *const *nodes);
+
+/** ft_ctl_transport_free: frees @transport (nullable) and its HTTP client. */
 void ft_ctl_transport_free (FtCtlTransport *transport);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtCtlTransport, ft_ctl_transport_free)
 
