--- /dev/null
+++ b/src/wire/lease_rows.h
@@ -0,0 +1,53 @@
+/**
+ * SECTION: lease_rows
+ * @title: Rows of leadership
+ *
+ * The values of the fence, the renewal and the journal row, by which controllers elect a leader
+ * (core/lease.h) and by which a former leader's delayed writes are refused. Written and read by
+ * src/net/node.c and src/net/leader.c.
+ */
+#pragma once
+#include <glib.h>
+#include <jansson.h>
+
+#include "core/lease.h"
+
+/**
+ * ft_row_fence:
+ * @token: fencing token of the acquisition
+ * @holder: name of the controller that acquires the lease
+ * @incarnation: random number of that controller's process
+ *
+ * Returns: (transfer full): the value of the fence row.
+ */
+json_t *ft_row_fence (guint64 token, const char *holder, guint64 incarnation);
+
+/**
+ * ft_row_renewal:
+ * @token: the holder's fencing token
+ * @lease_us: lease time that the holder counts with from now on, in microseconds; written in
+ *   whole milliseconds
+ * @released: whether the holder gives the lease up with this write
+ *
+ * Returns: (transfer full): the value of the renewal row.
+ */
+json_t *ft_row_renewal (guint64 token, gint64 lease_us, gboolean released);
+
+/**
+ * ft_row_journal:
+ * @token: the leader's fencing token
+ * @batch: number of the batch within its leadership
+ *
+ * Returns: (transfer full): the value of the journal row.
+ */
+json_t *ft_row_journal (guint64 token, guint64 batch);
+
+/**
+ * ft_row_lease_parse:
+ * @rows: (element-type FtRow): the rows below %FT_PREFIX_LEASE; others are skipped
+ * @out: cleared by the caller; filled from the rows that are there. It owns the holder's name
+ *   also on failure: ft_lease_rows_clear() frees it
+ *
+ * Returns: %FALSE if the fence row is malformed.
+ */
+gboolean ft_row_lease_parse (const GArray *rows, FtLeaseRows *out);
