--- a/src/net/leader.c
+++ b/src/net/leader.c
@@ -107,9 +107,10 @@
     ft_scheduler_job_cancelled (node->leader.scheduler, ref, age_us, now);
     return;
   }
-  FtJobSpec *spec = ft_row_open_parse (ref, row->value);
+  g_autoptr (GError) error = NULL;
+  FtJobSpec *spec = ft_row_open_parse_full (ref, row->value, &error);
   if (spec == NULL)
-    g_warning ("job %s: its row cannot be read", ref);
+    g_warning ("job %s: its row cannot be read: %s", ref, error->message);
   else if (fresh)
     ft_scheduler_job_added (node->leader.scheduler, spec, ft_row_open_revision (row), now, wall_ms ());
   else
--- a/src/wire/cbor.c
+++ b/src/wire/cbor.c
@@ -8,9 +8,14 @@
 /* The streaming decoder is used, not cbor_load(): the latter reserves memory
  * for the length that a header announces, whatever follows it. */
 
+/* Items still to come of a container that ends with a break. */
+#define INDEFINITE G_MAXUINT64
+/* Longest head of an item: its type and eight bytes of length or value. */
+#define HEAD_MAX 9
+
 typedef struct {
   json_t *node; /* array or map being filled, owned by its parent */
-  guint64 left; /* items still to come, G_MAXUINT64 if indefinite */
+  guint64 left; /* items still to come, or INDEFINITE */
   char *key;    /* key waiting for its value */
 } Frame;
 
@@ -29,10 +34,35 @@
     builder->depth--;
 }
 
-/* Hangs a value into the innermost open container, which stays open even if it
+/* A key must be a text without a zero byte. */
+static void
+frame_set_key (Builder *builder, Frame *frame, json_t *key)
+{
+  const char *text = json_string_value (key);
+  if (text == NULL || strlen (text) != json_string_length (key))
+    builder->failed = TRUE;
+  else
+    frame->key = g_strdup (text);
+  json_decref (key);
+}
+
+static void
+frame_put (Frame *frame, json_t *value)
+{
+  if (json_is_array (frame->node)) {
+    json_array_append_new (frame->node, value);
+  } else {
+    json_object_set_new (frame->node, frame->key, value);
+    g_clear_pointer (&frame->key, g_free);
+  }
+  if (frame->left != INDEFINITE)
+    frame->left--;
+}
+
+/* Puts a value into the innermost open container, which stays open even if it
  * is full now: a full one still counts as nesting while its last item is open. */
 static void
-builder_hang (Builder *builder, json_t *value)
+builder_put (Builder *builder, json_t *value)
 {
   if (builder->failed || builder->text != NULL || (builder->depth == 0 && builder->root != NULL)) {
     builder->failed = TRUE;
@@ -44,27 +74,16 @@
     return;
   }
   Frame *frame = &builder->stack[builder->depth - 1];
-  if (json_is_array (frame->node)) {
-    json_array_append_new (frame->node, value);
-  } else if (frame->key == NULL) {
-    if (!json_is_string (value) || strlen (json_string_value (value)) != json_string_length (value))
-      builder->failed = TRUE;
-    else
-      frame->key = g_strdup (json_string_value (value));
-    json_decref (value);
-    return;
-  } else {
-    json_object_set_new (frame->node, frame->key, value);
-    g_clear_pointer (&frame->key, g_free);
-  }
-  if (frame->left != G_MAXUINT64)
-    frame->left--;
+  if (json_is_object (frame->node) && frame->key == NULL)
+    frame_set_key (builder, frame, value);
+  else
+    frame_put (frame, value);
 }
 
 static void
 builder_add (Builder *builder, json_t *value)
 {
-  builder_hang (builder, value);
+  builder_put (builder, value);
   builder_close_full (builder);
 }
 
@@ -76,7 +95,7 @@
     json_decref (node);
     return;
   }
-  builder_hang (builder, node);
+  builder_put (builder, node);
   if (builder->failed)
     return;
   builder->stack[builder->depth++] = (Frame){ .node = node, .left = items };
@@ -112,33 +131,34 @@
     builder_add (builder, real);
 }
 
-/* clang-format off */
-static void on_u8 (void *b, uint8_t v) { builder_integer (b, v, FALSE); }
-static void on_u16 (void *b, uint16_t v) { builder_integer (b, v, FALSE); }
-static void on_u32 (void *b, uint32_t v) { builder_integer (b, v, FALSE); }
-static void on_u64 (void *b, uint64_t v) { builder_integer (b, v, FALSE); }
-static void on_n8 (void *b, uint8_t v) { builder_integer (b, v, TRUE); }
-static void on_n16 (void *b, uint16_t v) { builder_integer (b, v, TRUE); }
-static void on_n32 (void *b, uint32_t v) { builder_integer (b, v, TRUE); }
-static void on_n64 (void *b, uint64_t v) { builder_integer (b, v, TRUE); }
-static void on_float (void *b, float v) { builder_real (b, v); }
-static void on_double (void *b, double v) { builder_real (b, v); }
-static void on_null (void *b) { builder_add (b, json_null ()); }
-static void on_bool (void *b, bool v) { builder_add (b, json_boolean (v)); }
-static void on_bytes (void *b, cbor_data d, size_t n) { (void) d; (void) n; ((Builder *) b)->failed = TRUE; }
-static void on_fail (void *b) { ((Builder *) b)->failed = TRUE; }
-static void on_tag (void *b, uint64_t v) { (void) v; ((Builder *) b)->failed = TRUE; }
-static void on_array (void *b, size_t n) { builder_open (b, json_array (), n); }
-static void on_array_open (void *b) { builder_open (b, json_array (), G_MAXUINT64); }
-static void on_map_open (void *b) { builder_open (b, json_object (), G_MAXUINT64); }
-/* clang-format on */
-
 static void
-on_map (void *b, size_t n)
+builder_fail (void *builder)
 {
-  builder_open (b, json_object (), n);
+  ((Builder *) builder)->failed = TRUE;
 }
 
+/* Callbacks of libcbor, one for each encoding of an item. */
+/* clang-format off */
+static void on_u8 (void *builder, uint8_t value) { builder_integer (builder, value, FALSE); }
+static void on_u16 (void *builder, uint16_t value) { builder_integer (builder, value, FALSE); }
+static void on_u32 (void *builder, uint32_t value) { builder_integer (builder, value, FALSE); }
+static void on_u64 (void *builder, uint64_t value) { builder_integer (builder, value, FALSE); }
+static void on_n8 (void *builder, uint8_t value) { builder_integer (builder, value, TRUE); }
+static void on_n16 (void *builder, uint16_t value) { builder_integer (builder, value, TRUE); }
+static void on_n32 (void *builder, uint32_t value) { builder_integer (builder, value, TRUE); }
+static void on_n64 (void *builder, uint64_t value) { builder_integer (builder, value, TRUE); }
+static void on_float (void *builder, float value) { builder_real (builder, value); }
+static void on_double (void *builder, double value) { builder_real (builder, value); }
+static void on_null (void *builder) { builder_add (builder, json_null ()); }
+static void on_bool (void *builder, bool value) { builder_add (builder, json_boolean (value)); }
+static void on_bytes (void *builder, cbor_data data, size_t size) { (void) data; (void) size; builder_fail (builder); }
+static void on_tag (void *builder, uint64_t value) { (void) value; builder_fail (builder); }
+static void on_array (void *builder, size_t count) { builder_open (builder, json_array (), count); }
+static void on_array_open (void *builder) { builder_open (builder, json_array (), INDEFINITE); }
+static void on_map (void *builder, size_t count) { builder_open (builder, json_object (), count); }
+static void on_map_open (void *builder) { builder_open (builder, json_object (), INDEFINITE); }
+/* clang-format on */
+
 static void
 on_string (void *context, cbor_data data, size_t size)
 {
@@ -166,7 +186,7 @@
   if (builder->text != NULL) {
     g_autoptr (GString) text = g_steal_pointer (&builder->text);
     builder_text (builder, (const guint8 *) text->str, text->len);
-  } else if (builder->depth == 0 || builder->stack[builder->depth - 1].left != G_MAXUINT64
+  } else if (builder->depth == 0 || builder->stack[builder->depth - 1].left != INDEFINITE
              || builder->stack[builder->depth - 1].key != NULL) {
     builder->failed = TRUE;
   } else {
@@ -185,7 +205,7 @@
   .negint32 = on_n32,
   .negint64 = on_n64,
   .byte_string = on_bytes,
-  .byte_string_start = on_fail,
+  .byte_string_start = builder_fail,
   .string = on_string,
   .string_start = on_string_open,
   .array_start = on_array,
@@ -197,30 +217,37 @@
   .float4 = on_float,
   .float8 = on_double,
   .null = on_null,
-  .undefined = on_fail,
+  .undefined = builder_fail,
   .boolean = on_bool,
   .indef_break = on_break,
 };
 
+/* Frees what is left of an input that ended in the midst of an item. */
+static void
+builder_clear (Builder *builder)
+{
+  for (int i = 0; i < FT_NESTING_MAX; i++)
+    g_free (builder->stack[i].key);
+  if (builder->text != NULL)
+    g_string_free (builder->text, TRUE);
+}
+
 json_t *
 ft_cbor_decode (const guint8 *data, gsize size)
 {
-  Builder b = { 0 };
-  gsize at = 0;
-  while (at < size && !b.failed && !(b.root != NULL && b.depth == 0)) {
-    struct cbor_decoder_result r = cbor_stream_decode (data + at, size - at, &callbacks, &b);
-    if (r.status != CBOR_DECODER_FINISHED)
-      b.failed = TRUE;
-    at += r.read;
+  Builder builder = { 0 };
+  gsize position = 0;
+  while (position < size && !builder.failed && !(builder.root != NULL && builder.depth == 0)) {
+    struct cbor_decoder_result result = cbor_stream_decode (data + position, size - position, &callbacks, &builder);
+    if (result.status != CBOR_DECODER_FINISHED)
+      builder.failed = TRUE;
+    position += result.read;
   }
-  gboolean whole = !b.failed && b.root != NULL && b.depth == 0 && b.text == NULL && at == size;
-  for (int i = 0; i < FT_NESTING_MAX; i++)
-    g_free (b.stack[i].key);
-  if (b.text != NULL)
-    g_string_free (b.text, TRUE);
-  if (!whole)
-    g_clear_pointer (&b.root, json_decref);
-  return b.root;
+  gboolean complete = !builder.failed && builder.root != NULL && builder.depth == 0 && builder.text == NULL;
+  builder_clear (&builder);
+  if (!complete || position != size)
+    g_clear_pointer (&builder.root, json_decref);
+  return builder.root;
 }
 
 typedef size_t (*HeadWriter) (size_t, unsigned char *, size_t);
@@ -228,7 +255,7 @@
 static void
 append_head (GByteArray *out, HeadWriter write, size_t count)
 {
-  guint8 head[9];
+  guint8 head[HEAD_MAX];
   g_byte_array_append (out, head, write (count, head, sizeof head));
 }
 
@@ -239,49 +266,66 @@
   g_byte_array_append (out, (const guint8 *) text, size);
 }
 
+static void
+append_integer (GByteArray *out, json_int_t value)
+{
+  guint8 head[HEAD_MAX];
+  size_t used = value < 0 ? cbor_encode_negint ((guint64) (-1 - value), head, sizeof head)
+                          : cbor_encode_uint ((guint64) value, head, sizeof head);
+  g_byte_array_append (out, head, (guint) used);
+}
+
+static void append_value (GByteArray *out, const json_t *value);
+
+static void
+append_map (GByteArray *out, const json_t *map)
+{
+  const char *key;
+  json_t *item;
+  append_head (out, cbor_encode_map_start, json_object_size (map));
+  json_object_foreach ((json_t *) map, key, item)
+  {
+    append_text (out, key, strlen (key));
+    append_value (out, item);
+  }
+}
+
+static void
+append_array (GByteArray *out, const json_t *array)
+{
+  append_head (out, cbor_encode_array_start, json_array_size (array));
+  for (size_t i = 0; i < json_array_size (array); i++)
+    append_value (out, json_array_get (array, i));
+}
+
 static void
 append_value (GByteArray *out, const json_t *value)
 {
-  guint8 head[9];
-  size_t n = 0;
+  guint8 head[HEAD_MAX];
   switch (json_typeof (value)) {
-  case JSON_OBJECT: {
-    const char *key;
-    json_t *item;
-    append_head (out, cbor_encode_map_start, json_object_size (value));
-    json_object_foreach ((json_t *) value, key, item)
-    {
-      append_text (out, key, strlen (key));
-      append_value (out, item);
-    }
-    return;
-  }
+  case JSON_OBJECT:
+    append_map (out, value);
+    break;
   case JSON_ARRAY:
-    append_head (out, cbor_encode_array_start, json_array_size (value));
-    for (size_t i = 0; i < json_array_size (value); i++)
-      append_value (out, json_array_get (value, i));
-    return;
+    append_array (out, value);
+    break;
   case JSON_STRING:
     append_text (out, json_string_value (value), json_string_length (value));
-    return;
-  case JSON_INTEGER: {
-    json_int_t v = json_integer_value (value);
-    n = v < 0 ? cbor_encode_negint ((guint64) (-1 - v), head, sizeof head)
-              : cbor_encode_uint ((guint64) v, head, sizeof head);
     break;
-  }
+  case JSON_INTEGER:
+    append_integer (out, json_integer_value (value));
+    break;
   case JSON_REAL:
-    n = cbor_encode_double (json_real_value (value), head, sizeof head);
+    g_byte_array_append (out, head, (guint) cbor_encode_double (json_real_value (value), head, sizeof head));
     break;
   case JSON_TRUE:
   case JSON_FALSE:
-    n = cbor_encode_bool (json_is_true (value), head, sizeof head);
+    g_byte_array_append (out, head, (guint) cbor_encode_bool (json_is_true (value), head, sizeof head));
     break;
   case JSON_NULL:
-    n = cbor_encode_null (head, sizeof head);
+    g_byte_array_append (out, head, (guint) cbor_encode_null (head, sizeof head));
     break;
   }
-  g_byte_array_append (out, head, n);
 }
 
 GBytes *
--- a/src/wire/fields.c
+++ b/src/wire/fields.c
@@ -3,6 +3,18 @@
 #include <math.h>
 #include <string.h>
 
+G_DEFINE_QUARK (ft - wire - error - quark, ft_wire_error)
+
+gboolean
+ft_field_fail (const json_t *map, const char *name, GError **error)
+{
+  if (ft_field_is_null (map, name))
+    g_set_error (error, FT_WIRE_ERROR, FT_WIRE_ERROR_MISSING_FIELD, "field %s is missing", name);
+  else
+    g_set_error (error, FT_WIRE_ERROR, FT_WIRE_ERROR_INVALID_FIELD, "field %s is invalid", name);
+  return FALSE;
+}
+
 gboolean
 ft_field_is_null (const json_t *map, const char *name)
 {
@@ -10,22 +22,23 @@
   return item == NULL || json_is_null (item);
 }
 
+/* New, or NULL if it is not a text of 1 to `max_bytes` bytes without a zero among them. */
 static char *
-text_of (const json_t *item, gsize most)
+copy_text (const json_t *item, gsize max_bytes)
 {
   if (!json_is_string (item))
     return NULL;
   gsize size = json_string_length (item);
   const char *text = json_string_value (item);
-  if (size == 0 || size > most || strlen (text) != size)
+  if (size == 0 || size > max_bytes || strlen (text) != size)
     return NULL;
   return g_strdup (text);
 }
 
 gboolean
-ft_field_text (const json_t *map, const char *name, gsize most, char **out)
+ft_field_text (const json_t *map, const char *name, gsize max_bytes, char **out)
 {
-  char *text = text_of (json_object_get (map, name), most);
+  char *text = copy_text (json_object_get (map, name), max_bytes);
   if (text == NULL)
     return FALSE;
   g_free (*out);
@@ -34,35 +47,35 @@
 }
 
 gboolean
-ft_field_text_or_null (const json_t *map, const char *name, gsize most, char **out)
+ft_field_text_or_null (const json_t *map, const char *name, gsize max_bytes, char **out)
 {
   if (!ft_field_is_null (map, name))
-    return ft_field_text (map, name, most, out);
+    return ft_field_text (map, name, max_bytes, out);
   g_clear_pointer (out, g_free);
   return TRUE;
 }
 
 gboolean
-ft_field_count (const json_t *map, const char *name, guint64 least, guint64 most, guint64 *out)
+ft_field_count (const json_t *map, const char *name, guint64 min, guint64 max, guint64 *out)
 {
   const json_t *item = json_object_get (map, name);
   if (!json_is_integer (item) || json_integer_value (item) < 0)
     return FALSE;
   guint64 value = (guint64) json_integer_value (item);
-  if (value < least || value > most)
+  if (value < min || value > max)
     return FALSE;
   *out = value;
   return TRUE;
 }
 
 gboolean
-ft_field_amount (const json_t *map, const char *name, double least, double most, double *out)
+ft_field_amount (const json_t *map, const char *name, double min, double max, double *out)
 {
   const json_t *item = json_object_get (map, name);
   if (!json_is_number (item))
     return FALSE;
   double value = json_number_value (item);
-  if (!isfinite (value) || value < least || value > most)
+  if (!isfinite (value) || value < min || value > max)
     return FALSE;
   *out = value;
   return TRUE;
@@ -79,14 +92,14 @@
 }
 
 gboolean
-ft_field_texts (const json_t *map, const char *name, gsize most, GStrv *out)
+ft_field_texts (const json_t *map, const char *name, gsize max_bytes, GStrv *out)
 {
   const json_t *list = json_object_get (map, name);
   if (!json_is_array (list))
     return FALSE;
   g_autoptr (GPtrArray) texts = g_ptr_array_new_with_free_func (g_free);
   for (size_t i = 0; i < json_array_size (list); i++) {
-    char *text = text_of (json_array_get (list, i), most);
+    char *text = copy_text (json_array_get (list, i), max_bytes);
     if (text == NULL)
       return FALSE;
     g_ptr_array_add (texts, text);
--- a/src/wire/job_rows.c
+++ b/src/wire/job_rows.c
@@ -170,10 +170,47 @@
   return size;
 }
 
+guint64
+ft_row_open_revision (const FtRow *row)
+{
+  guint64 revision;
+  return ft_field_count (row->value, FIELD_STATE_REVISION, 1, G_MAXINT64, &revision) ? revision : row->revision;
+}
+
 static gboolean
-read_open_amounts (const json_t *value, FtJobSpec *spec)
+read_open_texts (const json_t *value, FtJobSpec *spec, GError **error)
 {
-  struct {
+  const struct {
+    const char *name;
+    char **target;
+  } texts[] = { { FIELD_CLASS, &spec->job_class }, { FIELD_TEAM, &spec->team }, { FIELD_IMAGE, &spec->image } };
+  for (guint i = 0; i < G_N_ELEMENTS (texts); i++)
+    if (!ft_field_text (value, texts[i].name, FT_TEXT_MAX, texts[i].target))
+      return ft_field_fail (value, texts[i].name, error);
+  if (!ft_field_is_null (value, FIELD_TYPES) && !ft_field_texts (value, FIELD_TYPES, FT_TEXT_MAX, &spec->types))
+    return ft_field_fail (value, FIELD_TYPES, error);
+  if (!ft_field_text_or_null (value, FIELD_ZONE, FT_TEXT_MAX, &spec->zone))
+    return ft_field_fail (value, FIELD_ZONE, error);
+  return TRUE;
+}
+
+static gboolean
+read_open_flags (const json_t *value, FtJobSpec *spec, GError **error)
+{
+  const struct {
+    const char *name;
+    gboolean *target;
+  } flags[] = { { FIELD_ONE_ZONE, &spec->one_zone }, { FIELD_SPREAD, &spec->spread }, { FIELD_SPOT, &spec->spot } };
+  for (guint i = 0; i < G_N_ELEMENTS (flags); i++)
+    if (!ft_field_bool (value, flags[i].name, flags[i].target))
+      return ft_field_fail (value, flags[i].name, error);
+  return TRUE;
+}
+
+static gboolean
+read_open_amounts (const json_t *value, FtJobSpec *spec, GError **error)
+{
+  const struct {
     const char *name;
     double *target;
   } amounts[] = { { FIELD_CPUS, &spec->cpus },
@@ -186,38 +223,23 @@
                   { FIELD_DEADLINE, &spec->deadline_s } };
   for (guint i = 0; i < G_N_ELEMENTS (amounts); i++)
     if (!ft_field_amount (value, amounts[i].name, 0, G_MAXDOUBLE, amounts[i].target))
-      return FALSE;
+      return ft_field_fail (value, amounts[i].name, error);
   return TRUE;
 }
 
-guint64
-ft_row_open_revision (const FtRow *row)
-{
-  guint64 revision;
-  return ft_field_count (row->value, FIELD_STATE_REVISION, 1, G_MAXINT64, &revision) ? revision : row->revision;
-}
-
-static gboolean
-read_open_texts (const json_t *value, FtJobSpec *spec)
-{
-  return ft_field_text (value, FIELD_CLASS, FT_TEXT_MAX, &spec->job_class)
-         && ft_field_text (value, FIELD_TEAM, FT_TEXT_MAX, &spec->team)
-         && ft_field_text (value, FIELD_IMAGE, FT_TEXT_MAX, &spec->image)
-         && (ft_field_is_null (value, FIELD_TYPES) || ft_field_texts (value, FIELD_TYPES, FT_TEXT_MAX, &spec->types))
-         && ft_field_text_or_null (value, FIELD_ZONE, FT_TEXT_MAX, &spec->zone);
-}
-
 static gboolean
-read_open_counts (const json_t *value, FtJobSpec *spec)
+read_open_counts (const json_t *value, FtJobSpec *spec, GError **error)
 {
   /* Rows of versions before there were kinds have none. */
   guint64 kind = FT_KIND_ARRAY, priority, tasks, submitted;
   if (!ft_field_is_null (value, FIELD_KIND) && !ft_field_count (value, FIELD_KIND, 0, FT_KIND_SERVICE, &kind))
-    return FALSE;
-  if (!ft_field_count (value, FIELD_PRIORITY, 0, FT_PRIORITY_PRODUCTION, &priority)
-      || !ft_field_count (value, FIELD_TASKS, 1, FT_JOB_TASKS_MAX, &tasks)
-      || !ft_field_count (value, FIELD_SUBMITTED, 0, G_MAXINT64, &submitted))
-    return FALSE;
+    return ft_field_fail (value, FIELD_KIND, error);
+  if (!ft_field_count (value, FIELD_PRIORITY, 0, FT_PRIORITY_PRODUCTION, &priority))
+    return ft_field_fail (value, FIELD_PRIORITY, error);
+  if (!ft_field_count (value, FIELD_TASKS, 1, FT_JOB_TASKS_MAX, &tasks))
+    return ft_field_fail (value, FIELD_TASKS, error);
+  if (!ft_field_count (value, FIELD_SUBMITTED, 0, G_MAXINT64, &submitted))
+    return ft_field_fail (value, FIELD_SUBMITTED, error);
   spec->kind = (FtJobKind) kind;
   spec->priority = (FtPriority) priority;
   spec->tasks = (guint) tasks;
@@ -227,37 +249,44 @@
 
 /* Rows of versions before there was a dispatch watermark have none: each task may have been sent. */
 static gboolean
-read_watermark (const json_t *value, FtJobSpec *spec)
+read_watermark (const json_t *value, FtJobSpec *spec, GError **error)
 {
   guint64 watermark = spec->tasks;
   if (!ft_field_is_null (value, FIELD_DISPATCH_WATERMARK)
       && !ft_field_count (value, FIELD_DISPATCH_WATERMARK, 0, spec->tasks, &watermark))
-    return FALSE;
+    return ft_field_fail (value, FIELD_DISPATCH_WATERMARK, error);
   spec->dispatch_watermark = (guint) watermark;
   return TRUE;
 }
 
 /* If its dependencies cannot be read the whole job cannot: it must not start before them. */
 static gboolean
-read_dependencies (const json_t *value, FtJobSpec *spec)
+read_dependencies (const json_t *value, FtJobSpec *spec, GError **error)
 {
-  return ft_field_is_null (value, FIELD_DEPENDENCIES)
-         || unpack_refs (json_object_get (value, FIELD_DEPENDENCIES), &spec->dependencies);
+  if (!ft_field_is_null (value, FIELD_DEPENDENCIES)
+      && !unpack_refs (json_object_get (value, FIELD_DEPENDENCIES), &spec->dependencies))
+    return ft_field_fail (value, FIELD_DEPENDENCIES, error);
+  return TRUE;
 }
 
 FtJobSpec *
-ft_row_open_parse (const char *ref, const json_t *value)
+ft_row_open_parse_full (const char *ref, const json_t *value, GError **error)
 {
   g_autoptr (FtJobSpec) spec = g_new0 (FtJobSpec, 1);
   spec->ref = g_strdup (ref);
-  if (!read_open_texts (value, spec) || !read_open_counts (value, spec) || !read_open_amounts (value, spec)
-      || !ft_field_bool (value, FIELD_ONE_ZONE, &spec->one_zone) || !ft_field_bool (value, FIELD_SPREAD, &spec->spread)
-      || !ft_field_bool (value, FIELD_SPOT, &spec->spot) || !read_watermark (value, spec)
-      || !read_dependencies (value, spec))
+  if (!read_open_texts (value, spec, error) || !read_open_counts (value, spec, error)
+      || !read_open_amounts (value, spec, error) || !read_open_flags (value, spec, error)
+      || !read_watermark (value, spec, error) || !read_dependencies (value, spec, error))
     return NULL;
   return g_steal_pointer (&spec);
 }
 
+FtJobSpec *
+ft_row_open_parse (const char *ref, const json_t *value)
+{
+  return ft_row_open_parse_full (ref, value, NULL);
+}
+
 json_t *
 ft_row_chunk (const char *bits)
 {
--- a/src/wire/job_rows.h
+++ b/src/wire/job_rows.h
@@ -112,13 +112,23 @@
 guint64 ft_row_open_revision (const FtRow *row);
 
 /**
- * ft_row_open_parse:
+ * ft_row_open_parse_full:
  * @ref: the job's ref, from the key
  * @value: (nullable): the value of its row among the open jobs
+ * @error: (nullable): set on failure to an %FT_WIRE_ERROR that names the field
  *
  * Returns: (transfer full) (nullable): the job, or %NULL if any field is malformed: a job is never
  * run with a part of what was submitted.
  */
+FtJobSpec *ft_row_open_parse_full (const char *ref, const json_t *value, GError **error);
+
+/**
+ * ft_row_open_parse:
+ * @ref: the job's ref, from the key
+ * @value: (nullable): the value of its row among the open jobs
+ *
+ * Returns: (transfer full) (nullable): as ft_row_open_parse_full(), for callers that do not log.
+ */
 FtJobSpec *ft_row_open_parse (const char *ref, const json_t *value);
 
 /**
--- a/src/wire/peer_heartbeat.c
+++ b/src/wire/peer_heartbeat.c
@@ -4,6 +4,14 @@
 #include "wire/fields.h"
 #include "wire/messages.h"
 
+#define FIELD_MEMBER "member"                     /* name of the sender */
+#define FIELD_SUPPORTS_DEPENDENCIES "knows_needs" /* its version knows of job dependencies */
+#define FIELD_STORE_ANSWERED "served_ms_ago"      /* milliseconds since the key-value store answered it */
+#define FIELD_YIELDS "yields"                     /* it has yielded leadership */
+#define FIELD_CANCELLATIONS "withdrawn"           /* refs of jobs whose cancellation it has just committed */
+#define FIELD_FENCING_TOKEN "token"               /* a leader's fencing token */
+#define FIELD_JOBS "jobs"                         /* a leader's progress of jobs: ref to [done, running] */
+
 static void
 job_clear (gpointer data)
 {
@@ -39,31 +47,42 @@
   g_array_append_val (heartbeat->jobs, job);
 }
 
+static json_t *
+cancellation_list (const FtPeerHeartbeat *heartbeat)
+{
+  json_t *refs = json_array ();
+  for (guint i = 0; i < heartbeat->cancellations->len; i++)
+    json_array_append_new (refs, json_string (g_ptr_array_index (heartbeat->cancellations, i)));
+  return refs;
+}
+
+static json_t *
+job_map (const FtPeerHeartbeat *heartbeat)
+{
+  json_t *jobs = json_object ();
+  for (guint i = 0; i < heartbeat->jobs->len; i++) {
+    const FtPeerHeartbeatJob *job = &g_array_index (heartbeat->jobs, FtPeerHeartbeatJob, i);
+    json_object_set_new (jobs, job->ref, json_pack ("[i, i]", (int) job->done, (int) job->running));
+  }
+  return jobs;
+}
+
 json_t *
 ft_peer_heartbeat_body (const FtPeerHeartbeat *heartbeat)
 {
-  json_t *body = json_pack ("{s:s}", "member", heartbeat->member);
+  json_t *body = json_pack ("{s:s}", FIELD_MEMBER, heartbeat->member);
   if (heartbeat->supports_dependencies)
-    json_object_set_new (body, "knows_needs", json_true ());
+    json_object_set_new (body, FIELD_SUPPORTS_DEPENDENCIES, json_true ());
   if (heartbeat->served)
-    json_object_set_new (body, "served_ms_ago", json_integer ((json_int_t) heartbeat->served_ms_ago));
+    json_object_set_new (body, FIELD_STORE_ANSWERED, json_integer ((json_int_t) heartbeat->served_ms_ago));
   if (heartbeat->yields)
-    json_object_set_new (body, "yields", json_true ());
-  if (heartbeat->cancellations->len > 0) {
-    json_t *refs = json_array ();
-    for (guint i = 0; i < heartbeat->cancellations->len; i++)
-      json_array_append_new (refs, json_string (g_ptr_array_index (heartbeat->cancellations, i)));
-    json_object_set_new (body, "withdrawn", refs);
+    json_object_set_new (body, FIELD_YIELDS, json_true ());
+  if (heartbeat->cancellations->len > 0)
+    json_object_set_new (body, FIELD_CANCELLATIONS, cancellation_list (heartbeat));
+  if (heartbeat->token != 0) {
+    json_object_set_new (body, FIELD_FENCING_TOKEN, json_integer ((json_int_t) heartbeat->token));
+    json_object_set_new (body, FIELD_JOBS, job_map (heartbeat));
   }
-  if (heartbeat->token == 0)
-    return body;
-  json_t *jobs = json_object ();
-  for (guint i = 0; i < heartbeat->jobs->len; i++) {
-    const FtPeerHeartbeatJob *job = &g_array_index (heartbeat->jobs, FtPeerHeartbeatJob, i);
-    json_object_set_new (jobs, job->ref, json_pack ("[i, i]", (int) job->done, (int) job->running));
-  }
-  json_object_set_new (body, "token", json_integer ((json_int_t) heartbeat->token));
-  json_object_set_new (body, "jobs", jobs);
   return body;
 }
 
@@ -108,12 +127,18 @@
   return TRUE;
 }
 
-/* TRUE if the field is missing, so that nothing is to be read, or was read. */
+/* An optional field; FALSE if it is there but not valid. */
 static gboolean
-parse_count (const json_t *body, const char *name, guint64 least, gboolean *present, guint64 *out)
+parse_count (const json_t *body, const char *name, guint64 min, gboolean *present, guint64 *out)
 {
   *present = !ft_field_is_null (body, name);
-  return !*present || ft_field_count (body, name, least, G_MAXINT32, out);
+  return !*present || ft_field_count (body, name, min, G_MAXINT32, out);
+}
+
+static gboolean
+parse_bool (const json_t *body, const char *name, gboolean *out)
+{
+  return ft_field_is_null (body, name) || ft_field_bool (body, name, out);
 }
 
 FtPeerHeartbeat *
@@ -121,18 +146,16 @@
 {
   g_autoptr (FtPeerHeartbeat) heartbeat = ft_peer_heartbeat_new (NULL);
   gboolean leads;
-  if (!ft_field_text (body, "member", FT_TEXT_MAX, &heartbeat->member)
-      || !parse_count (body, "served_ms_ago", 0, &heartbeat->served, &heartbeat->served_ms_ago)
-      || !parse_count (body, "token", 1, &leads, &heartbeat->token))
-    return NULL;
-  if (!ft_field_is_null (body, "yields") && !ft_field_bool (body, "yields", &heartbeat->yields))
-    return NULL;
-  if (!ft_field_is_null (body, "knows_needs")
-      && !ft_field_bool (body, "knows_needs", &heartbeat->supports_dependencies))
+  if (!ft_field_text (body, FIELD_MEMBER, FT_TEXT_MAX, &heartbeat->member)
+      || !parse_count (body, FIELD_STORE_ANSWERED, 0, &heartbeat->served, &heartbeat->served_ms_ago)
+      || !parse_count (body, FIELD_FENCING_TOKEN, 1, &leads, &heartbeat->token)
+      || !parse_bool (body, FIELD_YIELDS, &heartbeat->yields)
+      || !parse_bool (body, FIELD_SUPPORTS_DEPENDENCIES, &heartbeat->supports_dependencies))
     return NULL;
-  if (leads && !parse_jobs (heartbeat, json_object_get (body, "jobs")))
+  if (leads && !parse_jobs (heartbeat, json_object_get (body, FIELD_JOBS)))
     return NULL;
-  if (!ft_field_is_null (body, "withdrawn") && !parse_cancellations (heartbeat, json_object_get (body, "withdrawn")))
+  if (!ft_field_is_null (body, FIELD_CANCELLATIONS)
+      && !parse_cancellations (heartbeat, json_object_get (body, FIELD_CANCELLATIONS)))
     return NULL;
   return g_steal_pointer (&heartbeat);
 }
--- a/src/wire/worker_heartbeat.c
+++ b/src/wire/worker_heartbeat.c
@@ -1,29 +1,78 @@
-/* Workers' reports, read straight from CBOR. They are by far the most of what a leader
- * reads, with a map for each task and for each that ended of late: as a value tree one
- * took a hundred microseconds. Whatever is not of the plain form is left to the tree
- * decoder, which alone decides what is valid. */
+/* Workers' heartbeats, read straight from CBOR. They are by far the most of what a leader reads,
+ * with a map for each task that runs or has ended lately: decoding one by way of a value tree took
+ * a hundred microseconds. Only the plain form is read here (definite lengths, ASCII texts, no
+ * field twice); anything else is left to the tree decoder, which alone decides what is valid. */
 #include <cbor.h>
 #include <string.h>
 
 #include "core/constants.h"
 #include "wire/cbor.h"
 #include "wire/messages.h"
+#include "wire/protocol.h"
 
-typedef enum { ITEM_NONE, ITEM_UINT, ITEM_REAL, ITEM_TEXT, ITEM_BOOL, ITEM_NULL, ITEM_ARRAY, ITEM_MAP } ItemKind;
+typedef enum {
+  ITEM_OTHER, /* of no use here: the message is not plain */
+  ITEM_UINT,
+  ITEM_REAL,
+  ITEM_TEXT,
+  ITEM_BOOL,
+  ITEM_NULL,
+  ITEM_ARRAY,
+  ITEM_MAP,
+} ItemKind;
 
 /* One item as the streaming decoder met it; text is borrowed from the input. */
 typedef struct {
   ItemKind kind;
-  guint64 count; /* number, length, or entries of a container */
+  guint64 count; /* value of a number or boolean, length of a text, entries of a container */
   double real;
   const char *text;
 } Item;
 
 typedef struct {
   const guint8 *data;
-  gsize size, at;
+  gsize size;
+  gsize position;
 } Reader;
 
+/* What became of a map's field. */
+typedef enum {
+  FIELD_READ,
+  FIELD_UNKNOWN,   /* its value is still to be skipped */
+  FIELD_NOT_PLAIN, /* missing, twice, invalid, or of a form that is not read here */
+} FieldResult;
+
+/* The fields that a heartbeat must have; each has a bit in the set of those met. */
+typedef enum {
+  HEARTBEAT_MACHINE,
+  HEARTBEAT_ADDRESS,
+  HEARTBEAT_MACHINE_TYPE,
+  HEARTBEAT_ZONE,
+  HEARTBEAT_INCARNATION,
+  HEARTBEAT_SEQUENCE,
+  HEARTBEAT_TOKEN,
+  HEARTBEAT_SPOT,
+  HEARTBEAT_TASKS,
+  HEARTBEAT_FIELDS,
+} HeartbeatField;
+
+#define HEARTBEAT_ALL_FIELDS ((1u << HEARTBEAT_FIELDS) - 1)
+
+static const char *const heartbeat_fields[HEARTBEAT_FIELDS] = {
+  [HEARTBEAT_MACHINE] = FT_WIRE_MACHINE,
+  [HEARTBEAT_ADDRESS] = FT_WIRE_ADDRESS,
+  [HEARTBEAT_MACHINE_TYPE] = FT_WIRE_MACHINE_TYPE,
+  [HEARTBEAT_ZONE] = FT_WIRE_ZONE,
+  [HEARTBEAT_INCARNATION] = FT_WIRE_INCARNATION,
+  [HEARTBEAT_SEQUENCE] = FT_WIRE_SEQUENCE,
+  [HEARTBEAT_TOKEN] = FT_WIRE_FENCING_TOKEN,
+  [HEARTBEAT_SPOT] = FT_WIRE_SPOT,
+  [HEARTBEAT_TASKS] = FT_WIRE_TASKS,
+};
+
+/* Fields that a task must have: name, attempt and state. */
+#define TASK_REQUIRED_FIELDS 3
+
 static void
 set (void *item, ItemKind kind, guint64 count)
 {
@@ -36,23 +85,24 @@
   *(Item *) item = (Item){ .kind = ITEM_REAL, .real = value };
 }
 
+/* Callbacks of libcbor, one for each encoding of an item. */
 /* clang-format off */
-static void on_u8 (void *i, uint8_t v) { set (i, ITEM_UINT, v); }
-static void on_u16 (void *i, uint16_t v) { set (i, ITEM_UINT, v); }
-static void on_u32 (void *i, uint32_t v) { set (i, ITEM_UINT, v); }
-static void on_u64 (void *i, uint64_t v) { set (i, ITEM_UINT, v); }
-static void on_float (void *i, float v) { set_real (i, v); }
-static void on_double (void *i, double v) { set_real (i, v); }
-static void on_null (void *i) { set (i, ITEM_NULL, 0); }
-static void on_bool (void *i, bool v) { set (i, ITEM_BOOL, v); }
-static void on_array (void *i, size_t n) { set (i, ITEM_ARRAY, n); }
-static void on_map (void *i, size_t n) { set (i, ITEM_MAP, n); }
-static void other (void *i) { set (i, ITEM_NONE, 0); }
-static void other_8 (void *i, uint8_t v) { (void) v; other (i); }
-static void other_16 (void *i, uint16_t v) { (void) v; other (i); }
-static void other_32 (void *i, uint32_t v) { (void) v; other (i); }
-static void other_64 (void *i, uint64_t v) { (void) v; other (i); }
-static void other_bytes (void *i, cbor_data d, size_t n) { (void) d; (void) n; other (i); }
+static void on_u8 (void *item, uint8_t value) { set (item, ITEM_UINT, value); }
+static void on_u16 (void *item, uint16_t value) { set (item, ITEM_UINT, value); }
+static void on_u32 (void *item, uint32_t value) { set (item, ITEM_UINT, value); }
+static void on_u64 (void *item, uint64_t value) { set (item, ITEM_UINT, value); }
+static void on_float (void *item, float value) { set_real (item, value); }
+static void on_double (void *item, double value) { set_real (item, value); }
+static void on_null (void *item) { set (item, ITEM_NULL, 0); }
+static void on_bool (void *item, bool value) { set (item, ITEM_BOOL, value); }
+static void on_array (void *item, size_t count) { set (item, ITEM_ARRAY, count); }
+static void on_map (void *item, size_t count) { set (item, ITEM_MAP, count); }
+static void on_other (void *item) { set (item, ITEM_OTHER, 0); }
+static void on_other_8 (void *item, uint8_t value) { (void) value; on_other (item); }
+static void on_other_16 (void *item, uint16_t value) { (void) value; on_other (item); }
+static void on_other_32 (void *item, uint32_t value) { (void) value; on_other (item); }
+static void on_other_64 (void *item, uint64_t value) { (void) value; on_other (item); }
+static void on_bytes (void *item, cbor_data data, size_t size) { (void) data; (void) size; on_other (item); }
 /* clang-format on */
 
 static void
@@ -66,26 +116,26 @@
   .uint16 = on_u16,
   .uint32 = on_u32,
   .uint64 = on_u64,
-  .negint8 = other_8,
-  .negint16 = other_16,
-  .negint32 = other_32,
-  .negint64 = other_64,
-  .byte_string = other_bytes,
-  .byte_string_start = other,
+  .negint8 = on_other_8,
+  .negint16 = on_other_16,
+  .negint32 = on_other_32,
+  .negint64 = on_other_64,
+  .byte_string = on_bytes,
+  .byte_string_start = on_other,
   .string = on_text,
-  .string_start = other,
+  .string_start = on_other,
   .array_start = on_array,
-  .indef_array_start = other,
+  .indef_array_start = on_other,
   .map_start = on_map,
-  .indef_map_start = other,
-  .tag = other_64,
+  .indef_map_start = on_other,
+  .tag = on_other_64,
   .float2 = on_float,
   .float4 = on_float,
   .float8 = on_double,
   .null = on_null,
-  .undefined = other,
+  .undefined = on_other,
   .boolean = on_bool,
-  .indef_break = other,
+  .indef_break = on_other,
 };
 
 static Item
@@ -93,24 +143,24 @@
 {
   Item item = { 0 };
   struct cbor_decoder_result result
-      = cbor_stream_decode (reader->data + reader->at, reader->size - reader->at, &callbacks, &item);
+      = cbor_stream_decode (reader->data + reader->position, reader->size - reader->position, &callbacks, &item);
   if (result.status != CBOR_DECODER_FINISHED)
-    item.kind = ITEM_NONE;
-  reader->at += result.read;
+    item.kind = ITEM_OTHER;
+  reader->position += result.read;
   return item;
 }
 
 static gboolean
-is (const Item *item, const char *text)
+text_equals (const Item *item, const char *text)
 {
   return item->count == strlen (text) && memcmp (item->text, text, item->count) == 0;
 }
 
-/* Plain printable ASCII; whatever else may be valid is the tree decoder's to say. */
+/* A text of printable ASCII; whether any other is valid is for the tree decoder to say. */
 static gboolean
-plain (const Item *item, gsize most)
+is_plain_text (const Item *item, gsize max_bytes)
 {
-  if (item->kind != ITEM_TEXT || item->count == 0 || item->count > most)
+  if (item->kind != ITEM_TEXT || item->count == 0 || item->count > max_bytes)
     return FALSE;
   for (guint64 i = 0; i < item->count; i++)
     if (item->text[i] < ' ' || item->text[i] > '~')
@@ -122,7 +172,7 @@
 read_text (Reader *reader, char **out)
 {
   Item item = next (reader);
-  if (*out != NULL || !plain (&item, FT_TEXT_MAX))
+  if (*out != NULL || !is_plain_text (&item, FT_TEXT_MAX))
     return FALSE;
   *out = g_strndup (item.text, item.count);
   return TRUE;
@@ -137,41 +187,50 @@
 }
 
 static gboolean
-read_name (const Item *item, FtTaskStatus *task)
+read_task_name (Reader *reader, FtTaskStatus *task)
 {
   char name[FT_TEXT_MAX + 1];
-  if (!plain (item, FT_TEXT_MAX))
+  Item item = next (reader);
+  if (task->job != NULL || !is_plain_text (&item, FT_TEXT_MAX))
     return FALSE;
-  memcpy (name, item->text, item->count);
-  name[item->count] = '\0';
+  memcpy (name, item.text, item.count);
+  name[item.count] = '\0';
   return ft_message_task_name (name, task);
 }
 
-/* 1: a field was read; 0: one that is not known here; -1: not plain. */
-static int
+static FieldResult
 read_task_field (Reader *reader, const Item *key, FtTaskStatus *task, Item *state, Item *cause)
 {
-  if (is (key, "try"))
-    return read_count (reader, &task->attempt) ? 1 : -1;
-  if (is (key, "standing")) {
+  gboolean valid;
+  if (text_equals (key, FT_WIRE_ATTEMPT)) {
+    valid = read_count (reader, &task->attempt);
+  } else if (text_equals (key, FT_WIRE_STATE)) {
     *state = next (reader);
-    return plain (state, FT_TEXT_MAX) ? 1 : -1;
-  }
-  if (is (key, "cause")) {
+    valid = is_plain_text (state, FT_TEXT_MAX);
+  } else if (text_equals (key, FT_WIRE_EXIT_REASON)) {
     *cause = next (reader);
-    return plain (cause, FT_TEXT_MAX) || cause->kind == ITEM_NULL ? 1 : -1;
+    valid = is_plain_text (cause, FT_TEXT_MAX) || cause->kind == ITEM_NULL;
+  } else if (text_equals (key, FT_WIRE_TASK)) {
+    valid = read_task_name (reader, task);
+  } else {
+    return FIELD_UNKNOWN;
   }
-  if (!is (key, "piece"))
-    return 0;
-  Item name = next (reader);
-  return task->job == NULL && read_name (&name, task) ? 1 : -1;
+  return valid ? FIELD_READ : FIELD_NOT_PLAIN;
 }
 
 static gboolean
 skip_scalar (Reader *reader)
 {
   Item item = next (reader);
-  return item.kind == ITEM_UINT || item.kind == ITEM_BOOL || item.kind == ITEM_NULL || plain (&item, FT_BODY_MAX);
+  return item.kind == ITEM_UINT || item.kind == ITEM_BOOL || item.kind == ITEM_NULL
+         || is_plain_text (&item, FT_BODY_MAX);
+}
+
+/* The rest of a field's outcome: an unknown one's value is skipped. */
+static gboolean
+finish_field (Reader *reader, FieldResult result)
+{
+  return result == FIELD_READ || (result == FIELD_UNKNOWN && skip_scalar (reader));
 }
 
 static gboolean
@@ -179,27 +238,29 @@
 {
   Item map = next (reader), state = { 0 }, cause = { 0 };
   FtTaskStatus blank = { 0 };
-  guint fields = 0;
+  guint required = 0;
   if (map.kind != ITEM_MAP)
     return FALSE;
   g_array_append_val (tasks, blank);
   FtTaskStatus *task = &g_array_index (tasks, FtTaskStatus, tasks->len - 1);
   for (guint64 i = 0; i < map.count; i++) {
     Item key = next (reader);
-    int read = plain (&key, FT_TEXT_MAX) ? read_task_field (reader, &key, task, &state, &cause) : -1;
-    if (read < 0 || (read == 0 && !skip_scalar (reader)))
+    if (!is_plain_text (&key, FT_TEXT_MAX))
+      return FALSE;
+    FieldResult result = read_task_field (reader, &key, task, &state, &cause);
+    if (!finish_field (reader, result))
       return FALSE;
-    fields += read > 0 && !is (&key, "cause");
+    required += result == FIELD_READ && !text_equals (&key, FT_WIRE_EXIT_REASON);
   }
-  return fields == 3 && task->job != NULL
+  return required == TASK_REQUIRED_FIELDS && task->job != NULL
          && ft_message_task_state (state.text, state.count, cause.text, cause.count, task);
 }
 
 static gboolean
-read_list (Reader *reader, GArray *tasks)
+read_tasks (Reader *reader, GArray *tasks)
 {
   Item list = next (reader);
-  if (list.kind != ITEM_ARRAY || tasks->len > 0)
+  if (list.kind != ITEM_ARRAY)
     return FALSE;
   for (guint64 i = 0; i < list.count; i++)
     if (!read_task (reader, tasks))
@@ -207,6 +268,14 @@
   return TRUE;
 }
 
+static gboolean
+read_spot (Reader *reader, FtWorkerHeartbeat *heartbeat)
+{
+  Item item = next (reader);
+  heartbeat->spot = item.count != 0;
+  return item.kind == ITEM_BOOL;
+}
+
 static gboolean
 read_notice (Reader *reader, FtWorkerHeartbeat *heartbeat)
 {
@@ -218,49 +287,69 @@
          && heartbeat->notice_s <= FT_AMOUNT_MAX;
 }
 
-/* 1, 0 or -1 as above; `seen` has a bit for each field that must be there. */
-static int
-read_field (Reader *reader, const Item *key, FtWorkerHeartbeat *heartbeat, guint *seen)
+static gboolean
+read_required_field (Reader *reader, HeartbeatField field, FtWorkerHeartbeat *heartbeat)
 {
-  static const char *const names[]
-      = { "hearth", "address", "build", "yard", "shift", "tally", "baton", "loaners", "pieces" };
-  char **texts[] = { &heartbeat->machine, &heartbeat->addr, &heartbeat->type, &heartbeat->zone };
-  guint64 *counts[] = { &heartbeat->incarnation, &heartbeat->sequence, &heartbeat->token };
-  guint i = 0;
-  while (i < G_N_ELEMENTS (names) && !is (key, names[i]))
-    i++;
-  if (i == G_N_ELEMENTS (names))
-    return !is (key, "recall_s") ? 0 : read_notice (reader, heartbeat) ? 1 : -1;
-  if (*seen & (1u << i))
-    return -1;
-  *seen |= 1u << i;
-  if (i < 4)
-    return read_text (reader, texts[i]) ? 1 : -1;
-  if (i < 7)
-    return read_count (reader, counts[i - 4]) ? 1 : -1;
-  if (i == 8)
-    return read_list (reader, heartbeat->tasks) ? 1 : -1;
-  Item item = next (reader);
-  heartbeat->spot = item.count != 0;
-  return item.kind == ITEM_BOOL ? 1 : -1;
+  switch (field) {
+  case HEARTBEAT_MACHINE:
+    return read_text (reader, &heartbeat->machine);
+  case HEARTBEAT_ADDRESS:
+    return read_text (reader, &heartbeat->addr);
+  case HEARTBEAT_MACHINE_TYPE:
+    return read_text (reader, &heartbeat->type);
+  case HEARTBEAT_ZONE:
+    return read_text (reader, &heartbeat->zone);
+  case HEARTBEAT_INCARNATION:
+    return read_count (reader, &heartbeat->incarnation);
+  case HEARTBEAT_SEQUENCE:
+    return read_count (reader, &heartbeat->sequence);
+  case HEARTBEAT_TOKEN:
+    return read_count (reader, &heartbeat->token);
+  case HEARTBEAT_SPOT:
+    return read_spot (reader, heartbeat);
+  case HEARTBEAT_TASKS:
+    return read_tasks (reader, heartbeat->tasks);
+  case HEARTBEAT_FIELDS:
+    break;
+  }
+  return FALSE;
+}
+
+/* `met` has a bit for each required field that has been read. */
+static FieldResult
+read_field (Reader *reader, const Item *key, FtWorkerHeartbeat *heartbeat, guint *met)
+{
+  guint field = 0;
+  while (field < HEARTBEAT_FIELDS && !text_equals (key, heartbeat_fields[field]))
+    field++;
+  gboolean valid;
+  if (field < HEARTBEAT_FIELDS) {
+    valid = (*met & (1u << field)) == 0 && read_required_field (reader, (HeartbeatField) field, heartbeat);
+    *met |= 1u << field;
+  } else if (text_equals (key, FT_WIRE_INTERRUPTION_NOTICE)) {
+    valid = read_notice (reader, heartbeat);
+  } else {
+    return FIELD_UNKNOWN;
+  }
+  return valid ? FIELD_READ : FIELD_NOT_PLAIN;
 }
 
+/* NULL if the message is not of the plain form. */
 static FtWorkerHeartbeat *
 read_plain (const guint8 *data, gsize size)
 {
-  Reader r = { data, size, 0 };
-  Item map = next (&r);
+  Reader reader = { data, size, 0 };
+  Item map = next (&reader);
   g_autoptr (FtWorkerHeartbeat) heartbeat = ft_worker_heartbeat_new ();
-  guint seen = 0;
+  guint met = 0;
   if (map.kind != ITEM_MAP)
     return NULL;
   for (guint64 i = 0; i < map.count; i++) {
-    Item key = next (&r);
-    int read = plain (&key, FT_TEXT_MAX) ? read_field (&r, &key, heartbeat, &seen) : -1;
-    if (read < 0 || (read == 0 && !skip_scalar (&r)))
+    Item key = next (&reader);
+    if (!is_plain_text (&key, FT_TEXT_MAX) || !finish_field (&reader, read_field (&reader, &key, heartbeat, &met)))
       return NULL;
   }
-  return seen == (1u << 9) - 1 && r.at == size ? g_steal_pointer (&heartbeat) : NULL;
+  return met == HEARTBEAT_ALL_FIELDS && reader.position == size ? g_steal_pointer (&heartbeat) : NULL;
 }
 
 FtWorkerHeartbeat *
