--- a/src/main.c
+++ b/src/main.c
@@ -1,6 +1,9 @@
-/* flintrack: one controller of the cluster scheduler. */
+/* flintrack: one controller of the cluster scheduler. Reads the arguments and the settings file,
+ * starts a node (net/node.h) and runs the main loop, which never ends by itself: a controller is
+ * stopped by a signal. */
 #include <malloc.h>
 #include <stdio.h>
+#include <stdlib.h>
 
 #include <gio/gio.h>
 
@@ -8,10 +11,15 @@
 #include "log.h"
 #include "net/node.h"
 
-enum { EXIT_USAGE = 2, EXIT_SETTINGS = 3, EXIT_LISTEN = 4 };
+/* Exit codes, as documented in --help and the manual page; 0 is success. */
+typedef enum {
+  EXIT_USAGE = 2,    /* wrong arguments, or none that say what to do */
+  EXIT_SETTINGS = 3, /* the settings file cannot be read, is not JSON, or a field is missing or wrong */
+  EXIT_LISTEN = 4,   /* an address of the settings file cannot be listened on */
+} ExitCode;
 
 static int
-run (const char *path)
+run_controller (const char *path)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (FtConfig) config = ft_config_load (path, &error);
@@ -19,8 +27,8 @@
     fprintf (stderr, "flintrack: %s\n", error->message);
     return EXIT_SETTINGS;
   }
-  /* Messages are many small pieces beside a few large buffers; each of the latter
-   * would have the allocator join all the former again. */
+  /* Messages are many small blocks beside a few large buffers. With the allocator's fast bins each
+   * allocation of the latter would have it merge all the freed former. */
   mallopt (M_MXFAST, 0);
   ft_log_init (config->member);
   FtNode *node = ft_node_new (config, &error);
@@ -31,11 +39,11 @@
   g_autoptr (GMainLoop) loop = g_main_loop_new (NULL, FALSE);
   g_main_loop_run (loop);
   ft_node_free (node);
-  return 0;
+  return EXIT_SUCCESS;
 }
 
 static int
-check (const char *path)
+check_settings (const char *path)
 {
   g_autoptr (GError) error = NULL;
   g_autoptr (FtConfig) config = ft_config_load (path, &error);
@@ -45,7 +53,7 @@
   }
   printf ("%s: settings of %s are valid (%u teams, %u controllers)\n", path, config->member, config->core.n_teams,
           config->core.size);
-  return 0;
+  return EXIT_SUCCESS;
 }
 
 int
@@ -71,12 +79,12 @@
   }
   if (version) {
     printf ("flintrack %s\n", FT_VERSION);
-    return 0;
+    return EXIT_SUCCESS;
   }
   if (to_check != NULL)
-    return check (to_check);
+    return check_settings (to_check);
   if (config != NULL)
-    return run (config);
+    return run_controller (config);
   fprintf (stderr, "flintrack: --config FILE is needed; see --help\n");
   return EXIT_USAGE;
 }
