--- a/src/net/leader.c
+++ b/src/net/leader.c
@@ -287,11 +287,13 @@
     return;
   }
   G_GNUC_UNUSED g_autoptr (Call) owned = call;
-  if ((guint64) json_integer_value (json_object_get (row.value, "token")) != ft_lease_token (node->lease)) {
+  guint64 token, batch;
+  ft_row_journal_parse (row.value, &token, &batch);
+  if (token != ft_lease_token (node->lease)) {
     ft_node_step_down (node, "the journal is another leader's");
     return;
   }
-  gboolean applied = (guint64) json_integer_value (json_object_get (row.value, "batch")) == call->batch;
+  gboolean applied = batch == call->batch;
   node->leader.journal_revision = row.revision;
   batch_over (node, call, applied, NULL);
 }
--- a/src/net/polls.c
+++ b/src/net/polls.c
@@ -104,7 +104,7 @@
 {
   if (polls->asked != NULL || g_queue_is_empty (&polls->waiting))
     return;
-  json_t *txn = json_pack ("{s:[]}", "if");
+  json_t *txn = ft_txn_new_check ();
   guint most = FT_CONDITIONS_PER_CHANGE * polls->node->config->core.txn_ops;
   polls->asked = g_ptr_array_new ();
   Poll *poll;
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -2,6 +2,7 @@
 
 #include "core/constants.h"
 #include "net/budget.h"
+#include "wire/store_messages.h"
 
 typedef struct {
   FtStoreClient *store;
@@ -190,7 +191,7 @@
   request->path = path;
   request->body = json_incref ((json_t *) body);
   request->priority = priority;
-  request->writes = body != NULL ? (guint) json_array_size (json_object_get (body, "apply")) : 0;
+  request->writes = ft_txn_change_count (body);
   request->timeout_s = FT_STORE_TIMEOUT_S;
   request->done = done;
   request->data = data;
--- a/src/wire/lease_rows.c
+++ b/src/wire/lease_rows.c
@@ -36,6 +36,13 @@
   return json_pack ("{s:I, s:I}", FIELD_TOKEN, (json_int_t) token, FIELD_BATCH, (json_int_t) batch);
 }
 
+void
+ft_row_journal_parse (const json_t *value, guint64 *token, guint64 *batch)
+{
+  *token = (guint64) json_integer_value (json_object_get (value, FIELD_TOKEN));
+  *batch = (guint64) json_integer_value (json_object_get (value, FIELD_BATCH));
+}
+
 static gboolean
 read_fence (const FtRow *row, FtLeaseRows *out)
 {
--- a/src/wire/lease_rows.h
+++ b/src/wire/lease_rows.h
@@ -42,6 +42,14 @@
  */
 json_t *ft_row_journal (guint64 token, guint64 batch);
 
+/**
+ * ft_row_journal_parse:
+ * @value: the value of the journal row
+ * @token: (out): fencing token of the leader that wrote it; 0 if it is malformed
+ * @batch: (out): number of its last batch; 0 if it is malformed
+ */
+void ft_row_journal_parse (const json_t *value, guint64 *token, guint64 *batch);
+
 /**
  * ft_row_lease_parse:
  * @rows: (element-type FtRow): the rows below %FT_PREFIX_LEASE; others are skipped
--- a/src/wire/store_messages.c
+++ b/src/wire/store_messages.c
@@ -25,6 +25,18 @@
   return json_pack ("{s:[], s:[]}", FIELD_CONDITIONS, FIELD_CHANGES);
 }
 
+json_t *
+ft_txn_new_check (void)
+{
+  return json_pack ("{s:[]}", FIELD_CONDITIONS);
+}
+
+guint
+ft_txn_change_count (const json_t *txn)
+{
+  return (guint) json_array_size (json_object_get (txn, FIELD_CHANGES));
+}
+
 void
 ft_txn_if (json_t *txn, const char *key, guint64 revision)
 {
--- a/src/wire/store_messages.h
+++ b/src/wire/store_messages.h
@@ -18,6 +18,23 @@
  */
 json_t *ft_txn_new (void);
 
+/**
+ * ft_txn_new_check:
+ *
+ * Returns: (transfer full): a transaction that can have conditions only. It changes nothing: its
+ * answer tells which rows are no longer at the expected revisions.
+ */
+json_t *ft_txn_new_check (void);
+
+/**
+ * ft_txn_change_count:
+ * @txn: (nullable): any request's body
+ *
+ * Returns: the number of its changes, which count against the store's limit; 0 if it is not a
+ * transaction.
+ */
+guint ft_txn_change_count (const json_t *txn);
+
 /**
  * ft_txn_if:
  * @txn: a transaction
