--- a/tests/test_fuzz.cpp
+++ b/tests/test_fuzz.cpp
@@ -34,16 +34,16 @@
 }
 
 void
-fuzz_report (const json_t *body)
+fuzz_worker_heartbeat (const json_t *body)
 {
   g_autoptr (FtWorkerHeartbeat) heartbeat = ft_message_worker_heartbeat (body);
   if (heartbeat == nullptr)
     return;
   sim::World world (1);
-  g_autoptr (FtScheduler) s = ft_scheduler_new (&world.settings, world.catalog, 41, 0, 1, 1);
-  ft_scheduler_loaded (s, 1);
-  if (ft_scheduler_heartbeat (s, heartbeat, 2)) {
-    g_autoptr (GArray) commands = ft_scheduler_answer (s, heartbeat, 2);
+  g_autoptr (FtScheduler) scheduler = ft_scheduler_new (&world.settings, world.catalog, 41, 0, 1, 1);
+  ft_scheduler_loaded (scheduler, 1);
+  if (ft_scheduler_heartbeat (scheduler, heartbeat, 2)) {
+    g_autoptr (GArray) commands = ft_scheduler_answer (scheduler, heartbeat, 2);
     json_decref (ft_message_answer (41, commands));
   }
 }
@@ -70,7 +70,7 @@
 read_rows (const GArray *rows)
 {
   sim::World world (1);
-  g_autoptr (FtScheduler) s = ft_scheduler_new (&world.settings, world.catalog, 41, 0, 1, 1);
+  g_autoptr (FtScheduler) scheduler = ft_scheduler_new (&world.settings, world.catalog, 41, 0, 1, 1);
   FtLeaseRows lease{};
   ft_row_lease_parse (rows, &lease);
   ft_lease_rows_clear (&lease);
@@ -81,14 +81,16 @@
     guint number;
     g_autofree char *open = ft_key_open_ref (row->key, &cancelled);
     if (open != nullptr && row->value != nullptr) {
-      FtJobSpec *spec = ft_row_open_parse (open, row->value);
+      g_autoptr (GError) error = nullptr;
+      FtJobSpec *spec = ft_row_open_parse_full (open, row->value, &error);
+      EXPECT_TRUE ((spec == nullptr) == (error != nullptr));
       if (spec != nullptr)
-        ft_scheduler_load_job (s, spec, row->revision, 1, 1);
+        ft_scheduler_load_job (scheduler, spec, row->revision, 1, 1);
     }
     if (row->value != nullptr)
-      ft_row_machine_parse (s, row);
+      ft_row_machine_parse (scheduler, row);
     if (ft_key_chunk_parse (row->key, &ref, &number) && row->value != nullptr && ft_row_chunk_bits (row->value))
-      ft_scheduler_load_done (s, ref, number, ft_row_chunk_bits (row->value));
+      ft_scheduler_load_done (scheduler, ref, number, ft_row_chunk_bits (row->value));
     FtJobRow job_row;
     ft_row_job_parse (row->value, &job_row);
   }
@@ -115,7 +117,7 @@
 }
 
 void
-fuzz_heartbeat (const json_t *body)
+fuzz_peer_heartbeat (const json_t *body)
 {
   g_autoptr (FtPeerHeartbeat) heartbeat = ft_peer_heartbeat_parse (body);
   if (heartbeat == nullptr)
@@ -175,16 +177,16 @@
   if (!json_is_object (node) || json_object_size (node) == 0)
     return;
   int chosen = g_rand_int_range (random, 0, (gint32) json_object_size (node));
-  void *it = json_object_iter (node);
+  void *position = json_object_iter (node);
   while (chosen-- > 0)
-    it = json_object_iter_next (node, it);
-  json_t *value = json_object_iter_value (it);
+    position = json_object_iter_next (node, position);
+  json_t *value = json_object_iter_value (position);
   if ((json_is_object (value) || json_is_array (value)) && g_rand_boolean (random)) {
     mutate_tree (random, value);
     return;
   }
   const char *text = wrong[g_rand_int_range (random, 0, G_N_ELEMENTS (wrong))];
-  json_object_iter_set_new (node, it, json_loads (text, JSON_DECODE_ANY, nullptr));
+  json_object_iter_set_new (node, position, json_loads (text, JSON_DECODE_ANY, nullptr));
 }
 
 // Bytes of the seed with errors in them, and the seed's tree with errors in it.
@@ -225,23 +227,24 @@
 }
 
 std::string
-text_of (const FtWorkerHeartbeat *r)
+text_of (const FtWorkerHeartbeat *heartbeat)
 {
-  if (r == nullptr)
+  if (heartbeat == nullptr)
     return "none";
-  g_autofree char *head = g_strdup_printf (
-      "%s %s %s %s %d %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT " %g", r->machine, r->addr,
-      r->type, r->zone, r->spot, r->incarnation, r->sequence, r->token, r->notice_s);
+  g_autofree char *head
+      = g_strdup_printf ("%s %s %s %s %d %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT " %" G_GUINT64_FORMAT " %g",
+                         heartbeat->machine, heartbeat->addr, heartbeat->type, heartbeat->zone, heartbeat->spot,
+                         heartbeat->incarnation, heartbeat->sequence, heartbeat->token, heartbeat->notice_s);
   std::string all = head;
-  for (guint i = 0; i < r->tasks->len; i++) {
-    const FtTaskStatus *t = &g_array_index (r->tasks, FtTaskStatus, i);
-    all += std::string (" ") + t->job + "/" + std::to_string (t->index) + " " + std::to_string (t->attempt) + " "
-           + std::to_string (t->state) + " " + std::to_string (t->exit_reason);
+  for (guint i = 0; i < heartbeat->tasks->len; i++) {
+    const FtTaskStatus *task = &g_array_index (heartbeat->tasks, FtTaskStatus, i);
+    all += std::string (" ") + task->job + "/" + std::to_string (task->index) + " " + std::to_string (task->attempt)
+           + " " + std::to_string (task->state) + " " + std::to_string (task->exit_reason);
   }
   return all;
 }
 
-// The quick way takes no other reports, and no heartbeat otherwise, than the tree does.
+// The streaming decoder accepts the same heartbeats as the tree decoder, and reads the same from them.
 void
 read_both (const guint8 *data, gsize size, int *taken)
 {
@@ -253,9 +256,9 @@
   json_decref (tree);
 }
 
-TEST (Fuzz, ReportFromBytesAsFromTheTree)
+TEST (Fuzz, WorkerHeartbeatFromBytesAsFromTheTree)
 {
-  json_t *seed = json_loads (read_corpus ("report").c_str (), 0, nullptr);
+  json_t *seed = json_loads (read_corpus ("worker_heartbeat").c_str (), 0, nullptr);
   json_object_set_new (seed, "recall_s", json_real (12.5));
   int taken = 0;
   auto from_bytes = [&] (const guint8 *data, gsize size) { read_both (data, size, &taken); };
@@ -271,12 +274,12 @@
 }
 
 TEST (Fuzz, Job) { run ("job", fuzz_job); }
-TEST (Fuzz, Report) { run ("report", fuzz_report); }
+TEST (Fuzz, WorkerHeartbeat) { run ("worker_heartbeat", fuzz_worker_heartbeat); }
 TEST (Fuzz, Catalog) { run ("catalog", fuzz_catalog); }
 TEST (Fuzz, Machines) { run ("machines", fuzz_machines); }
 TEST (Fuzz, Rows) { run ("rows", fuzz_rows); }
 TEST (Fuzz, Events) { run ("events", fuzz_events); }
-TEST (Fuzz, Heartbeat) { run ("heartbeat", fuzz_heartbeat); }
+TEST (Fuzz, PeerHeartbeat) { run ("peer_heartbeat", fuzz_peer_heartbeat); }
 
 TEST (Fuzz, Settings)
 {
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -42,7 +42,8 @@
 }
 
 // Captured from a running controller of the version that deploy/service.toml names: a job that
-// runs, one partly done, one that waits for a dispatch watermark, one cancelled, two machines, settings.
+// runs, one partly done, one that waits for its dispatch watermark to be written, one cancelled, two machines,
+// settings.
 class ProductionRows : public testing::Test {
 protected:
   json_t *all = json_load_file (FT_CORPUS "/production_rows.json", 0, nullptr);
@@ -54,9 +55,9 @@
   }
 };
 
-TEST_F (ProductionRows, JobsMarksDoneSetsAndMachinesAreTakenOver)
+TEST_F (ProductionRows, JobsWatermarksDoneSetsAndMachinesAreLoaded)
 {
-  SchedulerHarness b;
+  SchedulerHarness harness;
   guint machines = 0;
   // In the order in which a leader reads them.
   for (const char *key : { "o/req-3", "o/req-5", "o/req-6", "o/req-7", "o/req-8", "o/req-8/w", "d/req-5/0", "m/1-0" }) {
@@ -67,23 +68,24 @@
     guint chunk;
     g_autofree char *ref = nullptr, *open = ft_key_open_ref (key, &cancelled);
     if (open != nullptr && !cancelled)
-      ft_scheduler_load_job (b.s, ft_row_open_parse (open, value), ft_row_open_revision (&row), 100 * kS, 0);
+      ft_scheduler_load_job (harness.s, ft_row_open_parse (open, value), ft_row_open_revision (&row), 100 * kS, 0);
     else if (open != nullptr)
-      ft_scheduler_job_cancelled (b.s, open, 0, 100 * kS);
+      ft_scheduler_job_cancelled (harness.s, open, 0, 100 * kS);
     else if (ft_key_chunk_parse (key, &ref, &chunk))
-      ft_scheduler_load_done (b.s, ref, chunk, ft_row_chunk_bits (value));
+      ft_scheduler_load_done (harness.s, ref, chunk, ft_row_chunk_bits (value));
     else if (g_str_has_prefix (key, "m/"))
-      machines += ft_row_machine_parse (b.s, &row);
+      machines += ft_row_machine_parse (harness.s, &row);
   }
-  ft_scheduler_loaded (b.s, 100 * kS);
+  ft_scheduler_loaded (harness.s, 100 * kS);
   EXPECT_EQ (machines, 1u);
-  ASSERT_NE (b.job ("req-5"), nullptr);
-  EXPECT_EQ (ft_job_finished (b.job ("req-5")), 2u) << "its done-set";
-  EXPECT_EQ (b.job ("req-3")->state, FT_JOB_OPEN);
-  EXPECT_EQ (b.job ("req-3")->counts[FT_TASK_UNKNOWN], 2u) << "sent, and so perhaps running";
-  EXPECT_EQ (b.job ("req-8")->state, FT_JOB_CANCELLING);
-  EXPECT_NE (b.machine ("n-000001"), nullptr);
-  EXPECT_NE (b.machine ("n-000002"), nullptr);
+  ASSERT_NE (harness.job ("req-5"), nullptr);
+  EXPECT_EQ (ft_job_finished (harness.job ("req-5")), 2u) << "its done-set";
+  EXPECT_EQ (harness.job ("req-3")->state, FT_JOB_OPEN);
+  EXPECT_EQ (harness.job ("req-3")->counts[FT_TASK_UNKNOWN], 2u)
+      << "below the dispatch watermark, and so perhaps running";
+  EXPECT_EQ (harness.job ("req-8")->state, FT_JOB_CANCELLING);
+  EXPECT_NE (harness.machine ("n-000001"), nullptr);
+  EXPECT_NE (harness.machine ("n-000002"), nullptr);
 }
 
 TEST_F (ProductionRows, StatesAndTheLeaseAreRead)
@@ -108,8 +110,8 @@
   EXPECT_EQ (tuning.sample_size, 9);
 }
 
-// A heartbeat of before tells that its sender would start a job whatever it waits for.
-TEST (Records, AHeartbeatOfAnOlderVersionIsToldFromANewOne)
+// The sender of a heartbeat without the field is of a version that would start a job before its dependencies.
+TEST (Records, AHeartbeatOfAnOlderVersionIsDistinguishedFromANewOne)
 {
   json_t *old_body = parse ("{\"member\":\"hearth-1\",\"served_ms_ago\":5,\"token\":3,\"jobs\":{\"req-1\":[1,2]}}");
   g_autoptr (FtPeerHeartbeat) old_beat = ft_peer_heartbeat_parse (old_body);
