--- a/src/config.h
+++ b/src/config.h
@@ -33,6 +33,12 @@
 } FtConfigError;
 
 #define FT_CONFIG_ERROR (ft_config_error_quark ())
+
+/**
+ * ft_config_error_quark:
+ *
+ * Returns: the error domain; used by way of %FT_CONFIG_ERROR.
+ */
 GQuark ft_config_error_quark (void);
 
 /**
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -23,6 +23,12 @@
 typedef enum { FT_WIRE_ERROR_MISSING_FIELD, FT_WIRE_ERROR_INVALID_FIELD } FtWireError;
 
 #define FT_WIRE_ERROR (ft_wire_error_quark ())
+
+/**
+ * ft_wire_error_quark:
+ *
+ * Returns: the error domain; used by way of %FT_WIRE_ERROR.
+ */
 GQuark ft_wire_error_quark (void);
 
 /**
