--- a/src/net/leader.c
+++ b/src/net/leader.c
@@ -107,9 +107,10 @@
     ft_scheduler_job_cancelled (node->leader.scheduler, ref, age_us, now);
     return;
   }
-  FtJobSpec *spec = ft_row_open_parse (ref, row->value);
+  g_autoptr (GError) error = NULL;
+  FtJobSpec *spec = ft_row_open_parse_full (ref, row->value, &error);
   if (spec == NULL)
-    g_warning ("job %s: its row cannot be read", ref);
+    g_warning ("job %s: its row cannot be read: %s", ref, error->message);
   else if (fresh)
     ft_scheduler_job_added (node->leader.scheduler, spec, ft_row_open_revision (row), now, wall_ms ());
   else
@@ -286,11 +287,13 @@
     return;
   }
   G_GNUC_UNUSED g_autoptr (Call) owned = call;
-  if ((guint64) json_integer_value (json_object_get (row.value, "token")) != ft_lease_token (node->lease)) {
+  guint64 token, batch;
+  ft_row_journal_parse (row.value, &token, &batch);
+  if (token != ft_lease_token (node->lease)) {
     ft_node_step_down (node, "the journal is another leader's");
     return;
   }
-  gboolean applied = (guint64) json_integer_value (json_object_get (row.value, "batch")) == call->batch;
+  gboolean applied = batch == call->batch;
   node->leader.journal_revision = row.revision;
   batch_over (node, call, applied, NULL);
 }
