--- /dev/null
+++ b/src/net/leader_batches.c
@@ -0,0 +1,275 @@
+#include "net/leader_batches.h"
+
+#include "core/constants.h"
+#include "net/leader_request.h"
+#include "net/node.h"
+
+/* Microseconds in the millisecond of the rows' wall times. */
+#define US_PER_MS 1000
+
+/* A batch, or the reading of the journal row that decides about one. */
+typedef struct {
+  FtLeaderRequest base;
+  GPtrArray *writes; /* FtWrite, a reference */
+  guint64 number;
+} BatchRequest;
+
+/* The reading of a job's row that had changed when a batch was to change it. */
+typedef struct {
+  FtLeaderRequest base;
+  char *ref; /* owned */
+} ConflictedJobRequest;
+
+static void
+set_state (FtNode *node, FtBatchState state)
+{
+  node->leader.batches.state = state;
+}
+
+static void
+batch_request_clear (FtLeaderRequest *request)
+{
+  g_ptr_array_unref (((BatchRequest *) request)->writes);
+}
+
+/* The scheduler is given the writes back, as committed or failed, and the next batch may be
+ * sent. `conflicted_ref`: the job whose row had changed, or NULL. */
+static void
+finish_batch (BatchRequest *batch, gboolean applied, const char *conflicted_ref)
+{
+  FtNode *node = batch->base.node;
+  gint64 now = g_get_monotonic_time ();
+  set_state (node, FT_BATCH_IDLE);
+  if (applied)
+    ft_scheduler_writes_committed (node->leader.scheduler, batch->writes, now);
+  else
+    ft_scheduler_writes_failed (node->leader.scheduler, batch->writes, conflicted_ref, now);
+}
+
+/* ---- a batch whose outcome is not known ---- */
+
+/* Was the batch applied? If not, the next one moves the journal row and so keeps a late copy
+ * of this one from being applied. */
+static FtLeaderOutcome
+on_journal (FtLeaderRequest *request, guint status, const json_t *body)
+{
+  BatchRequest *batch = (BatchRequest *) request;
+  FtNode *node = request->node;
+  FtRow row;
+  if (status != 200 || !ft_store_row (body, &row))
+    return FT_LEADER_OUTCOME_RETRY;
+  if ((guint64) json_integer_value (json_object_get (row.value, "token")) != ft_lease_token (node->lease)) {
+    request->superseded_reason = "the journal row carries another leader's fencing token";
+    return FT_LEADER_OUTCOME_SUPERSEDED;
+  }
+  gboolean applied = (guint64) json_integer_value (json_object_get (row.value, "batch")) == batch->number;
+  node->leader.batches.journal_revision = row.revision;
+  finish_batch (batch, applied, NULL);
+  return FT_LEADER_OUTCOME_PROGRESS;
+}
+
+static void
+send_journal_request (FtLeaderRequest *request)
+{
+  ft_store_client_get (request->node->store, FT_KEY_JOURNAL, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_answer,
+                       request);
+}
+
+static const FtLeaderRequestKind journal_kind = {
+  .size = sizeof (BatchRequest),
+  .send = send_journal_request,
+  .on_answer = on_journal,
+  .clear = batch_request_clear,
+};
+
+static FtLeaderOutcome
+decide_by_journal (const BatchRequest *batch)
+{
+  FtNode *node = batch->base.node;
+  BatchRequest *reading = ft_leader_request_new (node, &journal_kind);
+  reading->writes = g_ptr_array_ref (batch->writes);
+  reading->number = batch->number;
+  set_state (node, FT_BATCH_UNCERTAIN);
+  ft_leader_request_send (&reading->base);
+  return FT_LEADER_OUTCOME_DONE;
+}
+
+/* ---- a job whose row had changed ---- */
+
+static FtLeaderOutcome
+on_conflicted_job (FtLeaderRequest *request, guint status, const json_t *body)
+{
+  const char *ref = ((ConflictedJobRequest *) request)->ref;
+  FtScheduler *scheduler = request->node->leader.scheduler;
+  FtRow row;
+  FtJobRow job;
+  if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &job))
+    return FT_LEADER_OUTCOME_RETRY; /* the job stays as it is until the answer is known */
+  gint64 now = g_get_monotonic_time ();
+  if (job.open)
+    ft_scheduler_job_still_open (scheduler, ref, row.revision, now);
+  else
+    ft_scheduler_job_conflict_resolved (scheduler, ref, job.end == FT_JOB_END_DONE, now);
+  return FT_LEADER_OUTCOME_PROGRESS;
+}
+
+static void
+send_conflicted_job_request (FtLeaderRequest *request)
+{
+  g_autofree char *key = ft_key_job (((ConflictedJobRequest *) request)->ref);
+  ft_store_client_get (request->node->store, key, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_answer, request);
+}
+
+static void
+conflicted_job_request_clear (FtLeaderRequest *request)
+{
+  g_free (((ConflictedJobRequest *) request)->ref);
+}
+
+static const FtLeaderRequestKind conflicted_job_kind = {
+  .size = sizeof (ConflictedJobRequest),
+  .send = send_conflicted_job_request,
+  .on_answer = on_conflicted_job,
+  .clear = conflicted_job_request_clear,
+};
+
+static void
+read_conflicted_job (FtNode *node, const char *ref)
+{
+  ConflictedJobRequest *request = ft_leader_request_new (node, &conflicted_job_kind);
+  request->ref = g_strdup (ref);
+  ft_leader_request_send (&request->base);
+}
+
+/* ---- answers to a batch ---- */
+
+/* One of the transaction's conditions did not hold. */
+static FtLeaderOutcome
+on_batch_conflict (BatchRequest *batch, const json_t *body)
+{
+  if (ft_store_failed (body, FT_KEY_FENCE)) {
+    batch->base.superseded_reason = "the fence has moved on";
+    return FT_LEADER_OUTCOME_SUPERSEDED;
+  }
+  if (ft_store_failed (body, FT_KEY_JOURNAL))
+    return decide_by_journal (batch);
+  const char *ref = ft_store_conflicted_job (body, batch->writes);
+  if (ref != NULL)
+    read_conflicted_job (batch->base.node, ref);
+  finish_batch (batch, FALSE, ref);
+  return FT_LEADER_OUTCOME_PROGRESS;
+}
+
+static void
+shrink_batches (FtNode *node)
+{
+  node->leader.batches.most_operations = MAX (FT_TXN_OPS_MIN, node->leader.batches.most_operations / 2);
+}
+
+/* The store will not accept it, however often it is sent: its limits may have changed. The
+ * following batches are smaller. */
+static FtLeaderOutcome
+on_batch_invalid (BatchRequest *batch)
+{
+  FtNode *node = batch->base.node;
+  ft_metrics_count (node->metrics, FT_COUNT_BATCHES_INVALID);
+  g_warning ("node %s: the key-value store refused a batch of %u writes as invalid: batches get smaller",
+             node->config->member, batch->writes->len);
+  shrink_batches (node);
+  ft_scheduler_lower_value_limit (node->leader.scheduler);
+  node->leader.batches.not_before = g_get_monotonic_time () + (gint64) (FT_BATCH_INVALID_PAUSE_S * FT_SECOND);
+  finish_batch (batch, FALSE, NULL);
+  return FT_LEADER_OUTCOME_PROGRESS;
+}
+
+/* The store did not execute it. `too_large`: it takes fewer changes in a second, so a batch of
+ * this size would never pass. */
+static FtLeaderOutcome
+on_batch_not_executed (BatchRequest *batch, gboolean too_large)
+{
+  FtNode *node = batch->base.node;
+  if (too_large)
+    shrink_batches (node);
+  node->leader.batches.not_before = ft_leader_first_retry_at (node);
+  finish_batch (batch, FALSE, NULL);
+  return FT_LEADER_OUTCOME_PROGRESS;
+}
+
+static FtLeaderOutcome
+on_batch_committed (BatchRequest *batch, guint64 revision)
+{
+  FtNode *node = batch->base.node;
+  node->leader.batches.journal_revision = revision;
+  ft_metrics_count (node->metrics, FT_COUNT_BATCHES);
+  ft_metrics_time (node->metrics, FT_TIME_BATCH, g_get_monotonic_time () - batch->base.created_at);
+  finish_batch (batch, TRUE, NULL);
+  return FT_LEADER_OUTCOME_PROGRESS;
+}
+
+static FtLeaderOutcome
+on_batch_answer (FtLeaderRequest *request, guint status, const json_t *body)
+{
+  BatchRequest *batch = (BatchRequest *) request;
+  guint64 revision;
+  if (status == 200 && ft_store_revision (body, &revision))
+    return on_batch_committed (batch, revision);
+  if (status == 409)
+    return on_batch_conflict (batch, body);
+  if (status == 503 || status == 429)
+    return on_batch_not_executed (batch, status == 429);
+  if (status == 400)
+    return on_batch_invalid (batch);
+  ft_metrics_count (request->node->metrics, FT_COUNT_BATCHES_UNCERTAIN);
+  return decide_by_journal (batch);
+}
+
+/* ---- sending ---- */
+
+static void
+send_batch_request (FtLeaderRequest *request)
+{
+  const BatchRequest *batch = (const BatchRequest *) request;
+  FtNode *node = request->node;
+  json_t *txn = ft_txn_new ();
+  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
+  ft_txn_if (txn, FT_KEY_JOURNAL, node->leader.batches.journal_revision);
+  ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (ft_lease_token (node->lease), batch->number));
+  for (guint i = 0; i < batch->writes->len; i++)
+    ft_txn_add_write (txn, g_ptr_array_index (batch->writes, i), g_get_real_time () / US_PER_MS);
+  set_state (node, FT_BATCH_COMMITTING);
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_answer, request);
+  json_decref (txn);
+}
+
+static const FtLeaderRequestKind batch_kind = {
+  .size = sizeof (BatchRequest),
+  .send = send_batch_request,
+  .on_answer = on_batch_answer,
+  .clear = batch_request_clear,
+};
+
+void
+ft_leader_batches_begin (FtNode *node, guint64 journal_revision)
+{
+  node->leader.batches = (FtLeaderBatches){
+    .journal_revision = journal_revision,
+    .most_operations = node->config->core.txn_ops,
+  };
+}
+
+void
+ft_leader_batches_commit (FtNode *node, gint64 now)
+{
+  FtLeaderBatches *batches = &node->leader.batches;
+  if (batches->state != FT_BATCH_IDLE || now < batches->not_before)
+    return;
+  guint most_writes = batches->most_operations - 1; /* one operation is the journal row's */
+  g_autoptr (GPtrArray) writes
+      = ft_scheduler_next_writes (node->leader.scheduler, most_writes, ft_store_client_spare_writes (node->store), now);
+  if (writes->len == 0)
+    return;
+  BatchRequest *batch = ft_leader_request_new (node, &batch_kind);
+  batch->writes = g_steal_pointer (&writes);
+  batch->number = ++batches->last_number;
+  ft_leader_request_send (&batch->base);
+}
--- /dev/null
+++ b/src/net/leader_commands.c
@@ -0,0 +1,80 @@
+#include "net/leader_commands.h"
+
+#include "core/constants.h"
+#include "net/leader_request.h"
+#include "net/node.h"
+#include "wire/messages.h"
+
+typedef struct {
+  FtLeaderRequest base;
+  FtDirect *direct; /* owned */
+} CommandRequest;
+
+/* `heartbeat`: the worker's state as it answered, or NULL. */
+static FtDirectResult
+command_result (guint status, const FtWorkerHeartbeat *heartbeat)
+{
+  if (heartbeat == NULL)
+    return FT_DIRECT_UNANSWERED;
+  return status == 200 ? FT_DIRECT_OK : FT_DIRECT_CONFLICT;
+}
+
+static FtLeaderOutcome
+on_command_answer (FtLeaderRequest *request, guint status, const guint8 *body, gsize size)
+{
+  const FtDirect *direct = ((CommandRequest *) request)->direct;
+  FtNode *node = request->node;
+  gboolean has_heartbeat = status == 200 || status == 409;
+  g_autoptr (FtWorkerHeartbeat) heartbeat = has_heartbeat ? ft_message_worker_heartbeat_read (body, size) : NULL;
+  FtDirectResult result = command_result (status, heartbeat);
+  node->leader.commands_in_flight--;
+  if (has_heartbeat && heartbeat == NULL)
+    ft_node_malformed (node, FT_COUNT_MALFORMED_WORKERS, "answer to a command");
+  if (result == FT_DIRECT_UNANSWERED)
+    ft_metrics_count (node->metrics, FT_COUNT_DIRECT_UNANSWERED);
+  else
+    ft_metrics_time (node->metrics, FT_TIME_DIRECT, g_get_monotonic_time () - request->created_at);
+  if (!ft_scheduler_direct_done (node->leader.scheduler, direct, result, heartbeat, g_get_monotonic_time ())) {
+    request->superseded_reason = "a worker has seen a higher token";
+    return FT_LEADER_OUTCOME_SUPERSEDED;
+  }
+  return FT_LEADER_OUTCOME_PROGRESS;
+}
+
+static void
+send_command_request (FtLeaderRequest *request)
+{
+  const FtDirect *direct = ((CommandRequest *) request)->direct;
+  FtNode *node = request->node;
+  json_t *body = ft_message_commands (ft_lease_token (node->lease), direct->incarnation, direct->commands);
+  ft_http_send_raw (node->worker_client, "POST", direct->addr, "/commands", FT_BODY_CBOR, body, FT_COMMAND_TIMEOUT_S,
+                    TRUE, ft_leader_request_on_raw_answer, request);
+  json_decref (body);
+}
+
+static void
+command_request_clear (FtLeaderRequest *request)
+{
+  ft_direct_free (((CommandRequest *) request)->direct);
+}
+
+static const FtLeaderRequestKind command_kind = {
+  .size = sizeof (CommandRequest),
+  .send = send_command_request,
+  .on_raw_answer = on_command_answer,
+  .clear = command_request_clear,
+};
+
+void
+ft_leader_commands_send (FtNode *node, gint64 now)
+{
+  while (node->leader.commands_in_flight < FT_DIRECT_MAX) {
+    FtDirect *direct = ft_scheduler_next_direct (node->leader.scheduler, now);
+    if (direct == NULL)
+      return;
+    CommandRequest *request = ft_leader_request_new (node, &command_kind);
+    request->direct = direct;
+    node->leader.commands_in_flight++;
+    ft_leader_request_send (&request->base);
+  }
+}
--- /dev/null
+++ b/src/net/leader_request.c
@@ -0,0 +1,107 @@
+#include "net/leader_request.h"
+
+#include "core/constants.h"
+#include "net/node.h"
+
+/* Pauses are spread between these shares of their nominal length, so that controllers that
+ * failed together do not retry together. */
+#define JITTER_LEAST 0.5
+#define JITTER_MOST 1.5
+/* Doublings of the pause that are counted; the longest pause is reached before. */
+#define MOST_DOUBLINGS 8
+#define MS_PER_SECOND 1000
+
+gpointer
+ft_leader_request_new (FtNode *node, const FtLeaderRequestKind *kind)
+{
+  FtLeaderRequest *request = g_malloc0 (kind->size);
+  request->kind = kind;
+  request->node = node;
+  request->term = node->leader.term;
+  request->created_at = g_get_monotonic_time ();
+  return request;
+}
+
+static void
+request_free (FtLeaderRequest *request)
+{
+  if (request->kind->clear != NULL)
+    request->kind->clear (request);
+  g_free (request);
+}
+
+static gboolean
+term_is_over (const FtLeaderRequest *request)
+{
+  return request->term != request->node->leader.term || request->node->leader.scheduler == NULL;
+}
+
+void
+ft_leader_request_send (FtLeaderRequest *request)
+{
+  request->kind->send (request);
+}
+
+static gboolean
+on_retry_timer (gpointer data)
+{
+  FtLeaderRequest *request = data;
+  if (term_is_over (request))
+    request_free (request);
+  else
+    ft_leader_request_send (request);
+  return G_SOURCE_REMOVE;
+}
+
+static void
+retry_later (FtLeaderRequest *request)
+{
+  double pause_s = MIN (FT_BACKOFF_FIRST_S * (1u << MIN (request->retries, MOST_DOUBLINGS)), FT_BACKOFF_LONGEST_S);
+  pause_s *= g_rand_double_range (request->node->random, JITTER_LEAST, JITTER_MOST);
+  request->retries++;
+  g_timeout_add ((guint) (pause_s * MS_PER_SECOND), on_retry_timer, request);
+}
+
+/* Consumes the request, whose answer was handled with that outcome. */
+static void
+settle (FtLeaderRequest *request, FtLeaderOutcome outcome)
+{
+  if (outcome == FT_LEADER_OUTCOME_RETRY) {
+    retry_later (request);
+    return;
+  }
+  FtNode *node = request->node;
+  const char *superseded_reason = request->superseded_reason;
+  request_free (request);
+  if (outcome == FT_LEADER_OUTCOME_PROGRESS)
+    ft_node_pump (node);
+  else if (outcome == FT_LEADER_OUTCOME_SUPERSEDED)
+    ft_node_step_down (node, superseded_reason);
+}
+
+void
+ft_leader_request_on_answer (guint status, const json_t *body, gpointer data)
+{
+  FtLeaderRequest *request = data;
+  if (term_is_over (request))
+    request_free (request);
+  else
+    settle (request, request->kind->on_answer (request, status, body));
+}
+
+void
+ft_leader_request_on_raw_answer (guint status, const guint8 *body, gsize size, gpointer data)
+{
+  FtLeaderRequest *request = data;
+  if (term_is_over (request))
+    request_free (request);
+  else
+    settle (request, request->kind->on_raw_answer (request, status, body, size));
+}
+
+gint64
+ft_leader_first_retry_at (FtNode *node)
+{
+  double pause_s = g_rand_double_range (node->random, JITTER_LEAST, JITTER_MOST) * FT_BACKOFF_FIRST_S;
+  return g_get_monotonic_time () + (gint64) (pause_s * FT_SECOND);
+}
--- a/src/net/node.c
+++ b/src/net/node.c
@@ -316,7 +316,7 @@
   node->worker_client = ft_http_client_new (2, config->max_connections / 4);
   node->peer_group.peer_client = ft_http_client_new (2, 16);
   node->cloud_client = ft_http_client_new (4, 4);
-  ft_budget_init (&node->leader.cloud_budget, config->core.cloud_rps * FT_CLOUD_SHARE, config->core.cloud_rps, now);
+  ft_leader_cloud_init (node, now);
   node->peer_group.peers = g_array_new (FALSE, TRUE, sizeof (FtPeerState));
   for (guint i = 0; i < config->peers->len; i++) {
     FtPeerState view = { .peer = &g_array_index (config->peers, FtPeer, i) };
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -7,6 +7,7 @@
 #include "net/budget.h"
 #include "net/http.h"
 #include "net/job_cache.h"
+#include "net/leader.h"
 #include "net/metrics.h"
 #include "net/store_client.h"
 
@@ -25,23 +26,6 @@
   guint refused;      /* heartbeats in a row that were refused at once */
 } FtPeerState;
 
-/* What this controller does while it leads. `term` changes whenever leading begins or ends, so
- * that answers to requests of an earlier one are told apart. */
-typedef struct {
-  FtScheduler *scheduler; /* NULL: this controller does not lead */
-  guint term;
-  gint64 led_since;
-  gint64 next_scheduler_tick;
-  guint64 journal_revision, journal_batch;
-  guint batch_ops_most; /* changes in a batch, the journal's row included */
-  gboolean batch_in_flight, list_in_flight, watch_in_flight;
-  guint directs, cloud_calls, dependency_reads; /* under way */
-  guint64 watch_since;                          /* revision from which changes are watched */
-  gint64 cancellations_read_at;                 /* when the reading of the open jobs' rows began */
-  gint64 next_list, next_batch, next_watch;
-  FtBudget cloud_budget;
-} FtLeader;
-
 /* The requests and times of the lease. */
 typedef struct {
   gboolean sweep_in_flight, renew_in_flight;
@@ -125,12 +109,6 @@
 /* Who leads, as far as this node knows; borrowed, or NULL. */
 const char *ft_node_leader (const FtNode *node);
 
-/* leader.c: what a leader does with the store, the workers and the cloud. */
-void ft_leader_begin (FtNode *node, guint64 revision);
-void ft_leader_end (FtNode *node);
-void ft_leader_pump (FtNode *node, gint64 now);
-void ft_leader_tick (FtNode *node, gint64 now);
-
 /* user_api.c, worker_endpoint.c */
 void ft_front_handle (FtHttpRequest *request, gpointer node);
 void ft_user_handle (FtNode *node, FtHttpRequest *request);
