--- a/src/net/admin.c
+++ b/src/net/admin.c
@@ -205,13 +205,13 @@
 }
 
 static void
-on_settings (guint status, const json_t *body, gpointer data)
+on_settings (FtStoreResult result, const json_t *body, gpointer data)
 {
   FtNode *node = data;
   FtTuning tuning;
   FtRow row;
   node->settings.settings_in_flight = FALSE;
-  if (status != 200 || !ft_store_row (body, &row))
+  if (result != FT_STORE_OK || !ft_store_row (body, &row))
     return;
   ft_row_settings_parse (row.value, &tuning);
   g_autofree char *why = ft_tuning_check (&tuning, &node->config->core);
@@ -232,14 +232,14 @@
 }
 
 static void
-on_put (guint status, const json_t *body, gpointer data)
+on_put (FtStoreResult result, const json_t *body, gpointer data)
 {
   AdminCall *call = data;
   guint64 revision;
-  if (status == 200 && ft_store_revision (body, &revision)) {
+  if (result == FT_STORE_OK && ft_store_revision (body, &revision)) {
     ft_node_apply_settings (call->node, &call->tuning, revision);
     ft_http_respond (call->request, 200, settings_body (&call->tuning, revision));
-  } else if (status == 409) {
+  } else if (result == FT_STORE_CONFLICT) {
     call->node->settings.next_settings = 0; /* see the change at once */
     refuse (call->request, 409, "the settings have changed meanwhile: read them again");
   } else {
@@ -317,11 +317,11 @@
 /* ---- drains ---- */
 
 static void
-on_drained (guint status, const json_t *body, gpointer data)
+on_drained (FtStoreResult result, const json_t *body, gpointer data)
 {
   AdminCall *call = data;
   (void) body;
-  if (status != 200) {
+  if (result != FT_STORE_OK) {
     refuse (call->request, 503, "the state service did not confirm the change: try again");
   } else {
     if (call->node->leader.scheduler != NULL)
--- a/src/net/ancestors.c
+++ b/src/net/ancestors.c
@@ -123,17 +123,17 @@
 static void read_own_row (Step *step);
 
 static void
-on_open_row (guint status, const json_t *body, gpointer data)
+on_open_row (FtStoreResult result, const json_t *body, gpointer data)
 {
   Step *step = data;
   FtRow row;
-  if (status == 404) {
+  if (result == FT_STORE_NOT_FOUND) {
     read_own_row (step); /* ended since */
     return;
   }
   FtCachedJob *job = cached_job (step->walk, step->ref);
   g_autoptr (FtJobSpec) spec
-      = status == 200 && ft_store_row (body, &row) ? ft_row_open_parse (step->ref, row.value) : NULL;
+      = result == FT_STORE_OK && ft_store_row (body, &row) ? ft_row_open_parse (step->ref, row.value) : NULL;
   if (spec == NULL || job == NULL) {
     step_failed (step);
     return;
@@ -158,16 +158,16 @@
 }
 
 static void
-on_own_row (guint status, const json_t *body, gpointer data)
+on_own_row (FtStoreResult result, const json_t *body, gpointer data)
 {
   Step *step = data;
   FtNode *node = step->walk->node;
   FtRow row;
   FtJobRow state;
-  if (status == 404) {
+  if (result == FT_STORE_NOT_FOUND) {
     decide (step->walk, FT_ANCESTORS_MISSING, step->ref);
     step_over (step);
-  } else if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
+  } else if (result != FT_STORE_OK || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
     step_failed (step);
   } else if (state.open) {
     step_open (step, ft_job_cache_open (node->job_cache, step->ref, row.revision, state.has_dependencies));
--- a/src/net/leader_batches.c
+++ b/src/net/leader_batches.c
@@ -51,12 +51,12 @@
 /* Was the batch applied? If not, the next one moves the journal row and so keeps a late copy
  * of this one from being applied. */
 static FtLeaderOutcome
-on_journal (FtLeaderRequest *request, guint status, const json_t *body)
+on_journal (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   BatchRequest *batch = (BatchRequest *) request;
   FtNode *node = request->node;
   FtRow row;
-  if (status != 200 || !ft_store_row (body, &row))
+  if (ft_store_read_row (result, body, &row) != FT_STORE_OK)
     return FT_LEADER_OUTCOME_RETRY;
   if ((guint64) json_integer_value (json_object_get (row.value, "token")) != ft_lease_token (node->lease)) {
     request->superseded_reason = "the journal row carries another leader's fencing token";
@@ -71,14 +71,14 @@
 static void
 send_journal_request (FtLeaderRequest *request)
 {
-  ft_store_client_get (request->node->store, FT_KEY_JOURNAL, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_answer,
-                       request);
+  ft_store_client_get (request->node->store, FT_KEY_JOURNAL, FT_STORE_PRIORITY_COMMIT,
+                       ft_leader_request_on_store_answer, request);
 }
 
 static const FtLeaderRequestKind journal_kind = {
   .size = sizeof (BatchRequest),
   .send = send_journal_request,
-  .on_answer = on_journal,
+  .on_store_answer = on_journal,
   .clear = batch_request_clear,
 };
 
@@ -97,13 +97,13 @@
 /* ---- a job whose row had changed ---- */
 
 static FtLeaderOutcome
-on_conflicted_job (FtLeaderRequest *request, guint status, const json_t *body)
+on_conflicted_job (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   const char *ref = ((ConflictedJobRequest *) request)->ref;
   FtScheduler *scheduler = request->node->leader.scheduler;
   FtRow row;
   FtJobRow job;
-  if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &job))
+  if (ft_store_read_job (result, body, &row, &job) != FT_STORE_OK)
     return FT_LEADER_OUTCOME_RETRY; /* the job stays as it is until the answer is known */
   gint64 now = g_get_monotonic_time ();
   if (job.open)
@@ -117,7 +117,7 @@
 send_conflicted_job_request (FtLeaderRequest *request)
 {
   g_autofree char *key = ft_key_job (((ConflictedJobRequest *) request)->ref);
-  ft_store_client_get (request->node->store, key, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_answer, request);
+  ft_store_client_get (request->node->store, key, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_store_answer, request);
 }
 
 static void
@@ -129,7 +129,7 @@
 static const FtLeaderRequestKind conflicted_job_kind = {
   .size = sizeof (ConflictedJobRequest),
   .send = send_conflicted_job_request,
-  .on_answer = on_conflicted_job,
+  .on_store_answer = on_conflicted_job,
   .clear = conflicted_job_request_clear,
 };
 
@@ -207,20 +207,30 @@
 }
 
 static FtLeaderOutcome
-on_batch_answer (FtLeaderRequest *request, guint status, const json_t *body)
+on_batch_answer (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   BatchRequest *batch = (BatchRequest *) request;
   guint64 revision;
-  if (status == 200 && ft_store_revision (body, &revision))
+  switch (ft_store_read_revision (result, body, &revision)) {
+  case FT_STORE_OK:
     return on_batch_committed (batch, revision);
-  if (status == 409)
+  case FT_STORE_CONFLICT:
     return on_batch_conflict (batch, body);
-  if (status == 503 || status == 429)
-    return on_batch_not_executed (batch, status == 429);
-  if (status == 400)
+  case FT_STORE_THROTTLED:
+    return on_batch_not_executed (batch, TRUE);
+  case FT_STORE_UNAVAILABLE:
+    return on_batch_not_executed (batch, FALSE);
+  case FT_STORE_INVALID:
     return on_batch_invalid (batch);
-  ft_metrics_count (request->node->metrics, FT_COUNT_BATCHES_UNCERTAIN);
-  return decide_by_journal (batch);
+  case FT_STORE_NOT_FOUND:
+  case FT_STORE_COMPACTED:
+  case FT_STORE_UNANSWERED:
+  case FT_STORE_FAILED:
+  case FT_STORE_MALFORMED:
+  default:
+    ft_metrics_count (request->node->metrics, FT_COUNT_BATCHES_UNCERTAIN);
+    return decide_by_journal (batch);
+  }
 }
 
 /* ---- sending ---- */
@@ -237,14 +247,14 @@
   for (guint i = 0; i < batch->writes->len; i++)
     ft_txn_add_write (txn, g_ptr_array_index (batch->writes, i), g_get_real_time () / US_PER_MS);
   set_state (node, FT_BATCH_COMMITTING);
-  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_answer, request);
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_store_answer, request);
   json_decref (txn);
 }
 
 static const FtLeaderRequestKind batch_kind = {
   .size = sizeof (BatchRequest),
   .send = send_batch_request,
-  .on_answer = on_batch_answer,
+  .on_store_answer = on_batch_answer,
   .clear = batch_request_clear,
 };
 
--- a/src/net/leader_cloud.c
+++ b/src/net/leader_cloud.c
@@ -54,7 +54,7 @@
   const char *path = scale_out ? "/rentals" : "/rentals/return";
   json_t *body = scale_out ? ft_cloud_scale_out_body (cloud) : ft_cloud_scale_in_body (cloud);
   ft_http_send (node->cloud_client, "POST", node->config->cloud_addr, path, FT_BODY_CBOR, body, FT_CLOUD_TIMEOUT_S,
-                FALSE, ft_leader_request_on_answer, request);
+                FALSE, ft_leader_request_on_cloud_answer, request);
   json_decref (body);
 }
 
@@ -67,7 +67,7 @@
 static const FtLeaderRequestKind scale_kind = {
   .size = sizeof (ScaleRequest),
   .send = send_scale_request,
-  .on_answer = on_scaled,
+  .on_cloud_answer = on_scaled,
   .clear = scale_request_clear,
 };
 
@@ -127,7 +127,7 @@
   FtNode *node = request->node;
   g_autofree char *path = list_path (((ListRequest *) request)->machines);
   ft_http_send (node->cloud_client, "GET", node->config->cloud_addr, path, FT_BODY_CBOR, NULL, FT_CLOUD_TIMEOUT_S,
-                FALSE, ft_leader_request_on_answer, request);
+                FALSE, ft_leader_request_on_cloud_answer, request);
 }
 
 static void
@@ -139,7 +139,7 @@
 static const FtLeaderRequestKind list_kind = {
   .size = sizeof (ListRequest),
   .send = send_list_request,
-  .on_answer = on_list,
+  .on_cloud_answer = on_list,
   .clear = list_request_clear,
 };
 
--- a/src/net/leader_commands.c
+++ b/src/net/leader_commands.c
@@ -48,7 +48,7 @@
   FtNode *node = request->node;
   json_t *body = ft_message_commands (ft_lease_token (node->lease), direct->incarnation, direct->commands);
   ft_http_send_raw (node->worker_client, "POST", direct->addr, "/commands", FT_BODY_CBOR, body, FT_COMMAND_TIMEOUT_S,
-                    TRUE, ft_leader_request_on_raw_answer, request);
+                    TRUE, ft_leader_request_on_worker_answer, request);
   json_decref (body);
 }
 
@@ -61,7 +61,7 @@
 static const FtLeaderRequestKind command_kind = {
   .size = sizeof (CommandRequest),
   .send = send_command_request,
-  .on_raw_answer = on_command_answer,
+  .on_worker_answer = on_command_answer,
   .clear = command_request_clear,
 };
 
--- a/src/net/leader_dependencies.c
+++ b/src/net/leader_dependencies.c
@@ -24,7 +24,7 @@
 }
 
 static FtLeaderOutcome
-on_dependency (FtLeaderRequest *request, guint status, const json_t *body)
+on_dependency (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   const char *ref = ((DependencyRequest *) request)->ref;
   FtNode *node = request->node;
@@ -32,7 +32,7 @@
   FtJobRow job;
   node->leader.dependency_reads_in_flight--;
   /* Open, or not answered: the scheduler names it again. */
-  if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &job) || job.open)
+  if (ft_store_read_job (result, body, &row, &job) != FT_STORE_OK || job.open)
     return FT_LEADER_OUTCOME_DONE;
   ft_scheduler_job_end_read (node->leader.scheduler, ref, job.end, age_of_end_us (&job), g_get_monotonic_time ());
   return FT_LEADER_OUTCOME_PROGRESS;
@@ -42,7 +42,7 @@
 send_dependency_request (FtLeaderRequest *request)
 {
   g_autofree char *key = ft_key_job (((DependencyRequest *) request)->ref);
-  ft_store_client_get (request->node->store, key, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_answer, request);
+  ft_store_client_get (request->node->store, key, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_store_answer, request);
 }
 
 static void
@@ -54,7 +54,7 @@
 static const FtLeaderRequestKind dependency_kind = {
   .size = sizeof (DependencyRequest),
   .send = send_dependency_request,
-  .on_answer = on_dependency,
+  .on_store_answer = on_dependency,
   .clear = dependency_request_clear,
 };
 
--- a/src/net/leader_recovery.c
+++ b/src/net/leader_recovery.c
@@ -80,17 +80,17 @@
 }
 
 static FtLeaderOutcome
-on_page (FtLeaderRequest *request, guint status, const json_t *body)
+on_page (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   const PageRequest *page = (const PageRequest *) request;
   FtNode *node = request->node;
   gboolean more = FALSE;
-  g_autoptr (GArray) rows = status == 200 ? ft_store_rows (body, &more) : NULL;
-  if (rows == NULL) {
-    if (status == 200)
-      ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of rows");
+  g_autoptr (GArray) rows = NULL;
+  FtStoreResult read = ft_store_read_rows (result, body, &rows, &more);
+  if (read == FT_STORE_MALFORMED)
+    ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of rows");
+  if (read != FT_STORE_OK)
     return FT_LEADER_OUTCOME_RETRY;
-  }
   if (page->prefix_index == 0 && page->after == NULL)
     ft_store_revision (body, &node->leader.rows.known_revision); /* changes since the first page come by the watch */
   for (guint i = 0; i < rows->len; i++)
@@ -107,7 +107,7 @@
 {
   const PageRequest *page = (const PageRequest *) request;
   ft_store_client_list (request->node->store, recovery_prefixes[page->prefix_index], page->after,
-                        FT_STORE_PRIORITY_LEASE, ft_leader_request_on_answer, request);
+                        FT_STORE_PRIORITY_LEASE, ft_leader_request_on_store_answer, request);
 }
 
 static void
@@ -119,7 +119,7 @@
 static const FtLeaderRequestKind page_kind = {
   .size = sizeof (PageRequest),
   .send = send_page_request,
-  .on_answer = on_page,
+  .on_store_answer = on_page,
   .clear = page_request_clear,
 };
 
--- a/src/net/leader_request.c
+++ b/src/net/leader_request.c
@@ -80,23 +80,33 @@
 }
 
 void
-ft_leader_request_on_answer (guint status, const json_t *body, gpointer data)
+ft_leader_request_on_store_answer (FtStoreResult result, const json_t *body, gpointer data)
 {
   FtLeaderRequest *request = data;
   if (term_is_over (request))
     request_free (request);
   else
-    settle (request, request->kind->on_answer (request, status, body));
+    settle (request, request->kind->on_store_answer (request, result, body));
 }
 
 void
-ft_leader_request_on_raw_answer (guint status, const guint8 *body, gsize size, gpointer data)
+ft_leader_request_on_cloud_answer (guint status, const json_t *body, gpointer data)
 {
   FtLeaderRequest *request = data;
   if (term_is_over (request))
     request_free (request);
   else
-    settle (request, request->kind->on_raw_answer (request, status, body, size));
+    settle (request, request->kind->on_cloud_answer (request, status, body));
+}
+
+void
+ft_leader_request_on_worker_answer (guint status, const guint8 *body, gsize size, gpointer data)
+{
+  FtLeaderRequest *request = data;
+  if (term_is_over (request))
+    request_free (request);
+  else
+    settle (request, request->kind->on_worker_answer (request, status, body, size));
 }
 
 gint64
--- a/src/net/leader_request.h
+++ b/src/net/leader_request.h
@@ -11,6 +11,8 @@
 #include <glib.h>
 #include <jansson.h>
 
+#include "net/store_client.h"
+
 typedef struct _FtNode FtNode;
 typedef struct _FtLeaderRequest FtLeaderRequest;
 
@@ -29,10 +31,12 @@
   /* Sends the request with one of the ft_leader_request_on_*() callbacks and the context as
    * its data; called again for each retry. */
   void (*send) (FtLeaderRequest *request);
-  /* The answer of the key-value store or the cloud; `status` is 0 if none came. */
-  FtLeaderOutcome (*on_answer) (FtLeaderRequest *request, guint status, const json_t *body);
-  /* The answer of a worker, not decoded. */
-  FtLeaderOutcome (*on_raw_answer) (FtLeaderRequest *request, guint status, const guint8 *body, gsize size);
+  /* The answer of the key-value store. */
+  FtLeaderOutcome (*on_store_answer) (FtLeaderRequest *request, FtStoreResult result, const json_t *body);
+  /* The answer of the cloud: an HTTP status, 0 if none came. */
+  FtLeaderOutcome (*on_cloud_answer) (FtLeaderRequest *request, guint status, const json_t *body);
+  /* The answer of a worker, not decoded: an HTTP status, 0 if none came. */
+  FtLeaderOutcome (*on_worker_answer) (FtLeaderRequest *request, guint status, const guint8 *body, gsize size);
   /* Frees what the derived context owns; NULL: nothing. */
   void (*clear) (FtLeaderRequest *request);
 } FtLeaderRequestKind;
@@ -53,8 +57,9 @@
 void ft_leader_request_send (FtLeaderRequest *request);
 
 /* Callbacks for the clients; `data` is the FtLeaderRequest. */
-void ft_leader_request_on_answer (guint status, const json_t *body, gpointer data);
-void ft_leader_request_on_raw_answer (guint status, const guint8 *body, gsize size, gpointer data);
+void ft_leader_request_on_store_answer (FtStoreResult result, const json_t *body, gpointer data);
+void ft_leader_request_on_cloud_answer (guint status, const json_t *body, gpointer data);
+void ft_leader_request_on_worker_answer (guint status, const guint8 *body, gsize size, gpointer data);
 
 /* Monotonic time, in microseconds, at which something that just failed is worth another
  * attempt: the first pause of the backoff, jittered. */
--- a/src/net/leader_watch.c
+++ b/src/net/leader_watch.c
@@ -12,19 +12,20 @@
 }
 
 static FtLeaderOutcome
-on_events (FtLeaderRequest *request, guint status, const json_t *body)
+on_events (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   FtNode *node = request->node;
   node->leader.watch.in_flight = FALSE;
-  if (status == 410) {
+  if (result == FT_STORE_COMPACTED) {
     /* The store no longer has all changes since the known revision. */
     ft_leader_recovery_start (node, ft_leader_watch_resume);
     return FT_LEADER_OUTCOME_DONE;
   }
-  g_autoptr (GArray) rows = status == 200 ? ft_store_events (body) : NULL;
-  if (rows == NULL || !ft_store_revision (body, &node->leader.rows.known_revision)) {
-    if (status == 200)
-      ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of events");
+  g_autoptr (GArray) rows = NULL;
+  FtStoreResult read = ft_store_read_events (result, body, &rows, &node->leader.rows.known_revision);
+  if (read == FT_STORE_MALFORMED)
+    ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of events");
+  if (read != FT_STORE_OK) {
     node->leader.watch.not_before = ft_leader_first_retry_at (node);
     return FT_LEADER_OUTCOME_DONE;
   }
@@ -38,14 +39,14 @@
 send_watch_request (FtLeaderRequest *request)
 {
   FtNode *node = request->node;
-  ft_store_client_follow (node->store, FT_PREFIX_OPEN, node->leader.rows.known_revision, ft_leader_request_on_answer,
-                          request);
+  ft_store_client_follow (node->store, FT_PREFIX_OPEN, node->leader.rows.known_revision,
+                          ft_leader_request_on_store_answer, request);
 }
 
 static const FtLeaderRequestKind watch_kind = {
   .size = sizeof (FtLeaderRequest),
   .send = send_watch_request,
-  .on_answer = on_events,
+  .on_store_answer = on_events,
 };
 
 void
--- a/src/net/node.c
+++ b/src/net/node.c
@@ -60,33 +60,34 @@
 }
 
 static void
-on_sweep (guint status, const json_t *body, gpointer data)
+on_sweep (FtStoreResult result, const json_t *body, gpointer data)
 {
   g_autofree LeaseRequest *call = data;
   FtNode *node = call->node;
   gint64 now = g_get_monotonic_time ();
   node->leadership.sweep_in_flight = FALSE;
   gboolean more;
-  g_autoptr (GArray) rows = status == 200 ? ft_store_rows (body, &more) : NULL;
+  g_autoptr (GArray) rows = NULL;
+  FtStoreResult read = ft_store_read_rows (result, body, &rows, &more);
   FtLeaseRows seen = { 0 };
-  if (rows != NULL && ft_row_lease_parse (rows, &seen))
+  if (read == FT_STORE_OK && ft_row_lease_parse (rows, &seen))
     ft_lease_observe (node->lease, now, &seen);
   else
     ft_lease_sweep_failed (node->lease, now);
-  if (status == 200 && rows == NULL)
+  if (read == FT_STORE_MALFORMED)
     ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of rows");
   ft_lease_rows_clear (&seen);
 }
 
 static void
-on_claimed (guint status, const json_t *body, gpointer data)
+on_claimed (FtStoreResult result, const json_t *body, gpointer data)
 {
   g_autofree LeaseRequest *call = data;
   FtNode *node = call->node;
   guint64 revision;
   if (ft_lease_state (node->lease) != FT_LEASE_ACQUIRING)
     return;
-  if (status != 200 || !ft_store_revision (body, &revision)) {
+  if (ft_store_read_revision (result, body, &revision) != FT_STORE_OK) {
     ft_lease_claim_failed (node->lease, g_get_monotonic_time ());
     return;
   }
@@ -110,7 +111,7 @@
 }
 
 static void
-on_renewed (guint status, const json_t *body, gpointer data)
+on_renewed (FtStoreResult result, const json_t *body, gpointer data)
 {
   g_autofree LeaseRequest *call = data;
   FtNode *node = call->node;
@@ -118,16 +119,16 @@
   if (call->term != node->leader.term)
     return;
   node->leadership.renew_in_flight = FALSE;
-  if (status == 200)
+  if (result == FT_STORE_OK)
     ft_lease_renewed (node->lease, call->sent_at);
-  else if (status == 409)
+  else if (result == FT_STORE_CONFLICT)
     ft_node_step_down (node, "the fence has moved on");
   else
     ft_lease_renew_failed (node->lease, g_get_monotonic_time ());
 }
 
 static void
-renew (FtNode *node, gboolean release, FtHttpDone done)
+renew (FtNode *node, gboolean release, FtStoreDone done)
 {
   json_t *txn = ft_txn_new ();
   ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
@@ -137,9 +138,9 @@
 }
 
 static void
-on_released (guint status, const json_t *body, gpointer data)
+on_released (FtStoreResult result, const json_t *body, gpointer data)
 {
-  (void) status;
+  (void) result;
   (void) body;
   g_free (data);
 }
--- a/src/net/polls.c
+++ b/src/net/polls.c
@@ -80,15 +80,15 @@
 }
 
 static void
-on_compared (guint status, const json_t *body, gpointer data)
+on_compared (FtStoreResult result, const json_t *body, gpointer data)
 {
   FtPolls *polls = data;
   g_autoptr (GPtrArray) asked = g_steal_pointer (&polls->asked);
-  if (status == 409) {
+  if (result == FT_STORE_CONFLICT) {
     sort_out (polls, asked, body);
   } else {
     for (guint i = 0; i < asked->len; i++)
-      finish (g_ptr_array_index (asked, i), status == 200 ? FT_POLL_OPEN : FT_POLL_FAILED);
+      finish (g_ptr_array_index (asked, i), result == FT_STORE_OK ? FT_POLL_OPEN : FT_POLL_FAILED);
   }
   ask_next (polls);
 }
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -11,7 +11,7 @@
   FtStorePriority priority;
   guint writes;
   guint resends;
-  FtHttpDone done;
+  FtStoreDone done;
   gpointer data;
 } Request;
 
@@ -99,21 +99,56 @@
   return TRUE;
 }
 
+static FtStoreResult
+result_of_status (guint status)
+{
+  switch (status) {
+  case 0:
+    return FT_STORE_UNANSWERED;
+  case 200:
+    return FT_STORE_OK;
+  case 400:
+    return FT_STORE_INVALID;
+  case 404:
+    return FT_STORE_NOT_FOUND;
+  case 409:
+    return FT_STORE_CONFLICT;
+  case 410:
+    return FT_STORE_COMPACTED;
+  case 429:
+    return FT_STORE_THROTTLED;
+  case 503:
+    return FT_STORE_UNAVAILABLE;
+  default:
+    return FT_STORE_FAILED;
+  }
+}
+
+/* The store did its part of the request, whatever came of it. */
+static gboolean
+is_served (FtStoreResult result)
+{
+  return result == FT_STORE_OK || result == FT_STORE_NOT_FOUND || result == FT_STORE_CONFLICT
+         || result == FT_STORE_COMPACTED;
+}
+
+/* Consumes the request unless it is sent again. */
 static void
-on_done (guint status, const json_t *body, gpointer data)
+on_answer (guint status, const json_t *body, gpointer data)
 {
   Request *request = data;
   FtStoreClient *store = request->store;
+  FtStoreResult result = result_of_status (status);
   gint64 now = g_get_monotonic_time ();
-  if (status == 429 && send_again (request, now))
+  if (result == FT_STORE_THROTTLED && send_again (request, now))
     return;
-  if (status == 200 || status == 404 || status == 409 || status == 410) {
+  if (is_served (result)) {
     store->last_served = now;
     store->failing_since = 0;
-  } else if (store->failing_since == 0 && status != 429) {
+  } else if (store->failing_since == 0 && result != FT_STORE_THROTTLED) {
     store->failing_since = now;
   }
-  request->done (status, body, request->data);
+  request->done (result, body, request->data);
   request_free (request);
 }
 
@@ -121,7 +156,7 @@
 send_request (Request *request, FtHttpClient *client)
 {
   ft_http_send (client, request->method, request->store->addr, request->path, FT_BODY_CBOR, request->body,
-                request->timeout_s, FALSE, on_done, request);
+                request->timeout_s, FALSE, on_answer, request);
 }
 
 static gboolean
@@ -176,12 +211,12 @@
 
 static void
 submit (FtStoreClient *store, const char *method, char *path, const json_t *body, FtStorePriority priority,
-        FtHttpDone done, gpointer data)
+        FtStoreDone done, gpointer data)
 {
   if (priority == FT_STORE_PRIORITY_READ
       && g_queue_get_length (&store->queues[FT_STORE_PRIORITY_READ]) >= FT_STORE_QUEUE_MAX) {
     g_free (path);
-    done (503, NULL, data);
+    done (FT_STORE_UNAVAILABLE, NULL, data);
     return;
   }
   Request *request = g_new0 (Request, 1);
@@ -205,14 +240,14 @@
 }
 
 void
-ft_store_client_get (FtStoreClient *store, const char *key, FtStorePriority priority, FtHttpDone done, gpointer data)
+ft_store_client_get (FtStoreClient *store, const char *key, FtStorePriority priority, FtStoreDone done, gpointer data)
 {
   submit (store, "GET", g_strconcat ("/store/", key, NULL), NULL, priority, done, data);
 }
 
 void
 ft_store_client_list (FtStoreClient *store, const char *prefix, const char *after, FtStorePriority priority,
-                      FtHttpDone done, gpointer data)
+                      FtStoreDone done, gpointer data)
 {
   char *path = after != NULL ? g_strdup_printf ("/store?under=%s&since=%s&limit=%d", prefix, after, FT_LIST_LIMIT)
                              : g_strdup_printf ("/store?under=%s&limit=%d", prefix, FT_LIST_LIMIT);
@@ -220,14 +255,14 @@
 }
 
 void
-ft_store_client_commit (FtStoreClient *store, const json_t *txn, FtStorePriority priority, FtHttpDone done,
+ft_store_client_commit (FtStoreClient *store, const json_t *txn, FtStorePriority priority, FtStoreDone done,
                         gpointer data)
 {
   submit (store, "POST", g_strdup ("/commit"), txn, priority, done, data);
 }
 
 void
-ft_store_client_follow (FtStoreClient *store, const char *prefix, guint64 since, FtHttpDone done, gpointer data)
+ft_store_client_follow (FtStoreClient *store, const char *prefix, guint64 since, FtStoreDone done, gpointer data)
 {
   Request *request = g_new0 (Request, 1);
   request->store = store;
@@ -280,3 +315,46 @@
 {
   return store->failing_since;
 }
+
+/* ---- reading answers ---- */
+
+static FtStoreResult
+read_result (FtStoreResult result, gboolean readable)
+{
+  return result == FT_STORE_OK && !readable ? FT_STORE_MALFORMED : result;
+}
+
+FtStoreResult
+ft_store_read_row (FtStoreResult result, const json_t *body, FtRow *row)
+{
+  return read_result (result, result == FT_STORE_OK && ft_store_row (body, row));
+}
+
+FtStoreResult
+ft_store_read_rows (FtStoreResult result, const json_t *body, GArray **rows, gboolean *more)
+{
+  *rows = result == FT_STORE_OK ? ft_store_rows (body, more) : NULL;
+  return read_result (result, *rows != NULL);
+}
+
+FtStoreResult
+ft_store_read_events (FtStoreResult result, const json_t *body, GArray **rows, guint64 *revision)
+{
+  *rows = result == FT_STORE_OK ? ft_store_events (body) : NULL;
+  if (*rows != NULL && !ft_store_revision (body, revision))
+    g_clear_pointer (rows, g_array_unref);
+  return read_result (result, *rows != NULL);
+}
+
+FtStoreResult
+ft_store_read_job (FtStoreResult result, const json_t *body, FtRow *row, FtJobRow *job)
+{
+  FtStoreResult read = ft_store_read_row (result, body, row);
+  return read_result (read, read == FT_STORE_OK && ft_row_job_parse (row->value, job));
+}
+
+FtStoreResult
+ft_store_read_revision (FtStoreResult result, const json_t *body, guint64 *revision)
+{
+  return read_result (result, result == FT_STORE_OK && ft_store_revision (body, revision));
+}
--- a/src/net/user_api.c
+++ b/src/net/user_api.c
@@ -127,17 +127,17 @@
 static void cancel_open_job (UserCall *call, const FtRow *row, guint tasks);
 
 static void
-on_read (guint status, const json_t *body, gpointer data)
+on_read (FtStoreResult result, const json_t *body, gpointer data)
 {
   UserCall *call = data;
   FtRow row;
   FtJobRow state;
-  if (status == 404) {
+  if (result == FT_STORE_NOT_FOUND) {
     /* A submission whose commit got no answer may still be applied: not yet accepted. */
     finish (call, call->spec != NULL ? 503 : 404, NULL);
     return;
   }
-  if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
+  if (result != FT_STORE_OK || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
     finish (call, 503, NULL);
   } else if (!state.open) {
     answer_ended (call, state.end, state.tasks);
@@ -174,25 +174,25 @@
 /* The job was not created now: it is known already, or the commit's fate is unknown, or it
  * was not carried out. */
 static void
-not_created (UserCall *call, guint status)
+not_created (UserCall *call, FtStoreResult result)
 {
-  if (status == 409 || status == 0)
+  if (result == FT_STORE_CONFLICT || result == FT_STORE_UNANSWERED)
     read_job (call);
   else
     finish (call, 503, NULL);
 }
 
 static void
-on_created (guint status, const json_t *body, gpointer data)
+on_created (FtStoreResult result, const json_t *body, gpointer data)
 {
   UserCall *call = data;
   guint64 revision;
-  if (status == 200 && ft_store_revision (body, &revision))
+  if (result == FT_STORE_OK && ft_store_revision (body, &revision))
     remember_created (call, revision);
-  if (status == 200)
+  if (result == FT_STORE_OK)
     finish (call, 201, ft_message_job_state (call->ref, "queued", 0, 0, FALSE));
   else
-    not_created (call, status);
+    not_created (call, result);
 }
 
 static void
@@ -208,12 +208,12 @@
 }
 
 static void
-on_created_cancelled (guint status, const json_t *body, gpointer data)
+on_created_cancelled (FtStoreResult result, const json_t *body, gpointer data)
 {
   UserCall *call = data;
   (void) body;
-  if (status != 200) {
-    not_created (call, status);
+  if (result != FT_STORE_OK) {
+    not_created (call, result);
     return;
   }
   g_message ("job %s: accepted as cancelled, since a job that it needs is", call->ref);
@@ -328,16 +328,16 @@
 /* ---- cancellation ---- */
 
 static void
-on_cancelled (guint status, const json_t *body, gpointer data)
+on_cancelled (FtStoreResult result, const json_t *body, gpointer data)
 {
   UserCall *call = data;
   (void) body;
-  if (status == 200) {
+  if (result == FT_STORE_OK) {
     g_message ("job %s: withdrawn%s", call->ref, call->by_dependency ? ", since a job that it needs is" : "");
     ft_metrics_count (call->node->metrics, call->by_dependency ? FT_COUNT_CANCELLED_BY_DEPENDENCY : FT_COUNT_CANCELLED);
     ft_node_job_cancelled (call->node, call->ref);
     answer_ended (call, FT_JOB_END_CANCELLED, 0);
-  } else if ((status == 409 || status == 0) && ++call->tries < FT_CANCEL_TRIES) {
+  } else if ((result == FT_STORE_CONFLICT || result == FT_STORE_UNANSWERED) && ++call->tries < FT_CANCEL_TRIES) {
     read_job (call); /* it has changed, perhaps by this very commit */
   } else {
     finish (call, 503, NULL);
