--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -5,6 +5,8 @@
 
 /* Microseconds in a second; all times inside the program are microseconds. */
 #define FT_SECOND 1000000LL
+/* Microseconds in a millisecond, the unit of the wall times in rows and of durations in messages. */
+#define FT_MILLISECOND 1000LL
 /* Seconds in an hour; the cloud's prices and rates are by the hour. */
 #define FT_HOUR_S 3600.0
 
@@ -221,6 +223,8 @@
 /* Seconds between two reads of the machine list and of the catalog. */
 #define FT_LIST_EVERY_S 4.0
 #define FT_CATALOG_EVERY_S 60.0
+/* Seconds until a read of the catalog that failed is repeated. */
+#define FT_CATALOG_RETRY_S 1.0
 /* Seconds a spot and an ordinary machine stand idle before they are terminated. */
 #define FT_IDLE_SPOT_S 40.0
 #define FT_IDLE_ORDINARY_S 25.0
@@ -422,9 +426,14 @@
 #define FT_ANSWER_MAX (32u << 20)
 /* Bytes of a body beyond which the connection is closed unread. */
 #define FT_BODY_CUT (4UL * FT_BODY_MAX)
-/* Longest pause in seconds between tries at a service that fails. */
+/* First and longest pause in seconds between attempts at a service that fails; each is twice the one before. */
 #define FT_BACKOFF_FIRST_S 0.15
 #define FT_BACKOFF_LONGEST_S 1.0
+/* Doublings of the pause that are counted: the longest is reached before, and the shift stays small. */
+#define FT_BACKOFF_DOUBLINGS_MAX 8
+/* Shares between which a pause is spread, so that controllers that failed together do not repeat together. */
+#define FT_BACKOFF_JITTER_LEAST 0.5
+#define FT_BACKOFF_JITTER_MOST 1.5
 /* Tries of a cancellation that races with other changes. */
 #define FT_CANCEL_TRIES 3
 /* Rows asked for in one list (protocol: at most 1,000). */
--- a/src/net/admin.c
+++ b/src/net/admin.c
@@ -38,12 +38,12 @@
 peers_body (const FtNode *node, gint64 now)
 {
   json_t *list = json_array ();
-  for (guint i = 0; i < node->peer_group.peers->len; i++) {
-    const FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
+  for (guint i = 0; i < ft_peers_count (node->peers); i++) {
+    gint64 heard_at;
+    const FtPeer *peer = ft_peers_get (node->peers, i, &heard_at);
     json_array_append_new (
-        list, json_pack ("{s:s, s:s, s:o}", "member", view->peer->member, "addr", view->peer->addr, "heard_s_ago",
-                         view->heard_at > 0 ? json_real (round ((double) (now - view->heard_at) / 10000) / 100)
-                                            : json_null ()));
+        list, json_pack ("{s:s, s:s, s:o}", "member", peer->member, "addr", peer->addr, "heard_s_ago",
+                         heard_at > 0 ? json_real (round ((double) (now - heard_at) / 10000) / 100) : json_null ()));
   }
   return list;
 }
@@ -56,7 +56,8 @@
       "{s:s, s:s, s:b, s:b, s:s, s:s?, s:I, s:b, s:i, s:o}", "member", node->config->member, "version", FT_VERSION,
       "ready", ft_node_ready (node, now), "state_service", ft_store_client_contact (node->store, now), "lease",
       ft_lease_state_name (ft_lease_state (node->lease)), "leader", ft_node_leader (node), "token",
-      (json_int_t) (node->leader.scheduler != NULL ? ft_lease_token (node->lease) : node->peer_group.peer_leader_token),
+      (json_int_t) (node->leader.scheduler != NULL ? ft_lease_token (node->lease)
+                                                   : ft_peers_leader_token (node->peers)),
       "recovered", node->leader.scheduler != NULL && ft_scheduler_is_loaded (node->leader.scheduler),
       "user_connections", (int) ft_http_server_connections (node->front), "peers", peers_body (node, now));
   if (node->leader.scheduler != NULL)
--- a/src/net/leader.c
+++ b/src/net/leader.c
@@ -9,7 +9,7 @@
 static FtScheduler *
 scheduler_new (FtNode *node, gint64 now)
 {
-  FtCatalog *known = node->catalog_cache.catalog;
+  FtCatalog *known = ft_catalog_cache_get (node->catalog_cache);
   g_autoptr (FtCatalog) catalog = known != NULL ? ft_catalog_ref (known) : ft_catalog_new ();
   FtScheduler *scheduler = ft_scheduler_new (&node->config->core, catalog, ft_lease_token (node->lease),
                                              node->answer_grace_us, now, g_rand_int (node->random));
@@ -40,8 +40,6 @@
   node->leader.commands_in_flight = 0;
   node->leader.dependency_reads_in_flight = 0;
   ft_leader_cloud_end (node);
-  node->leadership.renew_in_flight = FALSE;
-  node->heartbeat_queue.overrun_since = 0;
   g_clear_pointer (&node->leader.scheduler, ft_scheduler_free);
   ft_store_client_set_leading (node->store, FALSE);
 }
@@ -49,7 +47,7 @@
 void
 ft_leader_pump (FtNode *node, gint64 now)
 {
-  if (!ft_scheduler_is_loaded (node->leader.scheduler))
+  if (node->leader.scheduler == NULL || !ft_scheduler_is_loaded (node->leader.scheduler))
     return;
   ft_scheduler_place (node->leader.scheduler, now, ft_lease_may_start (node->lease, now));
   ft_leader_batches_commit (node, now);
--- a/src/net/leader.h
+++ b/src/net/leader.h
@@ -24,6 +24,9 @@
   FtLeaderCloud cloud;
   guint commands_in_flight;         /* leader_commands.c */
   guint dependency_reads_in_flight; /* leader_dependencies.c */
+  /* Called when an answer shows that another controller leads; `reason` is static. Set once by
+   * the leadership module, which is to end the term. */
+  void (*superseded) (FtNode *node, const char *reason);
 } FtLeader;
 
 /* Begins a term after the lease was acquired: makes a scheduler and starts the recovery.
@@ -31,8 +34,8 @@
 void ft_leader_begin (FtNode *node, guint64 revision);
 /* Ends the term, if there is one: frees the scheduler and lets later answers be dropped. */
 void ft_leader_end (FtNode *node);
-/* Places tasks and carries out whatever the scheduler wants. Nothing until the recovery is
- * complete. Call it only while leading. */
+/* Places tasks and carries out whatever the scheduler wants; nothing while this controller does
+ * not lead or its recovery is not complete. */
 void ft_leader_pump (FtNode *node, gint64 now);
 /* Periodic work: the watch, the cloud's list, the scheduler's own timers. Call it only while
  * leading. */
--- a/src/net/leader_batches.c
+++ b/src/net/leader_batches.c
@@ -4,9 +4,6 @@
 #include "net/leader_request.h"
 #include "net/node.h"
 
-/* Microseconds in the millisecond of the rows' wall times. */
-#define US_PER_MS 1000
-
 /* A batch, or the reading of the journal row that decides about one. */
 typedef struct {
   FtLeaderRequest base;
@@ -245,7 +242,7 @@
   ft_txn_if (txn, FT_KEY_JOURNAL, node->leader.batches.journal_revision);
   ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (ft_lease_token (node->lease), batch->number));
   for (guint i = 0; i < batch->writes->len; i++)
-    ft_txn_add_write (txn, g_ptr_array_index (batch->writes, i), g_get_real_time () / US_PER_MS);
+    ft_txn_add_write (txn, g_ptr_array_index (batch->writes, i), g_get_real_time () / FT_MILLISECOND);
   set_state (node, FT_BATCH_COMMITTING);
   ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_store_answer, request);
   json_decref (txn);
--- a/src/net/leader_dependencies.c
+++ b/src/net/leader_dependencies.c
@@ -4,8 +4,6 @@
 #include "net/leader_request.h"
 #include "net/node.h"
 
-/* Microseconds in the millisecond of the rows' wall times. */
-#define US_PER_MS 1000
 /* What the scheduler takes for the age of an end whose row does not tell its time. */
 #define AGE_UNKNOWN (-1)
 
@@ -19,8 +17,8 @@
 {
   if (job->ended_wall_ms <= 0)
     return AGE_UNKNOWN;
-  gint64 wall_ms = g_get_real_time () / US_PER_MS;
-  return MAX (0, wall_ms - job->ended_wall_ms) * US_PER_MS;
+  gint64 wall_ms = g_get_real_time () / FT_MILLISECOND;
+  return MAX (0, wall_ms - job->ended_wall_ms) * FT_MILLISECOND;
 }
 
 static FtLeaderOutcome
--- a/src/net/leader_request.c
+++ b/src/net/leader_request.c
@@ -3,14 +3,6 @@
 #include "core/constants.h"
 #include "net/node.h"
 
-/* Pauses are spread between these shares of their nominal length, so that controllers that
- * failed together do not retry together. */
-#define JITTER_LEAST 0.5
-#define JITTER_MOST 1.5
-/* Doublings of the pause that are counted; the longest pause is reached before. */
-#define MOST_DOUBLINGS 8
-#define MS_PER_SECOND 1000
-
 gpointer
 ft_leader_request_new (FtNode *node, const FtLeaderRequestKind *kind)
 {
@@ -56,10 +48,11 @@
 static void
 retry_later (FtLeaderRequest *request)
 {
-  double pause_s = MIN (FT_BACKOFF_FIRST_S * (1u << MIN (request->retries, MOST_DOUBLINGS)), FT_BACKOFF_LONGEST_S);
-  pause_s *= g_rand_double_range (request->node->random, JITTER_LEAST, JITTER_MOST);
+  double pause_s
+      = MIN (FT_BACKOFF_FIRST_S * (1u << MIN (request->retries, FT_BACKOFF_DOUBLINGS_MAX)), FT_BACKOFF_LONGEST_S);
+  pause_s *= g_rand_double_range (request->node->random, FT_BACKOFF_JITTER_LEAST, FT_BACKOFF_JITTER_MOST);
   request->retries++;
-  g_timeout_add ((guint) (pause_s * MS_PER_SECOND), on_retry_timer, request);
+  g_timeout_add ((guint) (pause_s * FT_SECOND / FT_MILLISECOND), on_retry_timer, request);
 }
 
 /* Consumes the request, whose answer was handled with that outcome. */
@@ -74,9 +67,9 @@
   const char *superseded_reason = request->superseded_reason;
   request_free (request);
   if (outcome == FT_LEADER_OUTCOME_PROGRESS)
-    ft_node_pump (node);
+    ft_leader_pump (node, g_get_monotonic_time ());
   else if (outcome == FT_LEADER_OUTCOME_SUPERSEDED)
-    ft_node_step_down (node, superseded_reason);
+    node->leader.superseded (node, superseded_reason);
 }
 
 void
@@ -112,6 +105,7 @@
 gint64
 ft_leader_first_retry_at (FtNode *node)
 {
-  double pause_s = g_rand_double_range (node->random, JITTER_LEAST, JITTER_MOST) * FT_BACKOFF_FIRST_S;
+  double pause_s
+      = g_rand_double_range (node->random, FT_BACKOFF_JITTER_LEAST, FT_BACKOFF_JITTER_MOST) * FT_BACKOFF_FIRST_S;
   return g_get_monotonic_time () + (gint64) (pause_s * FT_SECOND);
 }
--- a/src/net/leader_rows.c
+++ b/src/net/leader_rows.c
@@ -3,19 +3,16 @@
 #include "core/constants.h"
 #include "net/node.h"
 
-/* Microseconds in the millisecond of the rows' wall times. */
-#define US_PER_MS 1000
-
 static gint64
 wall_ms (void)
 {
-  return g_get_real_time () / US_PER_MS;
+  return g_get_real_time () / FT_MILLISECOND;
 }
 
 static void
 take_cancellation (FtNode *node, const char *ref, const json_t *value, gint64 now)
 {
-  gint64 age_us = MAX (0, wall_ms () - ft_row_cancellation_time (value)) * US_PER_MS;
+  gint64 age_us = MAX (0, wall_ms () - ft_row_cancellation_time (value)) * FT_MILLISECOND;
   ft_scheduler_job_cancelled (node->leader.scheduler, ref, age_us, now);
 }
 
--- /dev/null
+++ b/src/net/leadership.c
@@ -0,0 +1,359 @@
+#include "net/leadership.h"
+
+#include "core/constants.h"
+#include "net/node.h"
+
+struct _FtLeadership {
+  FtNode *node; /* borrowed */
+  gboolean sweep_in_flight;
+  guint renewal_term;     /* the leader's term whose renewal is in flight; 0: none */
+  gint64 answering_since; /* workers got no answer of ours until then */
+  gint64 on_time_since;   /* our timers were late until then */
+  gint64 gave_way_at;     /* when we last resigned or yielded; 0: never */
+};
+
+/* A request for the lease, from sending to its answer. */
+typedef struct {
+  FtLeadership *leadership;
+  gint64 sent_at;
+  guint term;
+} LeaseRequest;
+
+static LeaseRequest *
+lease_request_new (FtLeadership *leadership)
+{
+  LeaseRequest *request = g_new0 (LeaseRequest, 1);
+  request->leadership = leadership;
+  request->sent_at = g_get_monotonic_time ();
+  request->term = leadership->node->leader.term;
+  return request;
+}
+
+static gboolean
+leads (const FtLeadership *leadership)
+{
+  return leadership->node->leader.scheduler != NULL;
+}
+
+static gint64
+seconds (double count)
+{
+  return (gint64) (count * FT_SECOND);
+}
+
+/* ---- terms ---- */
+
+static void
+end_term (FtLeadership *leadership)
+{
+  ft_leader_end (leadership->node);
+  leadership->node->heartbeat_queue.overrun_since = 0;
+}
+
+static void
+begin_term (FtLeadership *leadership, guint64 revision)
+{
+  leadership->node->heartbeat_queue.overrun_since = 0;
+  ft_leader_begin (leadership->node, revision);
+}
+
+void
+ft_leadership_step_down (FtLeadership *leadership, const char *why)
+{
+  FtNode *node = leadership->node;
+  g_message ("node %s: steps down: %s", node->config->member, why);
+  ft_metrics_count (node->metrics, FT_COUNT_STEP_DOWNS);
+  ft_lease_lost (node->lease, g_get_monotonic_time ());
+  end_term (leadership);
+}
+
+static void
+on_superseded (FtNode *node, const char *reason)
+{
+  ft_leadership_step_down (node->leadership, reason);
+}
+
+/* ---- the sweep: reading the lease's rows ---- */
+
+static void
+on_sweep (FtStoreResult result, const json_t *body, gpointer data)
+{
+  g_autofree LeaseRequest *request = data;
+  FtNode *node = request->leadership->node;
+  gint64 now = g_get_monotonic_time ();
+  gboolean more;
+  g_autoptr (GArray) rows = NULL;
+  FtStoreResult read = ft_store_read_rows (result, body, &rows, &more);
+  FtLeaseRows seen = { 0 };
+  request->leadership->sweep_in_flight = FALSE;
+  if (read == FT_STORE_OK && ft_row_lease_parse (rows, &seen))
+    ft_lease_observe (node->lease, now, &seen);
+  else
+    ft_lease_sweep_failed (node->lease, now);
+  if (read == FT_STORE_MALFORMED)
+    ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of rows");
+  ft_lease_rows_clear (&seen);
+}
+
+static void
+sweep (FtLeadership *leadership)
+{
+  leadership->sweep_in_flight = TRUE;
+  ft_store_client_list (leadership->node->store, FT_PREFIX_LEASE, NULL, FT_STORE_PRIORITY_LEASE, on_sweep,
+                        lease_request_new (leadership));
+}
+
+/* ---- the claim ---- */
+
+static void
+on_claimed (FtStoreResult result, const json_t *body, gpointer data)
+{
+  g_autofree LeaseRequest *request = data;
+  FtNode *node = request->leadership->node;
+  guint64 revision;
+  if (ft_lease_state (node->lease) != FT_LEASE_ACQUIRING)
+    return;
+  if (ft_store_read_revision (result, body, &revision) != FT_STORE_OK) {
+    ft_lease_claim_failed (node->lease, g_get_monotonic_time ());
+    return;
+  }
+  ft_lease_acquired (node->lease, request->sent_at, revision);
+  begin_term (request->leadership, revision);
+}
+
+static void
+claim (FtLeadership *leadership, gint64 now)
+{
+  FtNode *node = leadership->node;
+  FtLeaseClaim wanted = ft_lease_claim (node->lease, now);
+  json_t *txn = ft_txn_new ();
+  ft_txn_if (txn, FT_KEY_FENCE, wanted.fence_revision);
+  if (wanted.check_renewal)
+    ft_txn_if (txn, FT_KEY_RENEWAL, wanted.renewal_revision);
+  ft_txn_put (txn, FT_KEY_FENCE, ft_row_fence (wanted.token, node->config->member, node->incarnation));
+  ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (wanted.token, ft_lease_time (node->lease), FALSE));
+  ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (wanted.token, 0));
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_LEASE, on_claimed, lease_request_new (leadership));
+  json_decref (txn);
+}
+
+/* ---- renewal and release ---- */
+
+static void
+on_renewed (FtStoreResult result, G_GNUC_UNUSED const json_t *body, gpointer data)
+{
+  g_autofree LeaseRequest *request = data;
+  FtLeadership *leadership = request->leadership;
+  FtLease *lease = leadership->node->lease;
+  if (request->term != leadership->node->leader.term)
+    return;
+  leadership->renewal_term = 0;
+  if (result == FT_STORE_OK)
+    ft_lease_renewed (lease, request->sent_at);
+  else if (result == FT_STORE_CONFLICT)
+    ft_leadership_step_down (leadership, "the fence has moved on");
+  else
+    ft_lease_renew_failed (lease, g_get_monotonic_time ());
+}
+
+/* Nothing depends on the answer: if the release is lost, the lease expires. */
+static void
+on_released (G_GNUC_UNUSED FtStoreResult result, G_GNUC_UNUSED const json_t *body, gpointer data)
+{
+  g_free (data);
+}
+
+static void
+write_renewal (FtLeadership *leadership, gboolean release, FtStoreDone done)
+{
+  FtNode *node = leadership->node;
+  guint64 token = ft_lease_token (node->lease);
+  json_t *txn = ft_txn_new ();
+  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
+  ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (token, ft_lease_time (node->lease), release));
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_LEASE, done, lease_request_new (leadership));
+  json_decref (txn);
+}
+
+static gboolean
+renewal_in_flight (const FtLeadership *leadership)
+{
+  return leadership->renewal_term != 0 && leadership->renewal_term == leadership->node->leader.term;
+}
+
+static void
+renew (FtLeadership *leadership, gint64 now)
+{
+  leadership->renewal_term = leadership->node->leader.term;
+  ft_lease_renew_sent (leadership->node->lease, now);
+  write_renewal (leadership, FALSE, on_renewed);
+}
+
+/* ---- resigning and yielding ---- */
+
+/* No worker is heard although the store answers: another controller may reach them. */
+static gboolean
+is_cut_off (const FtLeadership *leadership, gint64 now)
+{
+  const FtNode *node = leadership->node;
+  gint64 longest_gap = seconds (node->config->core.heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S);
+  /* While it answers nobody the workers ask elsewhere: after an outage a leader gave up
+   * the lease that it had just renewed, and nobody led for another takeover. */
+  gint64 answering_since = MAX (node->leader.led_since, leadership->answering_since);
+  if (now - answering_since < seconds (FT_CUT_OFF_GRACE_S))
+    return FALSE;
+  /* What was not received while this process stood still proves nothing. */
+  gint64 receiving_since = MAX (answering_since, leadership->on_time_since);
+  gint64 heard_at = MAX (receiving_since, ft_scheduler_last_heard (node->leader.scheduler));
+  return node->config->peers->len > 0 && now - heard_at > longest_gap
+         && ft_scheduler_up (node->leader.scheduler) >= FT_CUT_OFF_MACHINES;
+}
+
+/* A controller that computes slower than before falls behind its workers, and another may not.
+ * But one that leads where none could keep up must not be followed by the next for that alone,
+ * hence the time it must have led; and there is no successor while the others cannot reach the
+ * store. */
+static gboolean
+is_overrun (const FtLeadership *leadership, gint64 now)
+{
+  const FtNode *node = leadership->node;
+  gint64 overrun_since = node->heartbeat_queue.overrun_since;
+  return overrun_since > 0 && ft_peers_any_served (node->peers, now - seconds (FT_PEER_FRESH_S), now)
+         && now - overrun_since > seconds (FT_OVERRUN_S) && now - node->leader.led_since > seconds (FT_OVERRUN_LED_S);
+}
+
+/* Why another controller should lead, for the log line; NULL: no reason is known. */
+static const char *
+reason_to_resign (const FtLeadership *leadership, gint64 now)
+{
+  if (!ft_lease_may_start (leadership->node->lease, now))
+    return NULL;
+  if (is_cut_off (leadership, now))
+    return "hears from no worker";
+  if (is_overrun (leadership, now))
+    return "cannot keep up with its workers";
+  return NULL;
+}
+
+gboolean
+ft_leadership_store_unreachable_alone (const FtLeadership *leadership, gint64 now)
+{
+  const FtNode *node = leadership->node;
+  gint64 lost_at = ft_store_client_failing_since (node->store) + seconds (FT_READY_MARGIN_S);
+  return !ft_store_client_contact (node->store, now) && ft_peers_any_served (node->peers, lost_at, now);
+}
+
+static gboolean
+should_yield (const FtLeadership *leadership, gint64 now)
+{
+  const FtNode *node = leadership->node;
+  /* Requests that failed while this process stood still are no sign of a cut network. */
+  gint64 steady_since = MAX (node->leader.led_since, leadership->on_time_since);
+  return ft_lease_state (node->lease) == FT_LEASE_HOLDING && now > steady_since + seconds (FT_CUT_OFF_GRACE_S)
+         && ft_leadership_store_unreachable_alone (leadership, now);
+}
+
+/* The peers are told with the next heartbeat, which is sent at once, and then look at the
+ * lease's rows; like all that they are told this is advisory. */
+static void
+tell_peers (FtLeadership *leadership, gint64 now)
+{
+  leadership->gave_way_at = now;
+  ft_peers_schedule (leadership->node->peers, now);
+}
+
+/* The leader keeps its state, and the workers' leases alive within the answer grace period: the
+ * store may fail for everybody a second later, and then nobody would succeed it, nobody stop
+ * what users have cancelled, and nobody give back machines whose tasks hang. */
+static void
+yield_leadership (FtLeadership *leadership, gint64 now)
+{
+  FtNode *node = leadership->node;
+  g_warning ("node %s: cannot reach the state service, which others reach: starts nothing more", node->config->member);
+  ft_lease_yield (node->lease, now);
+  tell_peers (leadership, now);
+}
+
+static void
+resign (FtLeadership *leadership, gint64 now, const char *why)
+{
+  FtNode *node = leadership->node;
+  g_warning ("node %s: %s, gives the lease up", node->config->member, why);
+  if (ft_lease_may_start (node->lease, now))
+    write_renewal (leadership, TRUE, on_released);
+  ft_lease_released (node->lease, now);
+  end_term (leadership);
+  tell_peers (leadership, now);
+}
+
+gboolean
+ft_leadership_gave_way (const FtLeadership *leadership, gint64 now)
+{
+  return leadership->gave_way_at > 0 && now - leadership->gave_way_at < seconds (FT_YIELD_ADVERTISED_S);
+}
+
+/* ---- the timer ---- */
+
+static void
+check_answering (FtLeadership *leadership, gint64 now)
+{
+  const FtNode *node = leadership->node;
+  if (ft_lease_may_answer (node->lease, now))
+    return;
+  leadership->answering_since = now;
+  if (leads (leadership))
+    ft_scheduler_unanswering (node->leader.scheduler, now);
+}
+
+static void
+send_due_requests (FtLeadership *leadership, gint64 now)
+{
+  const FtNode *node = leadership->node;
+  if (ft_lease_sweep_due (node->lease, now) && !leadership->sweep_in_flight)
+    sweep (leadership);
+  if (ft_lease_acquire_due (node->lease, now) && ft_store_client_contact (node->store, now))
+    claim (leadership, now);
+  else if (ft_lease_renew_due (node->lease, now) && !renewal_in_flight (leadership))
+    renew (leadership, now);
+}
+
+void
+ft_leadership_tick (FtLeadership *leadership, gint64 now)
+{
+  ft_lease_tick (leadership->node->lease, now);
+  check_answering (leadership, now);
+  send_due_requests (leadership, now);
+  if (!leads (leadership))
+    return;
+  const char *why = reason_to_resign (leadership, now);
+  if (why != NULL)
+    resign (leadership, now, why);
+  else if (should_yield (leadership, now))
+    yield_leadership (leadership, now);
+}
+
+void
+ft_leadership_stood_still (FtLeadership *leadership, gint64 now)
+{
+  leadership->on_time_since = now;
+}
+
+/* ---- life ---- */
+
+FtLeadership *
+ft_leadership_new (FtNode *node)
+{
+  FtLeadership *leadership = g_new0 (FtLeadership, 1);
+  leadership->node = node;
+  node->leader.superseded = on_superseded;
+  return leadership;
+}
+
+void
+ft_leadership_free (FtLeadership *leadership)
+{
+  if (leadership == NULL)
+    return;
+  end_term (leadership);
+  g_free (leadership);
+}
--- /dev/null
+++ b/src/net/node_peers.c
@@ -0,0 +1,82 @@
+/* What this controller tells its peers of itself, and what it does about their heartbeats. */
+#include "core/constants.h"
+#include "net/node.h"
+#include "net/node_peers.h"
+
+/* ---- our heartbeat ---- */
+
+static void
+add_job (const FtJobInfo *job, gpointer data)
+{
+  FtPeerHeartbeat *heartbeat = data;
+  /* For display only: what is left out shows as queued. A body beyond the limit would be
+   * refused as a whole. */
+  if ((job->done > 0 || job->running > 0) && heartbeat->jobs->len < FT_PEER_JOBS_MAX)
+    ft_peer_heartbeat_add_job (heartbeat, job->ref, job->done, job->running);
+}
+
+static void
+compose_heartbeat (FtPeerHeartbeat *heartbeat, gint64 now, gpointer data)
+{
+  const FtNode *node = data;
+  gint64 served_at = ft_store_client_last_served (node->store);
+  heartbeat->supports_dependencies = TRUE;
+  heartbeat->served = served_at > 0;
+  heartbeat->served_ms_ago = heartbeat->served ? (guint64) (now - served_at) / FT_MILLISECOND : 0;
+  heartbeat->yields = ft_leadership_gave_way (node->leadership, now);
+  if (node->leader.scheduler == NULL)
+    return;
+  heartbeat->token = ft_lease_token (node->lease);
+  ft_scheduler_each_job (node->leader.scheduler, add_job, heartbeat);
+}
+
+/* ---- theirs ---- */
+
+static void
+apply_advisory_cancellation (FtNode *node, const char *ref)
+{
+  if (node->leader.scheduler != NULL)
+    ft_scheduler_cancellation_advised (node->leader.scheduler, ref, g_get_monotonic_time ());
+}
+
+static void
+apply_advisory_cancellations (FtNode *node, const GPtrArray *refs)
+{
+  for (guint i = 0; i < refs->len; i++)
+    apply_advisory_cancellation (node, g_ptr_array_index (refs, i));
+  if (refs->len > 0)
+    ft_node_pump (node);
+}
+
+static void
+on_heartbeat (const FtPeerHeartbeat *heartbeat, gint64 now, gpointer data)
+{
+  FtNode *node = data;
+  /* Only a controller that has moved the fence leads under a higher token: it succeeds us. */
+  if (node->leader.scheduler != NULL && heartbeat->token > ft_lease_token (node->lease))
+    ft_leadership_step_down (node->leadership, "a peer leads under a higher token");
+  apply_advisory_cancellations (node, heartbeat->cancellations);
+  if (heartbeat->yields)
+    ft_lease_suspect (node->lease, heartbeat->member, TRUE, now);
+}
+
+static void
+on_suspected (const char *member, gboolean confirmed, gint64 now, gpointer data)
+{
+  const FtNode *node = data;
+  ft_lease_suspect (node->lease, member, confirmed, now);
+}
+
+const FtPeersHooks ft_node_peers_hooks = {
+  .compose = compose_heartbeat,
+  .received = on_heartbeat,
+  .suspected = on_suspected,
+};
+
+void
+ft_node_job_cancelled (FtNode *node, const char *ref)
+{
+  ft_peers_add_cancellation (node->peers, ref);
+  apply_advisory_cancellation (node, ref);
+  ft_node_pump (node);
+}
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -1,229 +1,316 @@
-/* What controllers tell each other: a heartbeat with the sight of the state
- * service, and the leader's summary of running jobs. Nothing here decides who
- * leads; the fence does. */
+#include "net/peers.h"
+
 #include <string.h>
 
 #include "core/constants.h"
-#include "net/node.h"
-#include "wire/peer_heartbeat.h"
 
+/* Connections to one peer, and to all of them. */
+#define CONNECTIONS_PER_PEER 2
+#define CONNECTIONS_MOST 16
+
+/* One of the other controllers. */
 typedef struct {
-  FtNode *node;
-  guint peer;
-} HeartbeatCall;
+  const FtPeer *address;          /* borrowed of the settings */
+  gint64 heard_at;                /* its last heartbeat; 0: none yet */
+  gboolean supports_dependencies; /* its version knows of jobs that depend on others */
+  gint64 served_at;               /* when the store last answered it, on our clock */
+  gboolean in_flight;             /* a heartbeat of ours awaits its answer */
+  gint64 sent_at;                 /* our last heartbeat */
+  gint64 answered_at;             /* its last answer to one */
+  guint refusals_in_row;          /* our heartbeats whose connection it refused, since it answered or was silent */
+} Peer;
 
-/* Another peer answers us: the peers works, and who refuses us is alone with it. */
-static gboolean
-another_peer_answers (const FtNode *node, gint64 now)
+struct _FtPeers {
+  const FtConfig *config;    /* borrowed */
+  FtMalformedLog *malformed; /* borrowed */
+  const FtPeersHooks *hooks; /* borrowed */
+  gpointer data;             /* of the hooks */
+  FtHttpClient *client;
+  GArray *all;  /* Peer */
+  char *leader; /* as the peers name it; NULL: not yet */
+  guint64 leader_token;
+  GHashTable *job_progress;    /* ref -> FtJobProgress, of the leader's last heartbeat */
+  GQueue recent_cancellations; /* RecentCancellation, oldest first: what we have committed of late */
+  gint64 next_heartbeat_at;
+};
+
+/* A heartbeat that awaits its answer. */
+typedef struct {
+  FtPeers *peers;
+  guint index; /* of the peer */
+} HeartbeatRequest;
+
+typedef struct {
+  char *ref;
+  gint64 committed_at;
+} RecentCancellation;
+
+static Peer *
+peer_at (const FtPeers *peers, guint i)
 {
-  for (guint i = 0; i < node->peer_group.peers->len; i++) {
-    const FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
-    if (view->refused == 0 && view->answered_at > 0
-        && now - view->answered_at < (gint64) (FT_PEER_WITNESS_S * FT_SECOND))
-      return TRUE;
-  }
-  return FALSE;
+  return &g_array_index (peers->all, Peer, i);
 }
 
+/* ---- cancellations: advisory, no rule rests on them ---- */
+
 static void
-on_heartbeat_answered (guint status, const json_t *body, gpointer data)
+recent_cancellation_free (RecentCancellation *cancellation)
 {
-  g_autofree HeartbeatCall *call = data;
-  FtNode *node = call->node;
-  FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, call->peer);
-  gint64 now = g_get_monotonic_time ();
-  (void) body;
-  view->in_flight = FALSE;
-  if (status != 0 || now - view->sent_at > (gint64) (FT_PEER_REFUSED_S * FT_SECOND)) {
-    view->answered_at = status != 0 ? now : view->answered_at;
-    view->refused = 0; /* answered, or silent: a cut does not refuse */
-    return;
-  }
-  view->refused++;
-  node->peer_group.next_peer_heartbeat
-      = MIN (node->peer_group.next_peer_heartbeat, now + (gint64) (FT_PEER_RETRY_S * FT_SECOND));
-  /* Refused again and again, and silent itself: most likely its process ended. */
-  if (view->refused >= FT_PEER_REFUSALS && now - view->heard_at > (gint64) (FT_PEER_EVERY_S * FT_SECOND))
-    ft_lease_suspect (node->lease, view->peer->member, another_peer_answers (node, now), now);
+  g_free (cancellation->ref);
+  g_free (cancellation);
 }
 
 static void
-add_job (const FtJobInfo *job, gpointer data)
+forget_cancellations (FtPeers *peers, gint64 before)
 {
-  FtPeerHeartbeat *heartbeat = data;
-  /* For display only: what is left out shows as queued. A body beyond the limit
-   * would be refused whole. */
-  if ((job->done > 0 || job->running > 0) && heartbeat->jobs->len < FT_PEER_JOBS_MAX)
-    ft_peer_heartbeat_add_job (heartbeat, job->ref, job->done, job->running);
+  RecentCancellation *oldest;
+  while ((oldest = g_queue_peek_head (&peers->recent_cancellations)) != NULL && oldest->committed_at < before)
+    recent_cancellation_free (g_queue_pop_head (&peers->recent_cancellations));
 }
 
-/* ---- cancellations: hints, on which no rule rests ---- */
+void
+ft_peers_add_cancellation (FtPeers *peers, const char *ref)
+{
+  RecentCancellation *cancellation = g_new0 (RecentCancellation, 1);
+  cancellation->ref = g_strdup (ref);
+  cancellation->committed_at = g_get_monotonic_time ();
+  g_queue_push_tail (&peers->recent_cancellations, cancellation);
+  ft_peers_schedule (peers, cancellation->committed_at);
+}
 
-typedef struct {
-  char *ref;
-  gint64 at;
-} RecentCancellation;
+/* The newest first: the oldest are left out of a full heartbeat. */
+static void
+add_cancellations (FtPeers *peers, FtPeerHeartbeat *heartbeat, gint64 now)
+{
+  forget_cancellations (peers, now - (gint64) (FT_PEER_CANCELLATIONS_S * FT_SECOND));
+  for (GList *link = peers->recent_cancellations.tail;
+       link != NULL && heartbeat->cancellations->len < FT_PEER_CANCELLATIONS_MAX; link = link->prev)
+    g_ptr_array_add (heartbeat->cancellations, g_strdup (((RecentCancellation *) link->data)->ref));
+}
+
+/* ---- life ---- */
+
+FtPeers *
+ft_peers_new (const FtConfig *config, FtMalformedLog *malformed, const FtPeersHooks *hooks, gpointer data)
+{
+  FtPeers *peers = g_new0 (FtPeers, 1);
+  peers->config = config;
+  peers->malformed = malformed;
+  peers->hooks = hooks;
+  peers->data = data;
+  peers->client = ft_http_client_new (CONNECTIONS_PER_PEER, CONNECTIONS_MOST);
+  peers->all = g_array_new (FALSE, TRUE, sizeof (Peer));
+  for (guint i = 0; i < config->peers->len; i++) {
+    Peer peer = { .address = &g_array_index (config->peers, FtPeer, i) };
+    g_array_append_val (peers->all, peer);
+  }
+  peers->job_progress = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  g_queue_init (&peers->recent_cancellations);
+  return peers;
+}
 
 void
-ft_peers_forget_cancellations (FtNode *node, gint64 before)
+ft_peers_free (FtPeers *peers)
 {
-  RecentCancellation *oldest;
-  while ((oldest = g_queue_peek_head (&node->peer_group.recent_cancellations)) != NULL && oldest->at < before) {
-    g_queue_pop_head (&node->peer_group.recent_cancellations);
-    g_free (oldest->ref);
-    g_free (oldest);
+  if (peers == NULL)
+    return;
+  ft_http_client_free (peers->client);
+  g_array_unref (peers->all);
+  g_hash_table_unref (peers->job_progress);
+  g_queue_clear_full (&peers->recent_cancellations, (GDestroyNotify) recent_cancellation_free);
+  g_free (peers->leader);
+  g_free (peers);
+}
+
+/* ---- sending ---- */
+
+static gboolean
+another_peer_answers (const FtPeers *peers, gint64 now)
+{
+  for (guint i = 0; i < peers->all->len; i++) {
+    const Peer *peer = peer_at (peers, i);
+    if (peer->refusals_in_row == 0 && peer->answered_at > 0
+        && now - peer->answered_at < (gint64) (FT_PEER_WITNESS_S * FT_SECOND))
+      return TRUE;
   }
+  return FALSE;
 }
 
+/* The connection was refused at once: the peer's host runs, but nothing listens. */
 static void
-apply_advisory_cancellation (FtNode *node, const char *ref)
+on_refused (FtPeers *peers, Peer *peer, gint64 now)
 {
-  if (node->leader.scheduler != NULL)
-    ft_scheduler_cancellation_advised (node->leader.scheduler, ref, g_get_monotonic_time ());
+  peer->refusals_in_row++;
+  ft_peers_schedule (peers, MIN (peers->next_heartbeat_at, now + (gint64) (FT_PEER_RETRY_S * FT_SECOND)));
+  gboolean silent = now - peer->heard_at > (gint64) (FT_PEER_EVERY_S * FT_SECOND);
+  if (peer->refusals_in_row >= FT_PEER_REFUSALS && silent)
+    peers->hooks->suspected (peer->address->member, another_peer_answers (peers, now), now, peers->data);
 }
 
-/* The leader sees cancellations by its watch; one that the state service refuses does not,
- * and would go on with such tasks until its hold is over. */
-void
-ft_node_job_cancelled (FtNode *node, const char *ref)
+static void
+on_heartbeat_answered (guint status, G_GNUC_UNUSED const json_t *body, gpointer data)
 {
-  RecentCancellation *entry = g_new0 (RecentCancellation, 1);
-  entry->ref = g_strdup (ref);
-  entry->at = g_get_monotonic_time ();
-  g_queue_push_tail (&node->peer_group.recent_cancellations, entry);
-  node->peer_group.next_peer_heartbeat = entry->at;
-  apply_advisory_cancellation (node, ref);
-  ft_node_pump (node);
+  g_autofree HeartbeatRequest *request = data;
+  Peer *peer = peer_at (request->peers, request->index);
+  gint64 now = g_get_monotonic_time ();
+  gboolean answered = status != 0;
+  gboolean timed_out = now - peer->sent_at > (gint64) (FT_PEER_REFUSED_S * FT_SECOND);
+  peer->in_flight = FALSE;
+  if (answered)
+    peer->answered_at = now;
+  if (answered || timed_out)
+    peer->refusals_in_row = 0; /* a cut network times out, it does not refuse */
+  else
+    on_refused (request->peers, peer, now);
 }
 
 static void
-add_cancellations (FtNode *node, FtPeerHeartbeat *heartbeat, gint64 now)
+send_heartbeat (FtPeers *peers, guint index, const json_t *body, gint64 now)
 {
-  ft_peers_forget_cancellations (node, now - (gint64) (FT_PEER_CANCELLATIONS_S * FT_SECOND));
-  for (GList *link = node->peer_group.recent_cancellations.tail;
-       link != NULL && heartbeat->cancellations->len < FT_PEER_CANCELLATIONS_MAX; link = link->prev)
-    g_ptr_array_add (heartbeat->cancellations, g_strdup (((RecentCancellation *) link->data)->ref));
+  Peer *peer = peer_at (peers, index);
+  HeartbeatRequest *request = g_new0 (HeartbeatRequest, 1);
+  request->peers = peers;
+  request->index = index;
+  peer->in_flight = TRUE;
+  peer->sent_at = now;
+  ft_http_send (peers->client, "POST", peer->address->addr, "/mesh/beat", FT_BODY_JSON, body, FT_PEER_TIMEOUT_S, FALSE,
+                on_heartbeat_answered, request);
 }
 
-static FtPeerHeartbeat *
-next_heartbeat (FtNode *node, gint64 now)
+void
+ft_peers_schedule (FtPeers *peers, gint64 at)
 {
-  gint64 served = ft_store_client_last_served (node->store);
-  FtPeerHeartbeat *heartbeat = ft_peer_heartbeat_new (node->config->member);
-  heartbeat->supports_dependencies = TRUE;
-  heartbeat->served = served > 0;
-  heartbeat->served_ms_ago = heartbeat->served ? (guint64) (now - served) / 1000 : 0;
-  heartbeat->yields = node->leadership.yielded_at > 0
-                      && now - node->leadership.yielded_at < (gint64) (FT_YIELD_ADVERTISED_S * FT_SECOND);
-  add_cancellations (node, heartbeat, now);
-  if (node->leader.scheduler == NULL)
-    return heartbeat;
-  heartbeat->token = ft_lease_token (node->lease);
-  ft_scheduler_each_job (node->leader.scheduler, add_job, heartbeat);
-  return heartbeat;
+  peers->next_heartbeat_at = at;
 }
 
 void
-ft_peers_tick (FtNode *node, gint64 now)
+ft_peers_tick (FtPeers *peers, gint64 now)
 {
-  if (now < node->peer_group.next_peer_heartbeat)
+  if (now < peers->next_heartbeat_at)
     return;
-  node->peer_group.next_peer_heartbeat = now + (gint64) (FT_PEER_EVERY_S * FT_SECOND);
-  g_autoptr (FtPeerHeartbeat) heartbeat = next_heartbeat (node, now);
+  ft_peers_schedule (peers, now + (gint64) (FT_PEER_EVERY_S * FT_SECOND));
+  g_autoptr (FtPeerHeartbeat) heartbeat = ft_peer_heartbeat_new (peers->config->member);
+  add_cancellations (peers, heartbeat, now);
+  peers->hooks->compose (heartbeat, now, peers->data);
   json_t *body = ft_peer_heartbeat_body (heartbeat);
-  for (guint i = 0; i < node->peer_group.peers->len; i++) {
-    FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
-    if (view->in_flight)
-      continue;
-    HeartbeatCall *call = g_new0 (HeartbeatCall, 1);
-    call->node = node;
-    call->peer = i;
-    view->in_flight = TRUE;
-    view->sent_at = now;
-    ft_http_send (node->peer_group.peer_client, "POST", view->peer->addr, "/mesh/beat", FT_BODY_JSON, body,
-                  FT_PEER_TIMEOUT_S, FALSE, on_heartbeat_answered, call);
-  }
+  for (guint i = 0; i < peers->all->len; i++)
+    if (!peer_at (peers, i)->in_flight)
+      send_heartbeat (peers, i, body, now);
   json_decref (body);
 }
 
+/* ---- receiving ---- */
+
+/* What a leader says of its jobs; one under a lower token was succeeded. */
 static void
-take_summary (FtNode *node, const FtPeerHeartbeat *heartbeat)
+take_summary (FtPeers *peers, const FtPeerHeartbeat *heartbeat)
 {
-  if (heartbeat->token < node->peer_group.peer_leader_token)
+  if (heartbeat->token < peers->leader_token)
     return;
-  node->peer_group.peer_leader_token = heartbeat->token;
-  g_free (node->peer_group.peer_leader);
-  node->peer_group.peer_leader = g_strdup (heartbeat->member);
-  g_hash_table_remove_all (node->peer_group.peer_job_progress);
+  peers->leader_token = heartbeat->token;
+  g_free (peers->leader);
+  peers->leader = g_strdup (heartbeat->member);
+  g_hash_table_remove_all (peers->job_progress);
   for (guint i = 0; i < heartbeat->jobs->len; i++) {
     const FtPeerHeartbeatJob *job = &g_array_index (heartbeat->jobs, FtPeerHeartbeatJob, i);
-    FtJobProgress *view = g_new0 (FtJobProgress, 1);
-    view->done = job->done;
-    view->running = job->running;
-    g_hash_table_insert (node->peer_group.peer_job_progress, g_strdup (job->ref), view);
+    FtJobProgress *progress = g_new0 (FtJobProgress, 1);
+    progress->done = job->done;
+    progress->running = job->running;
+    g_hash_table_insert (peers->job_progress, g_strdup (job->ref), progress);
   }
 }
 
-static void
-apply_advisory_cancellations (FtNode *node, const GPtrArray *refs)
+static Peer *
+find_peer (const FtPeers *peers, const char *member)
 {
-  for (guint i = 0; i < refs->len; i++)
-    apply_advisory_cancellation (node, g_ptr_array_index (refs, i));
-  if (refs->len > 0)
-    ft_node_pump (node);
-}
-
-/* Only who has moved the fence leads under a higher token: we are succeeded. */
-static void
-check_succeeded (FtNode *node, guint64 token)
-{
-  if (node->leader.scheduler != NULL && token > ft_lease_token (node->lease))
-    ft_node_step_down (node, "a peer leads under a higher token");
-}
-
-static FtPeerState *
-find_peer (FtNode *node, const char *member)
-{
-  for (guint i = 0; i < node->peer_group.peers->len; i++) {
-    FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
-    if (strcmp (view->peer->member, member) == 0)
-      return view;
-  }
+  for (guint i = 0; i < peers->all->len; i++)
+    if (strcmp (peer_at (peers, i)->address->member, member) == 0)
+      return peer_at (peers, i);
   return NULL;
 }
 
-static void
-handle_heartbeat (FtNode *node, FtHttpRequest *request)
+void
+ft_peers_handle_heartbeat (FtPeers *peers, FtHttpRequest *request)
 {
   g_autoptr (FtPeerHeartbeat) heartbeat = ft_peer_heartbeat_parse (ft_http_body (request));
-  FtPeerState *view = heartbeat != NULL ? find_peer (node, heartbeat->member) : NULL;
-  if (view == NULL) {
-    ft_node_malformed (node, FT_COUNT_MALFORMED_PEERS, "heartbeat");
+  Peer *peer = heartbeat != NULL ? find_peer (peers, heartbeat->member) : NULL;
+  if (peer == NULL) {
+    ft_malformed_log_add (peers->malformed, FT_COUNT_MALFORMED_PEERS, "heartbeat");
     ft_http_respond (request, 400, NULL);
     return;
   }
-  view->heard_at = g_get_monotonic_time ();
-  view->supports_dependencies = heartbeat->supports_dependencies;
+  peer->heard_at = g_get_monotonic_time ();
+  peer->supports_dependencies = heartbeat->supports_dependencies;
   if (heartbeat->served)
-    view->served_at = view->heard_at - (gint64) heartbeat->served_ms_ago * 1000;
-  if (heartbeat->token > 0) {
-    take_summary (node, heartbeat);
-    check_succeeded (node, heartbeat->token);
-  }
-  apply_advisory_cancellations (node, heartbeat->cancellations);
-  if (heartbeat->yields)
-    ft_lease_suspect (node->lease, heartbeat->member, TRUE, view->heard_at);
+    peer->served_at = peer->heard_at - (gint64) heartbeat->served_ms_ago * 1000;
+  if (heartbeat->token > 0)
+    take_summary (peers, heartbeat);
+  peers->hooks->received (heartbeat, peer->heard_at, peers->data);
   ft_http_respond (request, 200, json_object ());
 }
 
-void
-ft_peers_handle (FtHttpRequest *request, gpointer data)
+/* ---- what is known of them ---- */
+
+static gboolean
+is_heard (const Peer *peer, gint64 now)
 {
-  const char *path = ft_http_path (request);
-  if (strcmp (path, "/mesh/beat") == 0 && strcmp (ft_http_method (request), "POST") == 0)
-    handle_heartbeat (data, request);
-  else if (g_str_has_prefix (path, "/admin/"))
-    ft_admin_handle (data, request);
-  else
-    ft_http_respond (request, 404, NULL);
+  return peer->heard_at > 0 && now - peer->heard_at <= (gint64) (FT_PEER_FRESH_S * FT_SECOND);
+}
+
+gboolean
+ft_peers_any_served (const FtPeers *peers, gint64 after, gint64 now)
+{
+  for (guint i = 0; i < peers->all->len; i++)
+    if (is_heard (peer_at (peers, i), now) && peer_at (peers, i)->served_at > after)
+      return TRUE;
+  return FALSE;
+}
+
+gboolean
+ft_peers_any_older (const FtPeers *peers, gint64 now)
+{
+  for (guint i = 0; i < peers->all->len; i++)
+    if (is_heard (peer_at (peers, i), now) && !peer_at (peers, i)->supports_dependencies)
+      return TRUE;
+  return FALSE;
+}
+
+gboolean
+ft_peers_any_heard (const FtPeers *peers, gint64 now)
+{
+  for (guint i = 0; i < peers->all->len; i++)
+    if (is_heard (peer_at (peers, i), now))
+      return TRUE;
+  return FALSE;
+}
+
+const char *
+ft_peers_leader (const FtPeers *peers)
+{
+  return peers->leader;
+}
+
+guint64
+ft_peers_leader_token (const FtPeers *peers)
+{
+  return peers->leader_token;
+}
+
+const FtJobProgress *
+ft_peers_job_progress (const FtPeers *peers, const char *ref)
+{
+  return g_hash_table_lookup (peers->job_progress, ref);
+}
+
+guint
+ft_peers_count (const FtPeers *peers)
+{
+  return peers->all->len;
+}
+
+const FtPeer *
+ft_peers_get (const FtPeers *peers, guint i, gint64 *heard_at)
+{
+  *heard_at = peer_at (peers, i)->heard_at;
+  return peer_at (peers, i)->address;
 }
--- a/src/net/user_api.c
+++ b/src/net/user_api.c
@@ -80,7 +80,7 @@
 open_body (FtNode *node, const char *ref)
 {
   FtJobProgress view = { 0 };
-  const FtJobProgress *seen = g_hash_table_lookup (node->peer_group.peer_job_progress, ref);
+  const FtJobProgress *seen = ft_peers_job_progress (node->peers, ref);
   if (node->leader.scheduler != NULL)
     view = ft_scheduler_view (node->leader.scheduler, ref);
   else if (seen != NULL)
@@ -265,7 +265,7 @@
 static gboolean
 must_wait_for_upgrade (const FtNode *node, const FtJobSpec *spec)
 {
-  return spec->dependencies != NULL && ft_node_has_older_peer (node, g_get_monotonic_time ());
+  return spec->dependencies != NULL && ft_peers_any_older (node->peers, g_get_monotonic_time ());
 }
 
 /* Whether the job can ever run, as far as its submission alone tells. */
@@ -276,7 +276,7 @@
     *why = "it is too large for a row of the state service: fewer or shorter names are needed";
     return FT_ADMIT_NEVER;
   }
-  return ft_admission_check (&node->config->core, node->catalog_cache.catalog, spec, why);
+  return ft_admission_check (&node->config->core, ft_catalog_cache_get (node->catalog_cache), spec, why);
 }
 
 static void
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -8,8 +8,9 @@
 static void
 redirect (FtNode *node, FtHttpRequest *request)
 {
-  const char *holder
-      = node->peer_group.peer_leader != NULL ? node->peer_group.peer_leader : ft_lease_holder (node->lease);
+  const char *holder = ft_peers_leader (node->peers);
+  if (holder == NULL)
+    holder = ft_lease_holder (node->lease);
   if (g_strcmp0 (holder, node->config->member) == 0)
     holder = NULL;
   ft_metrics_count (node->metrics, FT_COUNT_REDIRECTS);
@@ -42,7 +43,7 @@
   }
   ft_metrics_count (node->metrics, FT_COUNT_HEARTBEATS);
   if (!ft_scheduler_heartbeat (node->leader.scheduler, heartbeat, now)) {
-    ft_node_step_down (node, "a worker has seen a higher token");
+    ft_leadership_step_down (node->leadership, "a worker has seen a higher token");
     redirect (node, request);
     return;
   }
