--- a/src/net/budget.c
+++ b/src/net/budget.c
@@ -32,7 +32,7 @@
   budget->rate = MAX (budget->rate / 2, budget->full * FT_BUDGET_MIN);
 }
 
-/* A single demand larger than the burst passes once the bucket is full. */
+/* An amount larger than the burst would never be there. */
 gboolean
 ft_budget_has (FtBudget *budget, double amount, gint64 now)
 {
--- a/src/net/budget.h
+++ b/src/net/budget.h
@@ -1,19 +1,62 @@
-/* A token bucket: how much of a service's limit this controller uses. A refusal for the rate
- * halves what it uses; that comes back by and by. */
+/* A token bucket: how much of a service's rate limit this controller uses. A refusal for the
+ * rate halves what it uses, which then recovers gradually. The store client and the leader's
+ * cloud calls own one each. All times are monotonic, in microseconds. */
 #pragma once
 #include <glib.h>
 
+/**
+ * FtBudget:
+ * @rate: units that are added in a second now
+ * @full: the most that are added in a second
+ * @burst: the most that can be saved up
+ * @level: units that can be used now; below 0 they are used in advance
+ * @at: when @level was computed
+ *
+ * Held by value by its owner; changed only by the functions below.
+ */
 typedef struct {
-  double rate;  /* in use now, a second */
-  double full;  /* the most that is used */
-  double burst; /* what may be used at once */
+  double rate;
+  double full;
+  double burst;
   double level;
   gint64 at;
 } FtBudget;
 
+/**
+ * ft_budget_init:
+ * @budget: the budget, not initialized
+ * @rate: units in a second
+ * @burst: units that can be saved up; all of them are there at the beginning
+ * @now: monotonic time
+ */
 void ft_budget_init (FtBudget *budget, double rate, double burst, gint64 now);
+
+/**
+ * ft_budget_set_rate:
+ * @rate: units in a second from now on, and what can be saved up
+ * @now: monotonic time
+ */
 void ft_budget_set_rate (FtBudget *budget, double rate, gint64 now);
+
+/**
+ * ft_budget_has:
+ * @amount: units that are wanted
+ * @now: monotonic time
+ *
+ * Returns: whether @amount can be used now. If it exceeds the burst, a full budget suffices.
+ */
 gboolean ft_budget_has (FtBudget *budget, double amount, gint64 now);
+
+/**
+ * ft_budget_take:
+ * @amount: units that are used, also if the budget does not have them
+ */
 void ft_budget_take (FtBudget *budget, double amount);
-/* The service has refused a request for its rate. */
+
+/**
+ * ft_budget_refused:
+ * @now: monotonic time
+ *
+ * To be called when the service has refused a request for its rate limit.
+ */
 void ft_budget_refused (FtBudget *budget, gint64 now);
--- a/src/net/catalog_cache.h
+++ b/src/net/catalog_cache.h
@@ -6,16 +6,55 @@
 #include "net/http.h"
 #include "net/malformed.h"
 
+/**
+ * FtCatalogCache:
+ *
+ * One per process, owned by the node.
+ */
 typedef struct _FtCatalogCache FtCatalogCache;
-/* A catalog was read; it is borrowed for the call. */
+
+/**
+ * FtCatalogRead:
+ * @catalog: (transfer none): what was read
+ * @data: that of ft_catalog_cache_new()
+ */
 typedef void (*FtCatalogRead) (FtCatalog *catalog, gpointer data);
 
-/* All arguments are borrowed for the cache's life. */
+/**
+ * ft_catalog_cache_new:
+ * @config: names the cloud's address
+ * @cloud_client: on which the catalog is read
+ * @malformed: is given catalogs that cannot be read
+ * @read: called for each catalog that was read
+ * @data: of @read
+ *
+ * All arguments are borrowed for the cache's life.
+ *
+ * Returns: (transfer full): a cache without a catalog
+ */
 FtCatalogCache *ft_catalog_cache_new (const FtConfig *config, FtHttpClient *cloud_client, FtMalformedLog *malformed,
                                       FtCatalogRead read, gpointer data);
-/* To be called after `cloud_client` was freed, with its requests. */
+
+/**
+ * ft_catalog_cache_free:
+ * @cache: (nullable) (transfer full): the cache
+ *
+ * To be called after its client was freed, with the request that may be under way.
+ */
 void ft_catalog_cache_free (FtCatalogCache *cache);
-/* Reads the catalog if that is due. `now`: monotonic, microseconds. */
+
+/**
+ * ft_catalog_cache_tick:
+ * @now: monotonic time in microseconds
+ *
+ * Reads the catalog if that is due.
+ */
 void ft_catalog_cache_tick (FtCatalogCache *cache, gint64 now);
-/* The catalog read last; NULL: none yet. Borrowed until the main loop runs again. */
+
+/**
+ * ft_catalog_cache_get:
+ *
+ * Returns: (transfer none) (nullable): the catalog that was read last, NULL if none was yet; valid
+ *     until the main loop runs again
+ */
 FtCatalog *ft_catalog_cache_get (const FtCatalogCache *cache);
--- a/src/net/heartbeat_queue.h
+++ b/src/net/heartbeat_queue.h
@@ -4,10 +4,18 @@
 #pragma once
 #include <glib.h>
 
+/**
+ * FtHeartbeatQueue:
+ * @waiting_heartbeats: entries of worker_endpoint.c, oldest first
+ * @heartbeats_source: main loop source that serves them; 0: none waits
+ * @heartbeats_turn: the HTTP server's turn in which the last heartbeat came
+ * @heartbeats_in_turn: how many came in that turn
+ * @overrun_since: they have waited too long since then; monotonic, microseconds, 0: they do not
+ */
 typedef struct {
-  GQueue waiting_heartbeats; /* of worker_endpoint.c, oldest first */
-  guint heartbeats_source;   /* main loop source that serves them; 0: none waits */
-  guint heartbeats_turn;     /* the HTTP server's turn in which the last one came */
-  guint heartbeats_in_turn;  /* heartbeats that came in that turn */
-  gint64 overrun_since;      /* they wait too long since then; monotonic, 0: they do not */
+  GQueue waiting_heartbeats;
+  guint heartbeats_source;
+  guint heartbeats_turn;
+  guint heartbeats_in_turn;
+  gint64 overrun_since;
 } FtHeartbeatQueue;
--- a/src/net/leader_commands.h
+++ b/src/net/leader_commands.h
@@ -5,5 +5,12 @@
 
 typedef struct _FtNode FtNode;
 
-/* Sends the commands that the scheduler wants to go out now, FT_DIRECT_MAX at a time. */
+/**
+ * ft_leader_commands_send:
+ * @node: a controller that leads
+ * @now: monotonic time in microseconds
+ *
+ * Sends the commands that the scheduler wants to go out now, FT_DIRECT_MAX at a time. Each is
+ * sent once; what a lost answer means is up to the scheduler.
+ */
 void ft_leader_commands_send (FtNode *node, gint64 now);
--- a/src/net/leader_dependencies.h
+++ b/src/net/leader_dependencies.h
@@ -5,5 +5,12 @@
 
 typedef struct _FtNode FtNode;
 
-/* Starts the readings that the scheduler asks for, FT_DEPENDENCY_READS_MAX at a time. */
+/**
+ * ft_leader_dependencies_read:
+ * @node: a controller that leads
+ * @now: monotonic time in microseconds
+ *
+ * Starts the readings that the scheduler asks for, FT_DEPENDENCY_READS_MAX at a time. One that
+ * fails is not repeated here: the scheduler asks for it again.
+ */
 void ft_leader_dependencies_read (FtNode *node, gint64 now);
--- a/src/net/leader_recovery.h
+++ b/src/net/leader_recovery.h
@@ -5,10 +5,20 @@
 
 typedef struct _FtNode FtNode;
 
-/* All rows have been taken into the scheduler. */
+/**
+ * FtLeaderRecovered:
+ *
+ * Called when all rows have been taken into the scheduler.
+ */
 typedef void (*FtLeaderRecovered) (FtNode *node);
 
-/* Starts reading, page by page, each repeated until it is answered. At a term's beginning the
- * four prefixes are read one after another and the scheduler starts placing; later only the
- * open jobs' rows are. `recovered` is called unless the term ends first. */
+/**
+ * ft_leader_recovery_start:
+ * @node: a controller that leads
+ * @recovered: called at the end, unless the term ends before
+ *
+ * Reads the rows page by page, each repeated until it is answered. At the beginning of a term the
+ * four prefixes are read one after another, and then the scheduler starts placing; later only the
+ * open jobs' rows are read.
+ */
 void ft_leader_recovery_start (FtNode *node, FtLeaderRecovered recovered);
--- a/src/net/leader_rows.h
+++ b/src/net/leader_rows.h
@@ -5,16 +5,37 @@
 
 typedef struct _FtNode FtNode;
 
-/* How far the leader's knowledge of the open jobs' rows reaches. */
+/**
+ * FtLeaderRows:
+ * @known_revision: the store's revision up to which the open jobs' rows are known: the watch goes
+ *     on from there
+ * @cancellations_read_at: when the last reading of all of them was begun; monotonic, microseconds
+ *
+ * How far the leader's knowledge of the open jobs' rows reaches.
+ */
 typedef struct {
-  guint64 known_revision;       /* the store's revision up to which they are known: the watch goes on from there */
-  gint64 cancellations_read_at; /* when the last reading of all of them was begun; monotonic, microseconds */
+  guint64 known_revision;
+  gint64 cancellations_read_at;
 } FtLeaderRows;
 
-/* Takes in a row under FT_PREFIX_OPEN. `accepted_since`: the job was accepted while this
- * controller leads, so nothing of it can have run. A row that is deleted is ignored. */
+/**
+ * ft_leader_take_open_row:
+ * @row: a row under FT_PREFIX_OPEN; one that was deleted is ignored
+ * @accepted_since: whether the job was accepted while this controller leads, so that nothing of
+ *     it can have run
+ */
 void ft_leader_take_open_row (FtNode *node, const FtRow *row, gboolean accepted_since);
-/* Takes in a row of any prefix that a recovery reads. */
+
+/**
+ * ft_leader_take_row:
+ * @row: a row under any prefix that a recovery reads
+ */
 void ft_leader_take_row (FtNode *node, const FtRow *row);
-/* Every cancellation that was committed before `at` (monotonic, microseconds) has been taken in. */
+
+/**
+ * ft_leader_cancellations_known:
+ * @at: monotonic time in microseconds
+ *
+ * Every cancellation that was committed before @at has been taken in.
+ */
 void ft_leader_cancellations_known (FtNode *node, gint64 at);
--- a/src/net/leadership.h
+++ b/src/net/leadership.h
@@ -7,20 +7,70 @@
 #include <glib.h>
 
 typedef struct _FtNode FtNode;
+
+/**
+ * FtLeadership:
+ *
+ * The lease's requests under way and the times on which resigning depends. One per process,
+ * owned by the node.
+ */
 typedef struct _FtLeadership FtLeadership;
 
-/* `node` is borrowed; it has its lease, store client, peers and metrics already. */
+/**
+ * ft_leadership_new:
+ * @node: borrowed for life; it has its lease, store client, peers and metrics already
+ *
+ * Returns: (transfer full): the leadership of a controller that does not lead
+ */
 FtLeadership *ft_leadership_new (FtNode *node);
-/* Ends the term. To be called before the node's clients are freed. */
+
+/**
+ * ft_leadership_free:
+ * @leadership: (nullable) (transfer full): the leadership
+ *
+ * Ends the term without telling anybody. To be called before the node's store client is freed;
+ * no answer may come any more afterwards.
+ */
 void ft_leadership_free (FtLeadership *leadership);
 
-/* Sends what is due for the lease, and checks whether this controller should go on leading. */
+/**
+ * ft_leadership_tick:
+ * @now: monotonic time
+ *
+ * Sends the requests that are due for the lease, and checks whether this controller should go on
+ * leading.
+ */
 void ft_leadership_tick (FtLeadership *leadership, gint64 now);
-/* This process stood still until `now`: what it has not received meanwhile proves nothing. */
+
+/**
+ * ft_leadership_stood_still:
+ * @now: monotonic time
+ *
+ * This process did not run until @now: that it received nothing meanwhile proves nothing.
+ */
 void ft_leadership_stood_still (FtLeadership *leadership, gint64 now);
-/* Another controller leads: the term ends at once. `why` is for the log line. */
+
+/**
+ * ft_leadership_step_down:
+ * @why: what shows that another controller leads, for the log line
+ *
+ * Ends the term at once. To be called only while leading.
+ */
 void ft_leadership_step_down (FtLeadership *leadership, const char *why);
-/* TRUE if this controller resigned or yielded so recently that it still tells its peers. */
+
+/**
+ * ft_leadership_gave_way:
+ * @now: monotonic time
+ *
+ * Returns: whether this controller resigned or yielded within FT_YIELD_ADVERTISED_S, and so
+ *     still tells its peers
+ */
 gboolean ft_leadership_gave_way (const FtLeadership *leadership, gint64 now);
-/* TRUE if the store serves a peer but not this controller. */
+
+/**
+ * ft_leadership_store_unreachable_alone:
+ * @now: monotonic time
+ *
+ * Returns: whether the key-value store serves a peer but not this controller
+ */
 gboolean ft_leadership_store_unreachable_alone (const FtLeadership *leadership, gint64 now);
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -56,18 +56,49 @@
   gint64 last_tick; /* of the timer; monotonic, microseconds, 0: none yet */
 };
 
-/* Starts a controller; `config` is borrowed for its life. NULL with `error` set, as by
- * ft_http_server_new(), if one of its addresses cannot be listened on. */
+/**
+ * ft_node_new:
+ * @config: borrowed for the node's life
+ * @error: that of ft_http_server_new(), if an address cannot be listened on
+ *
+ * Starts a controller in the default main context.
+ *
+ * Returns: (transfer full): the controller, or NULL with @error set
+ */
 FtNode *ft_node_new (const FtConfig *config, GError **error);
+
+/**
+ * ft_node_free:
+ * @node: (nullable) (transfer full): the controller
+ *
+ * Stops it: requests that wait are refused, and the lease is left to expire. The main loop must
+ * not run any more.
+ */
 void ft_node_free (FtNode *node);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtNode, ft_node_free)
 
-/* Carries out what the scheduler wants now, if this controller leads: placement, commands,
- * commits, cloud calls. To be called after the scheduler was given news. */
+/**
+ * ft_node_pump:
+ *
+ * Carries out what the scheduler wants now, if this controller leads: placement, commands,
+ * commits, cloud calls. To be called after the scheduler was given news.
+ */
 void ft_node_pump (FtNode *node);
-/* A message was refused as a whole; see ft_malformed_log_add(). */
+
+/**
+ * ft_node_malformed:
+ * @source: one of FT_COUNT_MALFORMED_*
+ * @what: the kind of message, for the log line
+ *
+ * A message was refused as a whole; see ft_malformed_log_add().
+ */
 void ft_node_malformed (FtNode *node, FtCounter source, const char *what);
-/* The member that leads, as far as this controller knows; borrowed, NULL: not known. */
+
+/**
+ * ft_node_leader:
+ *
+ * Returns: (transfer none) (nullable): the member that leads, as far as this controller knows
+ */
 const char *ft_node_leader (const FtNode *node);
 
 /* user_api.c, worker_endpoint.c */
--- a/src/net/node_peers.h
+++ b/src/net/node_peers.h
@@ -4,10 +4,19 @@
 
 typedef struct _FtNode FtNode;
 
-/* For the node's FtPeers; the hooks' data is the FtNode. */
+/**
+ * ft_node_peers_hooks:
+ *
+ * For the node's FtPeers; the hooks' data is the FtNode.
+ */
 extern const FtPeersHooks ft_node_peers_hooks;
 
-/* A user's cancellation was committed here: our scheduler and the peers learn of it at once.
- * The leader would see it by its watch; one that the store refuses would not, and would go on
- * with the job's tasks until its answer grace period is over. */
+/**
+ * ft_node_job_cancelled:
+ * @ref: a job whose cancellation a user has asked for here, and which was committed now
+ *
+ * Our scheduler and the peers learn of it at once. The leader would see it by its watch; one that
+ * the store refuses would not, and would go on with the job's tasks until its answer grace period
+ * is over.
+ */
 void ft_node_job_cancelled (FtNode *node, const char *ref);
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -309,8 +309,8 @@
 }
 
 const FtPeer *
-ft_peers_get (const FtPeers *peers, guint i, gint64 *heard_at)
+ft_peers_get (const FtPeers *peers, guint index, gint64 *heard_at)
 {
-  *heard_at = peer_at (peers, i)->heard_at;
-  return peer_at (peers, i)->address;
+  *heard_at = peer_at (peers, index)->heard_at;
+  return peer_at (peers, index)->address;
 }
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -3,30 +3,38 @@
 #include "core/constants.h"
 #include "net/budget.h"
 
+/* Connections for the lease's requests, and for the watch. */
+#define LEASE_CONNECTIONS 2
+#define WATCH_CONNECTIONS 2
+/* Queues of requests, one for each priority. */
+#define QUEUES (FT_STORE_PRIORITY_READ + 1)
+
+/* A request, from its submission until its callback has returned. */
 typedef struct {
-  FtStoreClient *store;
+  FtStoreClient *store; /* borrowed */
   char *method, *path;
-  json_t *body;
+  json_t *body; /* a reference; NULL: none */
   double timeout_s;
   FtStorePriority priority;
-  guint writes;
-  guint resends;
+  guint writes;  /* changes that a transaction makes */
+  guint resends; /* after it was refused for the rate */
   FtStoreDone done;
   gpointer data;
 } Request;
 
 struct _FtStoreClient {
   char *addr;
-  double rps, write_rps;
+  double rps, write_rps; /* the store's limits for all controllers, in a second */
   FtHttpClient *client;
   /* Leases and watches have connections of their own: behind commits a renewal
    * could wait until the lease is gone. */
   FtHttpClient *lease_client, *watch_client;
   FtBudget requests, writes;
-  GQueue queues[FT_STORE_PRIORITY_READ + 1];
-  guint writes_waiting; /* changes of the requests in the queues */
-  guint pump_timer;
-  gint64 last_served, failing_since;
+  GQueue queues[QUEUES]; /* Request, by priority; that of leases stays empty */
+  guint writes_waiting;  /* changes of the requests in the queues */
+  guint pump_timer;      /* looks at the queues again; 0: none */
+  gint64 last_served;    /* 0: never */
+  gint64 failing_since;  /* 0: it serves us */
 };
 
 FtStoreClient *
@@ -38,12 +46,12 @@
   store->rps = config->core.store_rps;
   store->write_rps = config->core.store_write_rps;
   store->client = ft_http_client_new (FT_CONNECTIONS_PER_HOST, FT_CONNECTIONS_PER_HOST);
-  store->lease_client = ft_http_client_new (2, 2);
-  store->watch_client = ft_http_client_new (2, 2);
+  store->lease_client = ft_http_client_new (LEASE_CONNECTIONS, LEASE_CONNECTIONS);
+  store->watch_client = ft_http_client_new (WATCH_CONNECTIONS, WATCH_CONNECTIONS);
   ft_budget_init (&store->requests, store->rps * FT_FOLLOWER_SHARE, store->rps * FT_FOLLOWER_SHARE, now);
   double writes = store->write_rps * FT_FOLLOWER_WRITE_SHARE;
   ft_budget_init (&store->writes, writes, writes, now);
-  for (int i = 0; i <= FT_STORE_PRIORITY_READ; i++)
+  for (int i = 0; i < QUEUES; i++)
     g_queue_init (&store->queues[i]);
   return store;
 }
@@ -64,7 +72,7 @@
     return;
   if (store->pump_timer != 0)
     g_source_remove (store->pump_timer);
-  for (int i = 0; i <= FT_STORE_PRIORITY_READ; i++)
+  for (int i = 0; i < QUEUES; i++)
     g_queue_clear_full (&store->queues[i], (GDestroyNotify) request_free);
   ft_http_client_free (store->client);
   ft_http_client_free (store->lease_client);
@@ -84,7 +92,8 @@
 
 static void send_queued (FtStoreClient *store);
 
-/* Refused for the rate: it was not executed, and goes again once the budget allows it. */
+/* Refused for the rate, so it was not executed: it is sent again once the budget allows it. Returns
+ * FALSE, and leaves the request to the caller, if it must not wait or was resent too often. */
 static gboolean
 send_again (Request *request, gint64 now)
 {
@@ -182,14 +191,14 @@
     store->pump_timer = g_timeout_add (FT_BUDGET_WAIT_MS, on_pump_timer, store);
 }
 
-/* What waits for changes holds up what comes after it in its queue, and other changes, but
- * no request that makes none. */
+/* Sends what the budgets allow, by priority. A request that waits for the budget of changes holds
+ * up those behind it in its queue and all others that make changes, but no reading of another queue. */
 static void
 send_queued (FtStoreClient *store)
 {
   gint64 now = g_get_monotonic_time ();
   gboolean writes_used_up = FALSE;
-  for (int i = 0; i <= FT_STORE_PRIORITY_READ; i++) {
+  for (int i = 0; i < QUEUES; i++) {
     Request *request;
     while ((request = g_queue_peek_head (&store->queues[i])) != NULL) {
       if (!ft_budget_has (&store->requests, 1, now)) {
--- a/src/net/store_client.h
+++ b/src/net/store_client.h
@@ -9,74 +9,225 @@
 #include "net/http.h"
 #include "wire/store.h"
 
+/**
+ * FtStoreClient:
+ *
+ * One per process, owned by the node.
+ */
 typedef struct _FtStoreClient FtStoreClient;
 
-/* The order in which requests get a share of the budget. */
+/**
+ * FtStorePriority:
+ * @FT_STORE_PRIORITY_LEASE: reading, claiming and renewing the lease, and the recovery: never
+ *     waits for the budget
+ * @FT_STORE_PRIORITY_CANCEL: users' cancellations: before all else that waits for the budget
+ * @FT_STORE_PRIORITY_COMMIT: the leader's batches, submissions
+ * @FT_STORE_PRIORITY_READ: what users ask; the queue is bounded
+ *
+ * The order in which requests get a share of the budget.
+ */
 typedef enum {
-  FT_STORE_PRIORITY_LEASE,  /* renewals and acquisitions: never wait for a budget */
-  FT_STORE_PRIORITY_CANCEL, /* cancellations: before all that waits for a budget */
-  FT_STORE_PRIORITY_COMMIT, /* the leader's batches, submissions */
+  FT_STORE_PRIORITY_LEASE,
+  FT_STORE_PRIORITY_CANCEL,
+  FT_STORE_PRIORITY_COMMIT,
   FT_STORE_PRIORITY_READ,
 } FtStorePriority;
 
-/* How a request ended. Only of FT_STORE_UNANSWERED, FT_STORE_FAILED and FT_STORE_MALFORMED is
- * it unknown whether a transaction was committed; FT_STORE_OK says that it was, all others
- * that it was not. */
+/**
+ * FtStoreResult:
+ * @FT_STORE_OK: read, or committed
+ * @FT_STORE_NOT_FOUND: there is no such row
+ * @FT_STORE_CONFLICT: a condition of the transaction does not hold; the body names the rows
+ * @FT_STORE_COMPACTED: the changes since that revision are no longer kept: the rows must be read again
+ * @FT_STORE_INVALID: refused as such: the same request will never be accepted
+ * @FT_STORE_THROTTLED: refused for the store's rate limits, more often than it is resent here
+ * @FT_STORE_UNAVAILABLE: refused for now by the store, or by the full queue of this client
+ * @FT_STORE_UNANSWERED: no answer came in time; the request may still be executed
+ * @FT_STORE_FAILED: an answer that the protocol does not know
+ * @FT_STORE_MALFORMED: answered as %FT_STORE_OK, but the body cannot be read; only from the
+ *     ft_store_read_*() functions
+ *
+ * How a request ended. After %FT_STORE_UNANSWERED and %FT_STORE_FAILED it is unknown whether a
+ * transaction was committed; after any other result but %FT_STORE_OK and %FT_STORE_MALFORMED it
+ * was not.
+ */
 typedef enum {
-  FT_STORE_OK,          /* read, or committed */
-  FT_STORE_NOT_FOUND,   /* there is no such row */
-  FT_STORE_CONFLICT,    /* a condition of the transaction does not hold; the body names it */
-  FT_STORE_COMPACTED,   /* the changes since that revision are no longer kept: read the rows again */
-  FT_STORE_INVALID,     /* refused as such: the same request will never be accepted */
-  FT_STORE_THROTTLED,   /* refused for the store's rate limits, more often than it is resent here */
-  FT_STORE_UNAVAILABLE, /* refused for now by the store, or by the full queue of this client */
-  FT_STORE_UNANSWERED,  /* no answer came in time; the request may still be executed */
-  FT_STORE_FAILED,      /* an answer that the protocol does not know */
-  FT_STORE_MALFORMED,   /* answered as FT_STORE_OK, but the body cannot be read; see ft_store_read_row() */
+  FT_STORE_OK,
+  FT_STORE_NOT_FOUND,
+  FT_STORE_CONFLICT,
+  FT_STORE_COMPACTED,
+  FT_STORE_INVALID,
+  FT_STORE_THROTTLED,
+  FT_STORE_UNAVAILABLE,
+  FT_STORE_UNANSWERED,
+  FT_STORE_FAILED,
+  FT_STORE_MALFORMED,
 } FtStoreResult;
 
-/* Called once when a request has ended. `body` is borrowed for the call; NULL if there is none
- * or it cannot be decoded. */
+/**
+ * FtStoreDone:
+ * @result: how the request ended
+ * @body: (transfer none) (nullable): the answer's body, NULL if there is none or it cannot be decoded
+ * @data: that of the request
+ *
+ * Called once for each request, unless the client is freed before. It runs in the main loop, or
+ * before the requesting function returns if the queue of %FT_STORE_PRIORITY_READ is full.
+ */
 typedef void (*FtStoreDone) (FtStoreResult result, const json_t *body, gpointer data);
 
-/* Reads the body of an answer with `result`. Each returns FT_STORE_OK with what was read,
- * FT_STORE_MALFORMED if the answer was one of success that cannot be read, and else `result`.
- * What they fill belongs to `body`, except `rows`: a new array of FtRow, NULL unless OK. */
+/* ---- reading answers ---- */
+
+/**
+ * ft_store_read_row:
+ * @result: that of the answer
+ * @body: (nullable): that of the answer
+ * @row: (out): the row, borrowed of @body
+ *
+ * Returns: @result; %FT_STORE_MALFORMED if that is %FT_STORE_OK and @body is no row. @row is set
+ *     with %FT_STORE_OK only.
+ */
 FtStoreResult ft_store_read_row (FtStoreResult result, const json_t *body, FtRow *row);
+
+/**
+ * ft_store_read_job:
+ * @row: (out): the row, borrowed of @body
+ * @job: (out): what it says, if it is a job's own row
+ *
+ * Returns: as ft_store_read_row()
+ */
+FtStoreResult ft_store_read_job (FtStoreResult result, const json_t *body, FtRow *row, FtJobRow *job);
+
+/**
+ * ft_store_read_rows:
+ * @rows: (out) (transfer full): FtRow of a page of a list, borrowed of @body; NULL unless %FT_STORE_OK
+ * @more: (out): whether the list goes on
+ *
+ * Returns: as ft_store_read_row()
+ */
 FtStoreResult ft_store_read_rows (FtStoreResult result, const json_t *body, GArray **rows, gboolean *more);
+
+/**
+ * ft_store_read_events:
+ * @rows: (out) (transfer full): FtRow that have changed, borrowed of @body; NULL unless %FT_STORE_OK
+ * @revision: (out): the revision up to which they are told
+ *
+ * Returns: as ft_store_read_row()
+ */
 FtStoreResult ft_store_read_events (FtStoreResult result, const json_t *body, GArray **rows, guint64 *revision);
-FtStoreResult ft_store_read_job (FtStoreResult result, const json_t *body, FtRow *row, FtJobRow *job);
+
+/**
+ * ft_store_read_revision:
+ * @revision: (out): the revision at which a transaction was committed
+ *
+ * Returns: as ft_store_read_row()
+ */
 FtStoreResult ft_store_read_revision (FtStoreResult result, const json_t *body, guint64 *revision);
 
-/* `config` is borrowed only for the call. */
+/* ---- requests ---- */
+
+/**
+ * ft_store_client_new:
+ * @config: names the store's address and limits; borrowed for the call
+ *
+ * Returns: (transfer full): the client of a controller that does not lead
+ */
 FtStoreClient *ft_store_client_new (const FtConfig *config);
-/* Requests that still wait for the budget are dropped without calling their `done`. */
+
+/**
+ * ft_store_client_free:
+ * @store: (nullable) (transfer full): the client
+ *
+ * Requests under way and in the queues are dropped.
+ */
 void ft_store_client_free (FtStoreClient *store);
-/* Whether this controller leads, and so allows itself the leader's share of the limits. */
+
+/**
+ * ft_store_client_set_leading:
+ * @leading: whether this controller leads, and so has the leader's share of the store's limits
+ */
 void ft_store_client_set_leading (FtStoreClient *store, gboolean leading);
 
-/* Reads one row. `done` is called once, as by all of these; at once, before the function
- * returns, only where the queue of FT_STORE_PRIORITY_READ is full. */
+/**
+ * ft_store_client_get:
+ * @key: of the row to read
+ * @done: called with the row
+ * @data: of @done
+ */
 void ft_store_client_get (FtStoreClient *store, const char *key, FtStorePriority priority, FtStoreDone done,
                           gpointer data);
-/* Reads a page of up to FT_LIST_LIMIT rows under `prefix`, behind the key `after` (NULL: from the first). */
+
+/**
+ * ft_store_client_list:
+ * @prefix: of the rows' keys
+ * @after: (nullable): the last key of the page before, NULL for the first page
+ * @done: called with a page of up to FT_LIST_LIMIT rows
+ * @data: of @done
+ */
 void ft_store_client_list (FtStoreClient *store, const char *prefix, const char *after, FtStorePriority priority,
                            FtStoreDone done, gpointer data);
-/* Commits a transaction of ft_txn_new(), which stays the caller's; FT_STORE_CONFLICT if a condition does not hold. */
+
+/**
+ * ft_store_client_commit:
+ * @txn: a transaction of ft_txn_new(); a reference is taken
+ * @done: called with the revision, or %FT_STORE_CONFLICT
+ * @data: of @done
+ */
 void ft_store_client_commit (FtStoreClient *store, const json_t *txn, FtStorePriority priority, FtStoreDone done,
                              gpointer data);
-/* Waits up to FT_WATCH_S for changes under `prefix` after the revision `since`, on a connection of its own. */
+
+/**
+ * ft_store_client_follow:
+ * @prefix: of the rows' keys
+ * @since: revision after which changes are wanted
+ * @done: called with the changes, at once if there are some, else after up to FT_WATCH_S
+ * @data: of @done
+ *
+ * Watches for changes, on a connection of its own and without waiting for the budget.
+ */
 void ft_store_client_follow (FtStoreClient *store, const char *prefix, guint64 since, FtStoreDone done, gpointer data);
 
-/* TRUE if the store serves us: it has answered before, and has not failed us for FT_CONTACT_LOST_S. */
+/* ---- contact and load ---- */
+
+/**
+ * ft_store_client_contact:
+ * @now: monotonic time
+ *
+ * Returns: whether the store has served us before, and has not failed us without a break for
+ *     FT_CONTACT_LOST_S
+ */
 gboolean ft_store_client_contact (const FtStoreClient *store, gint64 now);
-/* Since when it has failed us without a break; 0: it serves us. */
+
+/**
+ * ft_store_client_failing_since:
+ *
+ * Returns: since when the store has failed us without a break, 0 if it serves us
+ */
 gint64 ft_store_client_failing_since (const FtStoreClient *store);
-/* Number of requests that wait for the budget, cancellations not counted. */
+
+/**
+ * ft_store_client_last_served:
+ *
+ * Returns: when the store last served us, 0 if it never did
+ */
+gint64 ft_store_client_last_served (const FtStoreClient *store);
+
+/**
+ * ft_store_client_queued:
+ *
+ * Returns: the number of requests that wait for the budget, cancellations not counted
+ */
 guint ft_store_client_queued (const FtStoreClient *store);
-/* TRUE if the budget for changes is mostly unused and none waits for it. */
+
+/**
+ * ft_store_client_spare_writes:
+ *
+ * Returns: whether the budget for changes is mostly unused and nothing waits for it
+ */
 gboolean ft_store_client_spare_writes (FtStoreClient *store);
-/* Seconds until the changes that wait now have been sent, within the budget. */
+
+/**
+ * ft_store_client_write_wait_s:
+ *
+ * Returns: seconds until the changes that wait now will have been sent, within the budget
+ */
 double ft_store_client_write_wait_s (const FtStoreClient *store);
-/* When the store last served us; 0: never. */
-gint64 ft_store_client_last_served (const FtStoreClient *store);
