--- a/src/net/budget.c
+++ b/src/net/budget.c
@@ -40,6 +40,18 @@
   return budget->level >= MIN (amount, budget->burst);
 }
 
+gboolean
+ft_budget_has_share (FtBudget *budget, double share, gint64 now)
+{
+  return ft_budget_has (budget, budget->burst * share, now);
+}
+
+double
+ft_budget_seconds_for (const FtBudget *budget, double amount)
+{
+  return (amount - budget->level) / budget->rate;
+}
+
 void
 ft_budget_take (FtBudget *budget, double amount)
 {
--- a/src/net/budget.h
+++ b/src/net/budget.h
@@ -47,6 +47,23 @@
  */
 gboolean ft_budget_has (FtBudget *budget, double amount, gint64 now);
 
+/**
+ * ft_budget_has_share:
+ * @share: of what can be saved up, from 0 to 1
+ * @now: monotonic time
+ *
+ * Returns: whether that much can be used now
+ */
+gboolean ft_budget_has_share (FtBudget *budget, double share, gint64 now);
+
+/**
+ * ft_budget_seconds_for:
+ * @amount: units that are wanted
+ *
+ * Returns: seconds until @amount can be used, as of the last look at the budget; below 0 if it can
+ */
+double ft_budget_seconds_for (const FtBudget *budget, double amount);
+
 /**
  * ft_budget_take:
  * @amount: units that are used, also if the budget does not have them
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -242,7 +242,7 @@
   peer->heard_at = g_get_monotonic_time ();
   peer->supports_dependencies = heartbeat->supports_dependencies;
   if (heartbeat->served)
-    peer->served_at = peer->heard_at - (gint64) heartbeat->served_ms_ago * 1000;
+    peer->served_at = peer->heard_at - (gint64) heartbeat->served_ms_ago * FT_MILLISECOND;
   if (heartbeat->token > 0)
     take_summary (peers, heartbeat);
   peers->hooks->received (heartbeat, peer->heard_at, peers->data);
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -309,14 +309,14 @@
 double
 ft_store_client_write_wait_s (const FtStoreClient *store)
 {
-  return store->writes_waiting > 0 ? (store->writes_waiting - store->writes.level) / store->writes.rate : 0;
+  return store->writes_waiting > 0 ? ft_budget_seconds_for (&store->writes, store->writes_waiting) : 0;
 }
 
 gboolean
 ft_store_client_spare_writes (FtStoreClient *store)
 {
-  double least = store->writes.burst * FT_SPARE_WRITES_SHARE;
-  return store->writes_waiting == 0 && ft_budget_has (&store->writes, least, g_get_monotonic_time ());
+  return store->writes_waiting == 0
+         && ft_budget_has_share (&store->writes, FT_SPARE_WRITES_SHARE, g_get_monotonic_time ());
 }
 
 gint64
