--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -7,6 +7,8 @@
 #define FT_SECOND 1000000LL
 /* Microseconds in a millisecond, the unit of the wall times in rows and of durations in messages. */
 #define FT_MILLISECOND 1000LL
+/* Milliseconds in a second; timers of the main loop count in them. */
+#define FT_MS_PER_SECOND 1000
 /* Seconds in an hour; the cloud's prices and rates are by the hour. */
 #define FT_HOUR_S 3600.0
 
--- a/src/net/leader_request.c
+++ b/src/net/leader_request.c
@@ -52,7 +52,7 @@
       = MIN (FT_BACKOFF_FIRST_S * (1u << MIN (request->retries, FT_BACKOFF_DOUBLINGS_MAX)), FT_BACKOFF_LONGEST_S);
   pause_s *= g_rand_double_range (request->node->random, FT_BACKOFF_JITTER_LEAST, FT_BACKOFF_JITTER_MOST);
   request->retries++;
-  g_timeout_add ((guint) (pause_s * (FT_SECOND / FT_MILLISECOND)), on_retry_timer, request);
+  g_timeout_add ((guint) (pause_s * FT_MS_PER_SECOND), on_retry_timer, request);
 }
 
 /* Consumes the request, whose answer was handled with that outcome. */
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -277,7 +277,7 @@
   request->store = store;
   request->method = g_strdup ("GET");
   request->path = g_strdup_printf ("/follow?under=%s&since=%" G_GUINT64_FORMAT "&block_ms=%d", prefix, since,
-                                   (int) (FT_WATCH_S * 1000));
+                                   (int) (FT_WATCH_S * FT_MS_PER_SECOND));
   request->timeout_s = FT_WATCH_S + FT_WATCH_SLACK_S;
   request->done = done;
   request->data = data;
