--- a/src/net/admin.c
+++ b/src/net/admin.c
@@ -38,12 +38,12 @@
 peers_body (const FtNode *node, gint64 now)
 {
   json_t *list = json_array ();
-  for (guint i = 0; i < node->peer_group.peers->len; i++) {
-    const FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
+  for (guint i = 0; i < ft_peers_count (node->peers); i++) {
+    gint64 heard_at;
+    const FtPeer *peer = ft_peers_get (node->peers, i, &heard_at);
     json_array_append_new (
-        list, json_pack ("{s:s, s:s, s:o}", "member", view->peer->member, "addr", view->peer->addr, "heard_s_ago",
-                         view->heard_at > 0 ? json_real (round ((double) (now - view->heard_at) / 10000) / 100)
-                                            : json_null ()));
+        list, json_pack ("{s:s, s:s, s:o}", "member", peer->member, "addr", peer->addr, "heard_s_ago",
+                         heard_at > 0 ? json_real (round ((double) (now - heard_at) / 10000) / 100) : json_null ()));
   }
   return list;
 }
@@ -56,7 +56,8 @@
       "{s:s, s:s, s:b, s:b, s:s, s:s?, s:I, s:b, s:i, s:o}", "member", node->config->member, "version", FT_VERSION,
       "ready", ft_node_ready (node, now), "state_service", ft_store_client_contact (node->store, now), "lease",
       ft_lease_state_name (ft_lease_state (node->lease)), "leader", ft_node_leader (node), "token",
-      (json_int_t) (node->leader.scheduler != NULL ? ft_lease_token (node->lease) : node->peer_group.peer_leader_token),
+      (json_int_t) (node->leader.scheduler != NULL ? ft_lease_token (node->lease)
+                                                   : ft_peers_leader_token (node->peers)),
       "recovered", node->leader.scheduler != NULL && ft_scheduler_is_loaded (node->leader.scheduler),
       "user_connections", (int) ft_http_server_connections (node->front), "peers", peers_body (node, now));
   if (node->leader.scheduler != NULL)
@@ -205,13 +206,13 @@
 }
 
 static void
-on_settings (guint status, const json_t *body, gpointer data)
+on_settings (FtStoreResult result, const json_t *body, gpointer data)
 {
   FtNode *node = data;
   FtTuning tuning;
   FtRow row;
   node->settings.settings_in_flight = FALSE;
-  if (status != 200 || !ft_store_row (body, &row))
+  if (result != FT_STORE_OK || !ft_store_row (body, &row))
     return;
   ft_row_settings_parse (row.value, &tuning);
   g_autofree char *why = ft_tuning_check (&tuning, &node->config->core);
@@ -232,14 +233,14 @@
 }
 
 static void
-on_put (guint status, const json_t *body, gpointer data)
+on_put (FtStoreResult result, const json_t *body, gpointer data)
 {
   AdminCall *call = data;
   guint64 revision;
-  if (status == 200 && ft_store_revision (body, &revision)) {
+  if (result == FT_STORE_OK && ft_store_revision (body, &revision)) {
     ft_node_apply_settings (call->node, &call->tuning, revision);
     ft_http_respond (call->request, 200, settings_body (&call->tuning, revision));
-  } else if (status == 409) {
+  } else if (result == FT_STORE_CONFLICT) {
     call->node->settings.next_settings = 0; /* see the change at once */
     refuse (call->request, 409, "the settings have changed meanwhile: read them again");
   } else {
@@ -317,11 +318,11 @@
 /* ---- drains ---- */
 
 static void
-on_drained (guint status, const json_t *body, gpointer data)
+on_drained (FtStoreResult result, const json_t *body, gpointer data)
 {
   AdminCall *call = data;
   (void) body;
-  if (status != 200) {
+  if (result != FT_STORE_OK) {
     refuse (call->request, 503, "the state service did not confirm the change: try again");
   } else {
     if (call->node->leader.scheduler != NULL)
--- a/src/net/budget.c
+++ b/src/net/budget.c
@@ -32,7 +32,7 @@
   budget->rate = MAX (budget->rate / 2, budget->full * FT_BUDGET_MIN);
 }
 
-/* A single demand larger than the burst passes once the bucket is full. */
+/* An amount larger than the burst would never be there. */
 gboolean
 ft_budget_has (FtBudget *budget, double amount, gint64 now)
 {
@@ -40,6 +40,18 @@
   return budget->level >= MIN (amount, budget->burst);
 }
 
+gboolean
+ft_budget_has_share (FtBudget *budget, double share, gint64 now)
+{
+  return ft_budget_has (budget, budget->burst * share, now);
+}
+
+double
+ft_budget_seconds_for (const FtBudget *budget, double amount)
+{
+  return (amount - budget->level) / budget->rate;
+}
+
 void
 ft_budget_take (FtBudget *budget, double amount)
 {
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -4,30 +4,38 @@
 #include "net/budget.h"
 #include "wire/store_messages.h"
 
+/* Connections for the lease's requests, and for the watch. */
+#define LEASE_CONNECTIONS 2
+#define WATCH_CONNECTIONS 2
+/* Queues of requests, one for each priority. */
+#define QUEUES (FT_STORE_PRIORITY_READ + 1)
+
+/* A request, from its submission until its callback has returned. */
 typedef struct {
-  FtStoreClient *store;
+  FtStoreClient *store; /* borrowed */
   char *method, *path;
-  json_t *body;
+  json_t *body; /* a reference; NULL: none */
   double timeout_s;
   FtStorePriority priority;
-  guint writes;
-  guint resends;
-  FtHttpDone done;
+  guint writes;  /* changes that a transaction makes */
+  guint resends; /* after it was refused for the rate */
+  FtStoreDone done;
   gpointer data;
 } Request;
 
 struct _FtStoreClient {
   char *addr;
-  double rps, write_rps;
+  double rps, write_rps; /* the store's limits for all controllers, in a second */
   FtHttpClient *client;
   /* Leases and watches have connections of their own: behind commits a renewal
    * could wait until the lease is gone. */
   FtHttpClient *lease_client, *watch_client;
   FtBudget requests, writes;
-  GQueue queues[FT_STORE_PRIORITY_READ + 1];
-  guint writes_waiting; /* changes of the requests in the queues */
-  guint pump_timer;
-  gint64 last_served, failing_since;
+  GQueue queues[QUEUES]; /* Request, by priority; that of leases stays empty */
+  guint writes_waiting;  /* changes of the requests in the queues */
+  guint pump_timer;      /* looks at the queues again; 0: none */
+  gint64 last_served;    /* 0: never */
+  gint64 failing_since;  /* 0: it serves us */
 };
 
 FtStoreClient *
@@ -39,12 +47,12 @@
   store->rps = config->core.store_rps;
   store->write_rps = config->core.store_write_rps;
   store->client = ft_http_client_new (FT_CONNECTIONS_PER_HOST, FT_CONNECTIONS_PER_HOST);
-  store->lease_client = ft_http_client_new (2, 2);
-  store->watch_client = ft_http_client_new (2, 2);
+  store->lease_client = ft_http_client_new (LEASE_CONNECTIONS, LEASE_CONNECTIONS);
+  store->watch_client = ft_http_client_new (WATCH_CONNECTIONS, WATCH_CONNECTIONS);
   ft_budget_init (&store->requests, store->rps * FT_FOLLOWER_SHARE, store->rps * FT_FOLLOWER_SHARE, now);
   double writes = store->write_rps * FT_FOLLOWER_WRITE_SHARE;
   ft_budget_init (&store->writes, writes, writes, now);
-  for (int i = 0; i <= FT_STORE_PRIORITY_READ; i++)
+  for (int i = 0; i < QUEUES; i++)
     g_queue_init (&store->queues[i]);
   return store;
 }
@@ -65,7 +73,7 @@
     return;
   if (store->pump_timer != 0)
     g_source_remove (store->pump_timer);
-  for (int i = 0; i <= FT_STORE_PRIORITY_READ; i++)
+  for (int i = 0; i < QUEUES; i++)
     g_queue_clear_full (&store->queues[i], (GDestroyNotify) request_free);
   ft_http_client_free (store->client);
   ft_http_client_free (store->lease_client);
@@ -85,7 +93,8 @@
 
 static void send_queued (FtStoreClient *store);
 
-/* Refused for the rate: it was not executed, and goes again once the budget allows it. */
+/* Refused for the rate, so it was not executed: it is sent again once the budget allows it. Returns
+ * FALSE, and leaves the request to the caller, if it must not wait or was resent too often. */
 static gboolean
 send_again (Request *request, gint64 now)
 {
@@ -100,21 +109,56 @@
   return TRUE;
 }
 
+static FtStoreResult
+result_of_status (guint status)
+{
+  switch (status) {
+  case 0:
+    return FT_STORE_UNANSWERED;
+  case 200:
+    return FT_STORE_OK;
+  case 400:
+    return FT_STORE_INVALID;
+  case 404:
+    return FT_STORE_NOT_FOUND;
+  case 409:
+    return FT_STORE_CONFLICT;
+  case 410:
+    return FT_STORE_COMPACTED;
+  case 429:
+    return FT_STORE_THROTTLED;
+  case 503:
+    return FT_STORE_UNAVAILABLE;
+  default:
+    return FT_STORE_FAILED;
+  }
+}
+
+/* The store did its part of the request, whatever came of it. */
+static gboolean
+is_served (FtStoreResult result)
+{
+  return result == FT_STORE_OK || result == FT_STORE_NOT_FOUND || result == FT_STORE_CONFLICT
+         || result == FT_STORE_COMPACTED;
+}
+
+/* Consumes the request unless it is sent again. */
 static void
-on_done (guint status, const json_t *body, gpointer data)
+on_answer (guint status, const json_t *body, gpointer data)
 {
   Request *request = data;
   FtStoreClient *store = request->store;
+  FtStoreResult result = result_of_status (status);
   gint64 now = g_get_monotonic_time ();
-  if (status == 429 && send_again (request, now))
+  if (result == FT_STORE_THROTTLED && send_again (request, now))
     return;
-  if (status == 200 || status == 404 || status == 409 || status == 410) {
+  if (is_served (result)) {
     store->last_served = now;
     store->failing_since = 0;
-  } else if (store->failing_since == 0 && status != 429) {
+  } else if (store->failing_since == 0 && result != FT_STORE_THROTTLED) {
     store->failing_since = now;
   }
-  request->done (status, body, request->data);
+  request->done (result, body, request->data);
   request_free (request);
 }
 
@@ -122,7 +166,7 @@
 send_request (Request *request, FtHttpClient *client)
 {
   ft_http_send (client, request->method, request->store->addr, request->path, FT_BODY_CBOR, request->body,
-                request->timeout_s, FALSE, on_done, request);
+                request->timeout_s, FALSE, on_answer, request);
 }
 
 static gboolean
@@ -148,14 +192,14 @@
     store->pump_timer = g_timeout_add (FT_BUDGET_WAIT_MS, on_pump_timer, store);
 }
 
-/* What waits for changes holds up what comes after it in its queue, and other changes, but
- * no request that makes none. */
+/* Sends what the budgets allow, by priority. A request that waits for the budget of changes holds
+ * up those behind it in its queue and all others that make changes, but no reading of another queue. */
 static void
 send_queued (FtStoreClient *store)
 {
   gint64 now = g_get_monotonic_time ();
   gboolean writes_used_up = FALSE;
-  for (int i = 0; i <= FT_STORE_PRIORITY_READ; i++) {
+  for (int i = 0; i < QUEUES; i++) {
     Request *request;
     while ((request = g_queue_peek_head (&store->queues[i])) != NULL) {
       if (!ft_budget_has (&store->requests, 1, now)) {
@@ -177,12 +221,12 @@
 
 static void
 submit (FtStoreClient *store, const char *method, char *path, const json_t *body, FtStorePriority priority,
-        FtHttpDone done, gpointer data)
+        FtStoreDone done, gpointer data)
 {
   if (priority == FT_STORE_PRIORITY_READ
       && g_queue_get_length (&store->queues[FT_STORE_PRIORITY_READ]) >= FT_STORE_QUEUE_MAX) {
     g_free (path);
-    done (503, NULL, data);
+    done (FT_STORE_UNAVAILABLE, NULL, data);
     return;
   }
   Request *request = g_new0 (Request, 1);
@@ -206,14 +250,14 @@
 }
 
 void
-ft_store_client_get (FtStoreClient *store, const char *key, FtStorePriority priority, FtHttpDone done, gpointer data)
+ft_store_client_get (FtStoreClient *store, const char *key, FtStorePriority priority, FtStoreDone done, gpointer data)
 {
   submit (store, "GET", g_strconcat ("/store/", key, NULL), NULL, priority, done, data);
 }
 
 void
 ft_store_client_list (FtStoreClient *store, const char *prefix, const char *after, FtStorePriority priority,
-                      FtHttpDone done, gpointer data)
+                      FtStoreDone done, gpointer data)
 {
   char *path = after != NULL ? g_strdup_printf ("/store?under=%s&since=%s&limit=%d", prefix, after, FT_LIST_LIMIT)
                              : g_strdup_printf ("/store?under=%s&limit=%d", prefix, FT_LIST_LIMIT);
@@ -221,20 +265,20 @@
 }
 
 void
-ft_store_client_commit (FtStoreClient *store, const json_t *txn, FtStorePriority priority, FtHttpDone done,
+ft_store_client_commit (FtStoreClient *store, const json_t *txn, FtStorePriority priority, FtStoreDone done,
                         gpointer data)
 {
   submit (store, "POST", g_strdup ("/commit"), txn, priority, done, data);
 }
 
 void
-ft_store_client_follow (FtStoreClient *store, const char *prefix, guint64 since, FtHttpDone done, gpointer data)
+ft_store_client_follow (FtStoreClient *store, const char *prefix, guint64 since, FtStoreDone done, gpointer data)
 {
   Request *request = g_new0 (Request, 1);
   request->store = store;
   request->method = g_strdup ("GET");
   request->path = g_strdup_printf ("/follow?under=%s&since=%" G_GUINT64_FORMAT "&block_ms=%d", prefix, since,
-                                   (int) (FT_WATCH_S * 1000));
+                                   (int) (FT_WATCH_S * FT_MS_PER_SECOND));
   request->timeout_s = FT_WATCH_S + FT_WATCH_SLACK_S;
   request->done = done;
   request->data = data;
@@ -266,14 +310,14 @@
 double
 ft_store_client_write_wait_s (const FtStoreClient *store)
 {
-  return store->writes_waiting > 0 ? (store->writes_waiting - store->writes.level) / store->writes.rate : 0;
+  return store->writes_waiting > 0 ? ft_budget_seconds_for (&store->writes, store->writes_waiting) : 0;
 }
 
 gboolean
 ft_store_client_spare_writes (FtStoreClient *store)
 {
-  double least = store->writes.burst * FT_SPARE_WRITES_SHARE;
-  return store->writes_waiting == 0 && ft_budget_has (&store->writes, least, g_get_monotonic_time ());
+  return store->writes_waiting == 0
+         && ft_budget_has_share (&store->writes, FT_SPARE_WRITES_SHARE, g_get_monotonic_time ());
 }
 
 gint64
@@ -281,3 +325,46 @@
 {
   return store->failing_since;
 }
+
+/* ---- reading answers ---- */
+
+static FtStoreResult
+read_result (FtStoreResult result, gboolean readable)
+{
+  return result == FT_STORE_OK && !readable ? FT_STORE_MALFORMED : result;
+}
+
+FtStoreResult
+ft_store_read_row (FtStoreResult result, const json_t *body, FtRow *row)
+{
+  return read_result (result, result == FT_STORE_OK && ft_store_row (body, row));
+}
+
+FtStoreResult
+ft_store_read_rows (FtStoreResult result, const json_t *body, GArray **rows, gboolean *more)
+{
+  *rows = result == FT_STORE_OK ? ft_store_rows (body, more) : NULL;
+  return read_result (result, *rows != NULL);
+}
+
+FtStoreResult
+ft_store_read_events (FtStoreResult result, const json_t *body, GArray **rows, guint64 *revision)
+{
+  *rows = result == FT_STORE_OK ? ft_store_events (body) : NULL;
+  if (*rows != NULL && !ft_store_revision (body, revision))
+    g_clear_pointer (rows, g_array_unref);
+  return read_result (result, *rows != NULL);
+}
+
+FtStoreResult
+ft_store_read_job (FtStoreResult result, const json_t *body, FtRow *row, FtJobRow *job)
+{
+  FtStoreResult read = ft_store_read_row (result, body, row);
+  return read_result (read, read == FT_STORE_OK && ft_row_job_parse (row->value, job));
+}
+
+FtStoreResult
+ft_store_read_revision (FtStoreResult result, const json_t *body, guint64 *revision)
+{
+  return read_result (result, result == FT_STORE_OK && ft_store_revision (body, revision));
+}
