--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -1,60 +1,32 @@
-/* The HTTP client: libcurl's multi interface, driven by the main loop through one epoll
- * descriptor: a source for each socket, made anew with each of its states, cost more. libsoup's
- * client takes several times as much for a request on a connection of its own, and
- * a takeover asks every machine once: docs/design.md has the measurement. */
+/* The HTTP client: libcurl's multi interface, driven by the main loop through one epoll descriptor.
+ * A source for each socket, made anew whenever the library waits for something else, cost more.
+ * libsoup's client takes several times as much for a request on a connection of its own, and a
+ * failover asks every machine once: docs/design.md has the measurement. */
 #include <curl/curl.h>
 #include <glib-unix.h>
-#include <string.h>
 #include <sys/epoll.h>
 #include <unistd.h>
 
 #include "core/constants.h"
 #include "net/http.h"
-#include "wire/cbor.h"
-
-/* ---- bodies ---- */
-
-const char *
-ft_http_content_type (FtBodyKind kind)
-{
-  return kind == FT_BODY_CBOR ? "application/cbor" : "application/json";
-}
-
-GBytes *
-ft_http_encode (FtBodyKind kind, const json_t *body)
-{
-  if (kind == FT_BODY_CBOR)
-    return ft_cbor_encode (body);
-  char *text = json_dumps (body, JSON_COMPACT | JSON_ENCODE_ANY);
-  return g_bytes_new_take (text, strlen (text));
-}
-
-json_t *
-ft_http_decode (FtBodyKind kind, const guint8 *data, gsize size)
-{
-  if (size == 0)
-    return NULL;
-  return kind == FT_BODY_CBOR ? ft_cbor_decode (data, size)
-                              : json_loadb ((const char *) data, size, JSON_REJECT_DUPLICATES, NULL);
-}
-
-/* ---- client ---- */
 
 struct _FtHttpClient {
   CURLM *multi;
-  struct curl_slist *headers[FT_BODY_JSON + 1];
-  GHashTable *calls; /* set of Call under way */
-  GQueue spare;      /* CURL handles to use again */
-  guint timer, source;
-  int sockets; /* epoll descriptor of the library's sockets */
+  struct curl_slist *headers[FT_BODY_JSON + 1]; /* for each FtBodyKind */
+  GHashTable *calls;                            /* set of Call under way */
+  GQueue spare_handles;                         /* CURL, to be used again */
+  guint timer;                                  /* source of the library's timeout; 0: none */
+  guint socket_source;                          /* source of `epoll_fd` */
+  int epoll_fd;                                 /* watches the library's sockets */
 };
 
+/* A request under way. Owned by the client's set. */
 typedef struct {
   FtHttpClient *client;
   CURL *easy;
   FtBodyKind kind;
-  GBytes *body;
-  GByteArray *answer;
+  GBytes *body;       /* of the request; NULL: none */
+  GByteArray *answer; /* as far as it has come */
   FtHttpDone done;
   FtHttpRawDone raw_done; /* instead of `done` */
   gpointer data;
@@ -64,16 +36,16 @@
 call_free (Call *call)
 {
   curl_easy_reset (call->easy);
-  g_queue_push_tail (&call->client->spare, call->easy);
+  g_queue_push_tail (&call->client->spare_handles, call->easy);
   g_clear_pointer (&call->body, g_bytes_unref);
   g_byte_array_unref (call->answer);
   g_free (call);
 }
 
 static void
-call_over (Call *call, CURLcode code)
+call_complete (Call *call, CURLcode code)
 {
-  long status = 0;
+  long status = FT_HTTP_NO_ANSWER;
   if (code == CURLE_OK)
     curl_easy_getinfo (call->easy, CURLINFO_RESPONSE_CODE, &status);
   curl_multi_remove_handle (call->client->multi, call->easy);
@@ -81,15 +53,15 @@
   if (call->raw_done != NULL) {
     call->raw_done ((guint) status, call->answer->data, call->answer->len, call->data);
   } else {
-    json_t *body = status != 0 ? ft_http_decode (call->kind, call->answer->data, call->answer->len) : NULL;
+    gboolean answered = status != FT_HTTP_NO_ANSWER;
+    json_auto_t *body = answered ? ft_http_decode (call->kind, call->answer->data, call->answer->len) : NULL;
     call->done ((guint) status, body, call->data);
-    json_decref (body);
   }
   call_free (call);
 }
 
 static void
-take_finished (FtHttpClient *client)
+complete_finished (FtHttpClient *client)
 {
   CURLMsg *msg;
   int left;
@@ -99,14 +71,14 @@
       continue;
     CURLcode code = msg->data.result;
     curl_easy_getinfo (msg->easy_handle, CURLINFO_PRIVATE, (char **) &call);
-    call_over (call, code);
+    call_complete (call, code);
   }
 }
 
-/* A socket may be closed, and its number taken again, by what is done for another one
- * of the same round: the library bears an event too many. */
+/* Handling one event may close a socket of a later event, and its descriptor may be opened again for
+ * another: the library tolerates an event that does not concern it. */
 static gboolean
-on_sockets (gint fd, GIOCondition condition, gpointer data)
+on_sockets_ready (gint fd, GIOCondition condition, gpointer data)
 {
   FtHttpClient *client = data;
   struct epoll_event events[FT_EVENTS_AT_ONCE];
@@ -118,7 +90,7 @@
                 | (what & (EPOLLERR | EPOLLHUP) ? CURL_CSELECT_ERR : 0);
     curl_multi_socket_action (client->multi, events[i].data.fd, ready, &running);
   }
-  take_finished (client);
+  complete_finished (client);
   return G_SOURCE_CONTINUE;
 }
 
@@ -129,14 +101,14 @@
   struct epoll_event event = { .data.fd = fd };
   (void) easy;
   if (what == CURL_POLL_REMOVE) {
-    epoll_ctl (client->sockets, EPOLL_CTL_DEL, fd, &event);
+    epoll_ctl (client->epoll_fd, EPOLL_CTL_DEL, fd, &event);
     return 0;
   }
   event.events = (what & CURL_POLL_IN ? EPOLLIN : 0u) | (what & CURL_POLL_OUT ? EPOLLOUT : 0u);
-  if (socket_data != NULL && epoll_ctl (client->sockets, EPOLL_CTL_MOD, fd, &event) == 0)
+  if (socket_data != NULL && epoll_ctl (client->epoll_fd, EPOLL_CTL_MOD, fd, &event) == 0)
     return 0;
-  curl_multi_assign (client->multi, fd, client); /* known from now on */
-  return epoll_ctl (client->sockets, EPOLL_CTL_ADD, fd, &event);
+  curl_multi_assign (client->multi, fd, client); /* `socket_data` from now on: it is in the epoll set */
+  return epoll_ctl (client->epoll_fd, EPOLL_CTL_ADD, fd, &event);
 }
 
 static gboolean
@@ -146,7 +118,7 @@
   int running;
   client->timer = 0;
   curl_multi_socket_action (client->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-  take_finished (client);
+  complete_finished (client);
   return G_SOURCE_REMOVE;
 }
 
@@ -155,9 +127,7 @@
 {
   FtHttpClient *client = data;
   (void) multi;
-  if (client->timer != 0)
-    g_source_remove (client->timer);
-  client->timer = 0;
+  g_clear_handle_id (&client->timer, g_source_remove);
   if (after_ms == 0)
     client->timer = g_idle_add_full (G_PRIORITY_DEFAULT, on_timer, client, NULL);
   else if (after_ms > 0)
@@ -165,6 +135,7 @@
   return 0;
 }
 
+/* Without "Accept" and "Expect", which the library would add. */
 static struct curl_slist *
 header_list (FtBodyKind kind)
 {
@@ -185,9 +156,9 @@
   FtHttpClient *client = g_new0 (FtHttpClient, 1);
   client->multi = curl_multi_init ();
   client->calls = g_hash_table_new (g_direct_hash, g_direct_equal);
-  g_queue_init (&client->spare);
-  client->sockets = epoll_create1 (EPOLL_CLOEXEC);
-  client->source = g_unix_fd_add (client->sockets, G_IO_IN, on_sockets, client);
+  g_queue_init (&client->spare_handles);
+  client->epoll_fd = epoll_create1 (EPOLL_CLOEXEC);
+  client->socket_source = g_unix_fd_add (client->epoll_fd, G_IO_IN, on_sockets_ready, client);
   for (int kind = 0; kind <= FT_BODY_JSON; kind++)
     client->headers[kind] = header_list ((FtBodyKind) kind);
   curl_multi_setopt (client->multi, CURLMOPT_SOCKETFUNCTION, watch_socket);
@@ -213,13 +184,12 @@
     call_free (call);
   }
   CURL *easy;
-  while ((easy = g_queue_pop_head (&client->spare)) != NULL)
+  while ((easy = g_queue_pop_head (&client->spare_handles)) != NULL)
     curl_easy_cleanup (easy);
   curl_multi_cleanup (client->multi);
-  g_source_remove (client->source);
-  close (client->sockets);
-  if (client->timer != 0)
-    g_source_remove (client->timer);
+  g_source_remove (client->socket_source);
+  close (client->epoll_fd);
+  g_clear_handle_id (&client->timer, g_source_remove);
   for (int kind = 0; kind <= FT_BODY_JSON; kind++)
     curl_slist_free_all (client->headers[kind]);
   g_hash_table_unref (client->calls);
@@ -231,7 +201,7 @@
 {
   Call *call = user;
   if (call->answer->len + size * n > FT_ANSWER_MAX)
-    return 0; /* ends the request */
+    return 0; /* has the library fail the request */
   g_byte_array_append (call->answer, (const guint8 *) data, (guint) (size * n));
   return size * n;
 }
@@ -251,7 +221,7 @@
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, on_data);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, call);
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, call->client->headers[call->kind]);
-  /* A request on a new connection is never repeated by the library. */
+  /* The library never repeats a request on a new connection. */
   curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, once ? 1L : 0L);
   curl_easy_setopt (easy, CURLOPT_FORBID_REUSE, once ? 1L : 0L);
   if (call->body == NULL)
@@ -262,6 +232,7 @@
   curl_easy_setopt (easy, CURLOPT_POSTFIELDS, data);
 }
 
+/* One of `done` and `raw_done` is NULL. */
 static void
 send_call (FtHttpClient *client, const char *method, const char *addr, const char *path, FtBodyKind kind,
            const json_t *body, double timeout_s, gboolean once, FtHttpDone done, FtHttpRawDone raw_done, gpointer data)
@@ -274,7 +245,7 @@
   call->done = done;
   call->raw_done = raw_done;
   call->data = data;
-  call->easy = g_queue_pop_head (&client->spare);
+  call->easy = g_queue_pop_head (&client->spare_handles);
   if (call->easy == NULL)
     call->easy = curl_easy_init ();
   if (body != NULL)
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,6 +1,6 @@
-/* The HTTP server: libmicrohttpd, driven by the main loop through its epoll
- * descriptor. libsoup's server costs one main loop source a connection, and
- * several hundred workers keep theirs open: docs/design.md has the measurement. */
+/* The HTTP server: libmicrohttpd, driven by the main loop through its epoll descriptor. libsoup's
+ * server costs a main loop source for each connection, and several hundred workers keep theirs open:
+ * docs/design.md has the measurement. */
 #include <gio/gio.h>
 #include <glib-unix.h>
 #include <microhttpd.h>
@@ -9,42 +9,46 @@
 #include "core/constants.h"
 #include "net/http.h"
 
+G_DEFINE_QUARK (ft - http - error - quark, ft_http_error)
+
 struct _FtHttpServer {
   gboolean stopping; /* answers nothing but 503 any more */
   struct MHD_Daemon *daemon;
   FtBodyKind kind;
   FtHttpHandler handler;
   gpointer data;
-  guint most, connections, turn;
-  guint source, again;
-  GHashTable *waiting; /* requests whose handler has not answered yet */
+  guint most, connections; /* connections: to be kept open at most, and open */
+  guint turn;              /* number of the present run of the library */
+  guint epoll_source;      /* of the library's descriptor */
+  guint retry_source;      /* for work that no event announces; 0: none */
+  GHashTable *waiting;     /* set of requests whose handler has not answered yet */
 };
 
 /* Owned by its connection, and by its handler as well until that has answered. */
 struct _FtHttpRequest {
-  FtHttpServer *server; /* NULL: it ended before the answer */
+  FtHttpServer *server; /* NULL: the server was freed before the answer */
   struct MHD_Connection *connection;
   char *method, *path, *query;
-  GByteArray *raw;
-  gsize total;
-  json_t *body;
-  gboolean read;      /* the body has been decoded */
-  gboolean close;     /* the connection ends with the answer */
-  gboolean suspended; /* the handler has returned without an answer */
-  guint status;
-  struct MHD_Response *response;
+  GByteArray *raw;               /* the body as it came, up to FT_BODY_MAX */
+  gsize total;                   /* bytes of the body that have come */
+  json_t *body;                  /* decoded; NULL: not yet, or not possible */
+  gboolean is_decoded;           /* decoding has been tried */
+  gboolean closes;               /* the connection ends with the answer */
+  gboolean is_suspended;         /* the handler has returned without an answer */
+  guint status;                  /* of the answer */
+  struct MHD_Response *response; /* NULL: not answered yet */
 };
 
 static gboolean on_retry (gpointer data);
 
-/* Another round of the server soon, without an event. */
+/* Has the server run again without an event. */
 static void
-serve_again (FtHttpServer *server, guint after_ms)
+schedule_retry (FtHttpServer *server, guint after_ms)
 {
-  if (server->again != 0)
+  if (server->retry_source != 0)
     return;
-  server->again = after_ms == 0 ? g_idle_add_full (G_PRIORITY_DEFAULT, on_retry, server, NULL)
-                                : g_timeout_add (after_ms, on_retry, server);
+  server->retry_source = after_ms == 0 ? g_idle_add_full (G_PRIORITY_DEFAULT, on_retry, server, NULL)
+                                       : g_timeout_add (after_ms, on_retry, server);
 }
 
 /* ---- requests ---- */
@@ -62,7 +66,7 @@
   g_free (request);
 }
 
-/* Before anything else the server tells the raw target: the request begins here. */
+/* The library reports the raw target before anything else: the request begins here. */
 static void *
 on_target (void *data, const char *target, struct MHD_Connection *connection)
 {
@@ -99,7 +103,7 @@
     server->connections--;
 }
 
-/* Bodies are cut off in memory at the limit, whatever their header says. */
+/* A body is kept up to the limit, whatever its header says, and refused far beyond it. */
 static enum MHD_Result
 take_chunk (FtHttpRequest *request, const char *chunk, size_t *size)
 {
@@ -129,11 +133,11 @@
   return MHD_queue_response (request->connection, request->status, request->response);
 }
 
-/* 503, from the server itself. */
+/* The server's own answer while it stops. */
 static void
-refuse (FtHttpServer *server, FtHttpRequest *request)
+answer_unavailable (FtHttpServer *server, FtHttpRequest *request)
 {
-  request->status = 503;
+  request->status = FT_HTTP_UNAVAILABLE;
   request->response = response_new (server, NULL);
 }
 
@@ -145,7 +149,7 @@
   FtHttpRequest *request = *context;
   (void) connection;
   (void) version;
-  if (request->method == NULL) { /* the headers; the body is still to come */
+  if (request->method == NULL) { /* first call: the headers; the body is still to come */
     request->method = g_strdup (method);
     request->path = g_strdup (path);
     return MHD_YES;
@@ -153,15 +157,15 @@
   if (*size > 0)
     return take_chunk (request, chunk, size);
   if (request->response != NULL)
-    return queue_response (request); /* resumed */
+    return queue_response (request); /* the connection was resumed for its answer */
   if (server->stopping) {
-    refuse (server, request);
+    answer_unavailable (server, request);
     return queue_response (request);
   }
   server->handler (request, server->data);
   if (request->response != NULL)
     return queue_response (request);
-  request->suspended = TRUE;
+  request->is_suspended = TRUE;
   g_hash_table_add (server->waiting, request);
   MHD_suspend_connection (connection);
   return MHD_YES;
@@ -188,9 +192,9 @@
 const json_t *
 ft_http_body (FtHttpRequest *request)
 {
-  if (!request->read && request->total <= FT_BODY_MAX)
+  if (!request->is_decoded && request->total <= FT_BODY_MAX)
     request->body = ft_http_decode (request->server->kind, request->raw->data, request->raw->len);
-  request->read = TRUE;
+  request->is_decoded = TRUE;
   return request->body;
 }
 
@@ -214,31 +218,31 @@
   request->status = status;
   request->response = response_new (server, body);
   json_decref (body);
-  if (status == 503 || status == 429) {
+  if (status == FT_HTTP_UNAVAILABLE || status == FT_HTTP_TOO_MANY_REQUESTS) {
     char after[8];
     g_snprintf (after, sizeof after, "%d", FT_RETRY_AFTER_S);
     MHD_add_response_header (request->response, MHD_HTTP_HEADER_RETRY_AFTER, after);
   }
-  if (request->close || server->connections > server->most)
+  if (request->closes || server->connections > server->most)
     MHD_add_response_header (request->response, MHD_HTTP_HEADER_CONNECTION, "close");
-  if (request->suspended) {
-    request->suspended = FALSE;
+  if (request->is_suspended) {
+    request->is_suspended = FALSE;
     g_hash_table_remove (server->waiting, request);
     MHD_resume_connection (request->connection);
-    serve_again (server, 0); /* resuming wakes no external loop */
+    schedule_retry (server, 0); /* resuming does not wake an external loop */
   }
 }
 
 void
 ft_http_close (FtHttpRequest *request)
 {
-  request->close = TRUE;
+  request->closes = TRUE;
 }
 
 void
 ft_http_unavailable (FtHttpRequest *request)
 {
-  ft_http_respond (request, 503, NULL);
+  ft_http_respond (request, FT_HTTP_UNAVAILABLE, NULL);
 }
 
 /* ---- the server ---- */
@@ -249,15 +253,15 @@
   MHD_UNSIGNED_LONG_LONG left;
   server->turn++;
   MHD_run (server->daemon);
-  /* Work may be left that no event will tell of. */
+  /* Work may be left for which no event will come. */
   if (MHD_get_timeout (server->daemon, &left) == MHD_YES)
-    serve_again (server, (guint) MIN (left, G_MAXINT));
+    schedule_retry (server, (guint) MIN (left, G_MAXINT));
 }
 
 static gboolean
 on_retry (gpointer data)
 {
-  ((FtHttpServer *) data)->again = 0;
+  ((FtHttpServer *) data)->retry_source = 0;
   serve (data);
   return G_SOURCE_REMOVE;
 }
@@ -298,10 +302,10 @@
   g_autoptr (GSocketAddress) address = parse_address (addr);
   struct sockaddr_storage native;
   if (address == NULL || !g_socket_address_to_native (address, &native, sizeof native, NULL)) {
-    g_set_error (error, G_IO_ERROR, G_IO_ERROR_INVALID_ARGUMENT, "%s is not an address and a port", addr);
+    g_set_error (error, FT_HTTP_ERROR, FT_HTTP_ERROR_ADDRESS, "%s is not an address and a port", addr);
     return NULL;
   }
-  FtHttpServer *server = g_new0 (FtHttpServer, 1);
+  g_autoptr (FtHttpServer) server = g_new0 (FtHttpServer, 1);
   server->kind = kind;
   server->handler = handler;
   server->data = data;
@@ -309,20 +313,18 @@
   server->waiting = g_hash_table_new (g_direct_hash, g_direct_equal);
   server->daemon = start_daemon (server, (const struct sockaddr *) &native);
   if (server->daemon == NULL) {
-    g_set_error (error, G_IO_ERROR, G_IO_ERROR_ADDRESS_IN_USE, "%s cannot be listened on", addr);
-    g_hash_table_unref (server->waiting);
-    g_free (server);
+    g_set_error (error, FT_HTTP_ERROR, FT_HTTP_ERROR_LISTEN, "%s cannot be listened on", addr);
     return NULL;
   }
   int fd = MHD_get_daemon_info (server->daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
-  server->source = g_unix_fd_add (fd, G_IO_IN, on_readable, server);
-  return server;
+  server->epoll_source = g_unix_fd_add (fd, G_IO_IN, on_readable, server);
+  return g_steal_pointer (&server);
 }
 
-/* The library does not stop while connections are suspended: what waits is let go, and what
- * comes in its last turn is not taken on. */
+/* The library must not be stopped while connections are suspended: those that wait are resumed with
+ * 503, and what arrives in the last run is answered in the same way. */
 static void
-let_go (FtHttpServer *server)
+stop (FtHttpServer *server)
 {
   server->stopping = TRUE;
   GHashTableIter it;
@@ -330,11 +332,12 @@
   g_hash_table_iter_init (&it, server->waiting);
   while (g_hash_table_iter_next (&it, &key, NULL)) {
     FtHttpRequest *request = key;
-    refuse (server, request);
+    answer_unavailable (server, request);
     request->server = NULL;
     MHD_resume_connection (request->connection);
   }
   MHD_run (server->daemon);
+  MHD_stop_daemon (server->daemon);
 }
 
 void
@@ -342,11 +345,10 @@
 {
   if (server == NULL)
     return;
-  g_source_remove (server->source);
-  if (server->again != 0)
-    g_source_remove (server->again);
-  let_go (server);
-  MHD_stop_daemon (server->daemon);
+  g_clear_handle_id (&server->epoll_source, g_source_remove);
+  g_clear_handle_id (&server->retry_source, g_source_remove);
+  if (server->daemon != NULL)
+    stop (server);
   g_hash_table_unref (server->waiting);
   g_free (server);
 }
