--- a/src/net/ancestors.c
+++ b/src/net/ancestors.c
@@ -4,32 +4,35 @@
 #include "net/polls.h"
 #include "wire/store.h"
 
+/* A breadth-first traversal of the dependency graph, from jobs to those that they need. Vertices are
+ * jobs, edges their dependencies; each job is visited once. Freed when its result is reported. */
 typedef struct {
   FtNode *node;
-  GQueue todo;      /* refs to be looked at, owned */
-  GHashTable *seen; /* refs that were ever in `todo`, owned */
-  GPtrArray *open;  /* of them, those that were found open; borrowed from `seen` */
-  guint reads;      /* under way */
+  GQueue frontier;        /* discovered refs that are still to be visited; owned */
+  GHashTable *discovered; /* refs that were ever in `frontier`; owned */
+  GPtrArray *open;        /* of them, those that were found open; borrowed from `discovered` */
+  guint visits_in_flight;
   gint64 began;
-  gint64 as_of; /* the oldest reading that the result rests on */
-  FtAncestorsResult result;
-  char *found; /* the job that decided it */
+  gint64 oldest_reading_at; /* of the readings that the result rests on */
+  FtAncestorsResult result; /* the weightiest so far */
+  char *decisive_ref;       /* the job that decided it; NULL: none */
   FtAncestorsDone done;
   gpointer data;
-} Walk;
+} Traversal;
 
-/* One job that is being looked at. */
+/* The visit of one job: a comparison of its revision, and reads if that does not suffice. */
 typedef struct {
-  Walk *walk;
+  Traversal *traversal;
   char *ref;
-} Step;
+} Visit;
 
 static FtCachedJob *
-cached_job (const Walk *walk, const char *ref)
+cached_job (const Traversal *traversal, const char *ref)
 {
-  return ft_job_cache_find (walk->node->job_cache, ref);
+  return ft_job_cache_find (traversal->node->job_cache, ref);
 }
 
+/* Whether a check of that age may still be relied on. */
 static gboolean
 is_fresh (const FtNode *node, const FtCachedJob *job, gint64 now)
 {
@@ -47,229 +50,230 @@
   return TRUE;
 }
 
-/* Nothing that was found open was cancelled, nor anything that it needs. */
+/* Neither the jobs that were found open nor any of their ancestors were cancelled. */
 static void
-remember_open (const Walk *walk)
+cache_open_ancestors (const Traversal *traversal)
 {
-  for (guint i = 0; i < walk->open->len; i++) {
-    FtCachedJob *job = cached_job (walk, g_ptr_array_index (walk->open, i));
+  for (guint i = 0; i < traversal->open->len; i++) {
+    FtCachedJob *job = cached_job (traversal, g_ptr_array_index (traversal->open, i));
     if (job == NULL)
       continue;
-    job->checked_at = MAX (job->checked_at, walk->as_of);
-    job->dependencies_met = job->dependencies != NULL && all_done (walk->node, job->dependencies);
+    job->checked_at = MAX (job->checked_at, traversal->oldest_reading_at);
+    job->dependencies_met = job->dependencies != NULL && all_done (traversal->node, job->dependencies);
   }
 }
 
 static void
-walk_finish (Walk *walk)
+traversal_finish (Traversal *traversal)
 {
-  if (walk->result == FT_ANCESTORS_OPEN)
-    remember_open (walk);
-  walk->done (walk->result, walk->found, walk->data);
-  g_queue_clear_full (&walk->todo, g_free);
-  g_ptr_array_unref (walk->open);
-  g_hash_table_unref (walk->seen);
-  g_free (walk->found);
-  g_free (walk);
+  if (traversal->result == FT_ANCESTORS_OPEN)
+    cache_open_ancestors (traversal);
+  traversal->done (traversal->result, traversal->decisive_ref, traversal->data);
+  g_queue_clear_full (&traversal->frontier, g_free);
+  g_ptr_array_unref (traversal->open);
+  g_hash_table_unref (traversal->discovered);
+  g_free (traversal->decisive_ref);
+  g_free (traversal);
 }
 
+/* Results outweigh one another in the order of FtAncestorsResult. */
 static void
-decide (Walk *walk, FtAncestorsResult result, const char *ref)
+decide (Traversal *traversal, FtAncestorsResult result, const char *ref)
 {
-  if (result <= walk->result)
+  if (result <= traversal->result)
     return;
-  walk->result = result;
-  g_free (walk->found);
-  walk->found = g_strdup (ref);
+  traversal->result = result;
+  g_free (traversal->decisive_ref);
+  traversal->decisive_ref = g_strdup (ref);
 }
 
 static void
-visit (Walk *walk, const char *ref)
+discover (Traversal *traversal, const char *ref)
 {
-  if (g_hash_table_contains (walk->seen, ref))
+  if (g_hash_table_contains (traversal->discovered, ref))
     return;
-  g_hash_table_add (walk->seen, g_strdup (ref));
-  g_queue_push_tail (&walk->todo, g_strdup (ref));
+  g_hash_table_add (traversal->discovered, g_strdup (ref));
+  g_queue_push_tail (&traversal->frontier, g_strdup (ref));
 }
 
-static void walk_on (Walk *walk);
+static void advance (Traversal *traversal);
 
 static void
-step_over (Step *step)
+visit_complete (Visit *visit)
 {
-  Walk *walk = step->walk;
-  g_free (step->ref);
-  g_free (step);
-  walk->reads--;
-  walk_on (walk);
+  Traversal *traversal = visit->traversal;
+  g_free (visit->ref);
+  g_free (visit);
+  traversal->visits_in_flight--;
+  advance (traversal);
 }
 
 static void
-step_failed (Step *step)
+visit_failed (Visit *visit)
 {
-  decide (step->walk, FT_ANCESTORS_UNREAD, NULL);
-  step_over (step);
+  decide (visit->traversal, FT_ANCESTORS_UNREAD, NULL);
+  visit_complete (visit);
 }
 
 static void
-visit_dependencies (Walk *walk, const char *ref, const FtCachedJob *job)
+discover_dependencies (Traversal *traversal, const char *ref, const FtCachedJob *job)
 {
   gpointer owned;
-  g_hash_table_lookup_extended (walk->seen, ref, &owned, NULL);
-  g_ptr_array_add (walk->open, owned);
+  g_hash_table_lookup_extended (traversal->discovered, ref, &owned, NULL);
+  g_ptr_array_add (traversal->open, owned);
   for (guint i = 0; job->dependencies != NULL && job->dependencies[i] != NULL; i++)
-    visit (walk, job->dependencies[i]);
+    discover (traversal, job->dependencies[i]);
 }
 
-static void read_own_row (Step *step);
+static void read_own_row (Visit *visit);
 
 static void
 on_open_row (guint status, const json_t *body, gpointer data)
 {
-  Step *step = data;
+  Visit *visit = data;
   FtRow row;
   if (status == 404) {
-    read_own_row (step); /* ended since */
+    read_own_row (visit); /* it has ended since, and its open row was deleted */
     return;
   }
-  FtCachedJob *job = cached_job (step->walk, step->ref);
+  FtCachedJob *job = cached_job (visit->traversal, visit->ref);
   g_autoptr (FtJobSpec) spec
-      = status == 200 && ft_store_row (body, &row) ? ft_row_open_parse (step->ref, row.value) : NULL;
+      = status == 200 && ft_store_row (body, &row) ? ft_row_open_parse (visit->ref, row.value) : NULL;
   if (spec == NULL || job == NULL) {
-    step_failed (step);
+    visit_failed (visit);
     return;
   }
   g_strfreev (job->dependencies);
   job->dependencies = spec->dependencies != NULL ? g_strdupv (spec->dependencies) : g_new0 (char *, 1);
-  visit_dependencies (step->walk, step->ref, job);
-  step_over (step);
+  discover_dependencies (visit->traversal, visit->ref, job);
+  visit_complete (visit);
 }
 
-/* Its own row is open. */
+/* The job's own row is open; which jobs it needs stands in its open row. */
 static void
-step_open (Step *step, const FtCachedJob *job)
+visit_found_open (Visit *visit, const FtCachedJob *job)
 {
   if (job->has_dependencies && job->dependencies == NULL) {
-    g_autofree char *key = ft_key_open (step->ref);
-    ft_store_client_get (step->walk->node->store, key, FT_STORE_PRIORITY_READ, on_open_row, step);
+    g_autofree char *key = ft_key_open (visit->ref);
+    ft_store_client_get (visit->traversal->node->store, key, FT_STORE_PRIORITY_READ, on_open_row, visit);
     return;
   }
-  visit_dependencies (step->walk, step->ref, job);
-  step_over (step);
+  discover_dependencies (visit->traversal, visit->ref, job);
+  visit_complete (visit);
 }
 
 static void
 on_own_row (guint status, const json_t *body, gpointer data)
 {
-  Step *step = data;
-  FtNode *node = step->walk->node;
+  Visit *visit = data;
+  FtNode *node = visit->traversal->node;
   FtRow row;
   FtJobRow state;
   if (status == 404) {
-    decide (step->walk, FT_ANCESTORS_MISSING, step->ref);
-    step_over (step);
+    decide (visit->traversal, FT_ANCESTORS_MISSING, visit->ref);
+    visit_complete (visit);
   } else if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
-    step_failed (step);
+    visit_failed (visit);
   } else if (state.open) {
-    step_open (step, ft_job_cache_open (node->job_cache, step->ref, row.revision, state.has_dependencies));
+    visit_found_open (visit, ft_job_cache_open (node->job_cache, visit->ref, row.revision, state.has_dependencies));
   } else {
-    ft_job_cache_ended (node->job_cache, step->ref, state.end, state.tasks);
+    ft_job_cache_ended (node->job_cache, visit->ref, state.end, state.tasks);
     if (state.end == FT_JOB_END_CANCELLED)
-      decide (step->walk, FT_ANCESTORS_CANCELLED, step->ref);
-    step_over (step);
+      decide (visit->traversal, FT_ANCESTORS_CANCELLED, visit->ref);
+    visit_complete (visit);
   }
 }
 
 static void
-read_own_row (Step *step)
+read_own_row (Visit *visit)
 {
-  g_autofree char *key = ft_key_job (step->ref);
-  ft_store_client_get (step->walk->node->store, key, FT_STORE_PRIORITY_READ, on_own_row, step);
+  g_autofree char *key = ft_key_job (visit->ref);
+  ft_store_client_get (visit->traversal->node->store, key, FT_STORE_PRIORITY_READ, on_own_row, visit);
 }
 
 static void
-on_compared (FtPollResult result, gpointer data)
+on_revision_compared (FtPollResult result, gpointer data)
 {
-  Step *step = data;
-  const FtCachedJob *job = cached_job (step->walk, step->ref);
+  Visit *visit = data;
+  const FtCachedJob *job = cached_job (visit->traversal, visit->ref);
   if (result == FT_POLL_FAILED)
-    step_failed (step);
+    visit_failed (visit);
   else if (result == FT_POLL_OPEN && job != NULL)
-    step_open (step, job);
+    visit_found_open (visit, job);
   else
-    read_own_row (step);
+    read_own_row (visit);
 }
 
-/* TRUE if nothing of the job need be read. */
+/* Whether the job need not be visited: its end is known, or it was checked of late. */
 static gboolean
-known_enough (Walk *walk, const char *ref)
+is_decided_by_cache (Traversal *traversal, const char *ref)
 {
   FtJobEnd end;
-  if (ft_job_cache_end (walk->node->job_cache, ref, &end, NULL)) {
+  if (ft_job_cache_end (traversal->node->job_cache, ref, &end, NULL)) {
     if (end == FT_JOB_END_CANCELLED)
-      decide (walk, FT_ANCESTORS_CANCELLED, ref);
+      decide (traversal, FT_ANCESTORS_CANCELLED, ref);
     return TRUE;
   }
-  const FtCachedJob *job = cached_job (walk, ref);
-  if (job == NULL || !is_fresh (walk->node, job, walk->began))
+  const FtCachedJob *job = cached_job (traversal, ref);
+  if (job == NULL || !is_fresh (traversal->node, job, traversal->began))
     return FALSE;
-  walk->as_of = MIN (walk->as_of, job->checked_at);
+  traversal->oldest_reading_at = MIN (traversal->oldest_reading_at, job->checked_at);
   return TRUE;
 }
 
 static void
-look_at (Walk *walk, const char *ref)
+visit_begin (Traversal *traversal, const char *ref)
 {
-  Step *step = g_new0 (Step, 1);
-  step->walk = walk;
-  step->ref = g_strdup (ref);
-  walk->reads++;
-  if (!ft_polls_ask (walk->node->polls, ref, on_compared, step))
-    read_own_row (step);
+  Visit *visit = g_new0 (Visit, 1);
+  visit->traversal = traversal;
+  visit->ref = g_strdup (ref);
+  traversal->visits_in_flight++;
+  if (!ft_polls_ask (traversal->node->polls, ref, on_revision_compared, visit))
+    read_own_row (visit);
 }
 
 static gboolean
-walk_too_long (const Walk *walk)
+is_too_late (const Traversal *traversal)
 {
-  return g_get_monotonic_time () - walk->began > (gint64) (FT_USER_DEADLINE_S * FT_SECOND);
+  return g_get_monotonic_time () - traversal->began > (gint64) (FT_USER_DEADLINE_S * FT_SECOND);
 }
 
-/* Looks at what is to be looked at, a few at a time: they share comparisons. */
+/* Visits the jobs of the frontier, several at a time, so that they share comparisons of revisions. */
 static void
-walk_on (Walk *walk)
+advance (Traversal *traversal)
 {
-  if (walk_too_long (walk))
-    decide (walk, FT_ANCESTORS_UNREAD, NULL);
-  while (walk->result < FT_ANCESTORS_UNREAD && walk->reads < FT_ANCESTORS_READS_MAX
-         && !g_queue_is_empty (&walk->todo)) {
-    g_autofree char *ref = g_queue_pop_head (&walk->todo);
-    if (!known_enough (walk, ref))
-      look_at (walk, ref);
+  if (is_too_late (traversal))
+    decide (traversal, FT_ANCESTORS_UNREAD, NULL);
+  while (traversal->result < FT_ANCESTORS_UNREAD && traversal->visits_in_flight < FT_ANCESTORS_READS_MAX
+         && !g_queue_is_empty (&traversal->frontier)) {
+    g_autofree char *ref = g_queue_pop_head (&traversal->frontier);
+    if (!is_decided_by_cache (traversal, ref))
+      visit_begin (traversal, ref);
   }
-  if (walk->reads == 0)
-    walk_finish (walk);
+  if (traversal->visits_in_flight == 0)
+    traversal_finish (traversal);
 }
 
-static Walk *
-walk_new (FtNode *node, FtAncestorsDone done, gpointer data)
+static Traversal *
+traversal_new (FtNode *node, FtAncestorsDone done, gpointer data)
 {
-  Walk *walk = g_new0 (Walk, 1);
-  walk->node = node;
-  walk->seen = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  walk->open = g_ptr_array_new ();
-  walk->began = walk->as_of = g_get_monotonic_time ();
-  walk->done = done;
-  walk->data = data;
-  return walk;
+  Traversal *traversal = g_new0 (Traversal, 1);
+  traversal->node = node;
+  traversal->discovered = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  traversal->open = g_ptr_array_new ();
+  traversal->began = traversal->oldest_reading_at = g_get_monotonic_time ();
+  traversal->done = done;
+  traversal->data = data;
+  return traversal;
 }
 
 void
 ft_ancestors_check_named (FtNode *node, const char *const *dependencies, FtAncestorsDone done, gpointer data)
 {
-  Walk *walk = walk_new (node, done, data);
+  Traversal *traversal = traversal_new (node, done, data);
   for (guint i = 0; dependencies != NULL && dependencies[i] != NULL; i++)
-    visit (walk, dependencies[i]);
-  walk_on (walk);
+    discover (traversal, dependencies[i]);
+  advance (traversal);
 }
 
 void
@@ -283,7 +287,7 @@
     done (FT_ANCESTORS_OPEN, NULL, data);
     return;
   }
-  Walk *walk = walk_new (node, done, data);
-  visit (walk, ref);
-  walk_on (walk);
+  Traversal *traversal = traversal_new (node, done, data);
+  discover (traversal, ref);
+  advance (traversal);
 }
--- a/src/net/job_cache.c
+++ b/src/net/job_cache.c
@@ -5,8 +5,8 @@
 
 struct _FtJobCache {
   GHashTable *open;   /* ref -> FtCachedJob, owned */
-  GQueue order;       /* refs, the oldest first; also those of jobs that were forgotten since */
-  FtRecentMap *ended; /* ref -> end and count of tasks, see pack() */
+  GQueue order;       /* refs in the order in which they were added; also of jobs forgotten since */
+  FtRecentMap *ended; /* ref -> end and number of tasks, see pack() */
 };
 
 static void
@@ -72,7 +72,7 @@
   g_hash_table_remove (cache->open, ref);
 }
 
-/* One number holds the count of tasks and, in its last bit, the end. */
+/* The number of tasks and, in the lowest bit, the end. */
 static guint
 pack (FtJobEnd end, guint tasks)
 {
--- a/src/net/job_cache.h
+++ b/src/net/job_cache.h
@@ -1,30 +1,82 @@
-/* What this controller has read of jobs: the revisions of open ones, so that many can be
- * compared at once, and ends, which never change. Bounded: what is forgotten is read again. */
+/* What this controller has read of jobs: the revisions of open ones, so that many can be compared at
+ * once, and ends, which never change. An open job in the cache may have ended since: it is only what
+ * to compare with. Nothing is lost with the cache: what it has dropped is read again.
+ *
+ * Bounded: FT_JOB_CACHE_OPEN_MAX open jobs and FT_JOB_CACHE_ENDED_MAX ends, of which the oldest are
+ * dropped first. Owned by the node; used by the users' endpoint, polls.c and ancestors.c. */
 #pragma once
 #include "core/types.h"
 
 typedef struct _FtJobCache FtJobCache;
 
-/* An open job, as last seen. */
+/**
+ * FtCachedJob:
+ * @revision: of its row while it is open
+ * @has_dependencies: whether it was submitted with jobs that it needs
+ * @dependencies: these jobs; %NULL: not read yet
+ * @dependencies_met: whether all of them were found done, which is final
+ * @checked_at: monotonic time until which neither it nor any of its ancestors was cancelled;
+ *   0: not checked
+ *
+ * An open job, as last read.
+ */
 typedef struct {
-  guint64 revision;          /* revision of its row while it is open */
-  gboolean has_dependencies; /* it was submitted with jobs that it needs */
-  GStrv dependencies;        /* NULL: not read yet */
-  gboolean dependencies_met; /* all of them were found done */
-  gint64 checked_at;         /* until then neither it nor anything that it needs was cancelled; 0: not checked */
+  guint64 revision;
+  gboolean has_dependencies;
+  GStrv dependencies;
+  gboolean dependencies_met;
+  gint64 checked_at;
 } FtCachedJob;
 
+/**
+ * ft_job_cache_new:
+ *
+ * Returns: (transfer full): an empty cache
+ */
 FtJobCache *ft_job_cache_new (void);
+
+/**
+ * ft_job_cache_free:
+ * @cache: (transfer full) (nullable): the cache
+ */
 void ft_job_cache_free (FtJobCache *cache);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtJobCache, ft_job_cache_free)
 
-/* The job's row is open at this revision. Borrowed until the next call. */
+/**
+ * ft_job_cache_open:
+ *
+ * Records that the job's row was read, or committed, as open at this revision.
+ *
+ * Returns: the job, borrowed until the next call; what was known of it before is kept
+ */
 FtCachedJob *ft_job_cache_open (FtJobCache *cache, const char *ref, guint64 revision, gboolean has_dependencies);
-/* NULL: not cache to be open. Borrowed until the next call. */
+
+/**
+ * ft_job_cache_find:
+ *
+ * Returns: (nullable): the job, borrowed until the next call; %NULL if it is not cached as open
+ */
 FtCachedJob *ft_job_cache_find (const FtJobCache *cache, const char *ref);
-/* Its row has changed. */
+
+/**
+ * ft_job_cache_forget:
+ *
+ * Drops an open job whose row has changed.
+ */
 void ft_job_cache_forget (FtJobCache *cache, const char *ref);
 
-/* The job has ended. */
+/**
+ * ft_job_cache_ended:
+ *
+ * Records that the job has ended, as read from its row or committed.
+ */
 void ft_job_cache_ended (FtJobCache *cache, const char *ref, FtJobEnd end, guint tasks);
-/* FALSE: not cache to have ended. `end` and `tasks` may be NULL. */
+
+/**
+ * ft_job_cache_end:
+ * @end: (out) (nullable): how it ended
+ * @tasks: (out) (nullable): its number of tasks
+ *
+ * Returns: %FALSE if the job is not cached as ended
+ */
 gboolean ft_job_cache_end (const FtJobCache *cache, const char *ref, FtJobEnd *end, guint *tasks);
