--- a/src/net/ancestors.c
+++ b/src/net/ancestors.c
@@ -40,14 +40,17 @@
   return job->checked_at > 0 && now - job->checked_at < fresh_us;
 }
 
-static gboolean
-all_done (const FtNode *node, GStrv dependencies)
+/* Of a job that has dependencies; NULL: they were not read yet. */
+static FtDependencyState
+dependency_state (const FtNode *node, const GStrv dependencies)
 {
   FtJobEnd end;
+  if (dependencies == NULL)
+    return FT_DEPENDENCIES_PENDING;
   for (guint i = 0; dependencies[i] != NULL; i++)
     if (!ft_job_cache_end (node->job_cache, dependencies[i], &end, NULL) || end != FT_JOB_END_DONE)
-      return FALSE;
-  return TRUE;
+      return FT_DEPENDENCIES_PENDING;
+  return FT_DEPENDENCIES_MET;
 }
 
 /* Neither the jobs that were found open nor any of their ancestors were cancelled. */
@@ -59,7 +62,8 @@
     if (job == NULL)
       continue;
     job->checked_at = MAX (job->checked_at, traversal->oldest_reading_at);
-    job->dependencies_met = job->dependencies != NULL && all_done (traversal->node, job->dependencies);
+    if (job->dependency_state != FT_DEPENDENCIES_NONE)
+      job->dependency_state = dependency_state (traversal->node, job->dependencies);
   }
 }
 
@@ -153,7 +157,7 @@
 static void
 visit_found_open (Visit *visit, const FtCachedJob *job)
 {
-  if (job->has_dependencies && job->dependencies == NULL) {
+  if (job->dependency_state != FT_DEPENDENCIES_NONE && job->dependencies == NULL) {
     g_autofree char *key = ft_key_open (visit->ref);
     ft_store_client_get (visit->traversal->node->store, key, FT_STORE_PRIORITY_READ, on_open_row, visit);
     return;
@@ -276,14 +280,22 @@
   advance (traversal);
 }
 
+/* Whether the job needs no traversal, by what the cache has of it; if nothing that it needs can be
+ * cancelled any more, that counts as a check. */
+static gboolean
+is_open_by_cache (const FtNode *node, FtCachedJob *job, gint64 now)
+{
+  if (job->dependency_state == FT_DEPENDENCIES_PENDING)
+    return is_fresh (node, job, now);
+  job->checked_at = now;
+  return TRUE;
+}
+
 void
 ft_ancestors_check (FtNode *node, const char *ref, FtAncestorsDone done, gpointer data)
 {
   FtCachedJob *job = ft_job_cache_find (node->job_cache, ref);
-  gint64 now = g_get_monotonic_time ();
-  if (job != NULL && (!job->has_dependencies || job->dependencies_met || is_fresh (node, job, now))) {
-    if (!job->has_dependencies || job->dependencies_met)
-      job->checked_at = now;
+  if (job != NULL && is_open_by_cache (node, job, g_get_monotonic_time ())) {
     done (FT_ANCESTORS_OPEN, NULL, data);
     return;
   }
--- a/src/net/cancellation.h
+++ b/src/net/cancellation.h
@@ -18,7 +18,7 @@
  * @revision: the revision at which the job's row was read as open
  * @tasks: the job's number of tasks
  *
- * Commits the cancellation, with the mark by which a leader hears of it, and answers. If the row has
+ * Commits the cancellation, with the row by which the leader learns of it, and answers. If the row has
  * changed since, it is read again.
  */
 void ft_cancellation_commit (FtUserRequest *request, guint64 revision, guint tasks);
--- a/src/net/job_cache.c
+++ b/src/net/job_cache.c
@@ -56,7 +56,10 @@
     g_hash_table_insert (cache->open, g_strdup (ref), job);
   }
   job->revision = revision;
-  job->has_dependencies = has_dependencies;
+  if (!has_dependencies)
+    job->dependency_state = FT_DEPENDENCIES_NONE;
+  else if (job->dependency_state == FT_DEPENDENCIES_NONE)
+    job->dependency_state = FT_DEPENDENCIES_PENDING;
   return job;
 }
 
--- a/src/net/job_cache.h
+++ b/src/net/job_cache.h
@@ -9,12 +9,19 @@
 
 typedef struct _FtJobCache FtJobCache;
 
+/**
+ * FtDependencyState:
+ * @FT_DEPENDENCIES_NONE: the job was submitted without dependencies
+ * @FT_DEPENDENCIES_PENDING: not all of them were found done
+ * @FT_DEPENDENCIES_MET: all of them were found done, which is final
+ */
+typedef enum { FT_DEPENDENCIES_NONE, FT_DEPENDENCIES_PENDING, FT_DEPENDENCIES_MET } FtDependencyState;
+
 /**
  * FtCachedJob:
  * @revision: of its row while it is open
- * @has_dependencies: whether it was submitted with jobs that it needs
- * @dependencies: these jobs; %NULL: not read yet
- * @dependencies_met: whether all of them were found done, which is final
+ * @dependency_state: whether it may still have to wait for other jobs
+ * @dependencies: the jobs that it needs; %NULL: none, or not read yet
  * @checked_at: monotonic time until which neither it nor any of its ancestors was cancelled;
  *   0: not checked
  *
@@ -22,9 +29,8 @@
  */
 typedef struct {
   guint64 revision;
-  gboolean has_dependencies;
+  FtDependencyState dependency_state;
   GStrv dependencies;
-  gboolean dependencies_met;
   gint64 checked_at;
 } FtCachedJob;
 
@@ -44,6 +50,7 @@
 
 /**
  * ft_job_cache_open:
+ * @has_dependencies: whether it was submitted with jobs that it needs
  *
  * Records that the job's row was read, or committed, as open at this revision.
  *
--- a/src/net/polls.c
+++ b/src/net/polls.c
@@ -4,9 +4,9 @@
 #include "wire/store.h"
 
 struct _FtPolls {
-  FtNode *node;     /* borrowed */
-  GQueue waiting;   /* Poll, oldest first, for a transaction that is still to be sent */
-  GPtrArray *asked; /* Poll of the transaction under way; NULL: none */
+  FtNode *node;         /* borrowed */
+  GQueue waiting;       /* Poll, oldest first, for a transaction that is still to be sent */
+  GPtrArray *in_flight; /* Poll of the transaction under way; NULL: none */
 };
 
 typedef struct {
@@ -39,9 +39,9 @@
   if (polls == NULL)
     return;
   g_queue_clear_full (&polls->waiting, (GDestroyNotify) poll_free);
-  if (polls->asked != NULL) {
-    g_ptr_array_foreach (polls->asked, (GFunc) (void (*) (void)) poll_free, NULL);
-    g_ptr_array_unref (polls->asked);
+  if (polls->in_flight != NULL) {
+    g_ptr_array_foreach (polls->in_flight, (GFunc) (void (*) (void)) poll_free, NULL);
+    g_ptr_array_unref (polls->in_flight);
   }
   g_free (polls);
 }
@@ -58,11 +58,11 @@
 /* A conflict names the rows that have changed. About the others it says nothing: they go back to
  * the head of the queue, in their order, and are compared again at once. */
 static void
-finish_changed (FtPolls *polls, GPtrArray *asked, const json_t *body)
+finish_changed (FtPolls *polls, GPtrArray *compared, const json_t *body)
 {
   gboolean any = FALSE;
-  for (guint i = asked->len; i > 0; i--) {
-    Poll *poll = g_ptr_array_index (asked, i - 1);
+  for (guint i = compared->len; i > 0; i--) {
+    Poll *poll = g_ptr_array_index (compared, i - 1);
     g_autofree char *key = ft_key_job (poll->ref);
     if (!ft_store_failed (body, key)) {
       g_queue_push_head (&polls->waiting, poll);
@@ -81,12 +81,12 @@
 on_compared (guint status, const json_t *body, gpointer data)
 {
   FtPolls *polls = data;
-  g_autoptr (GPtrArray) asked = g_steal_pointer (&polls->asked);
+  g_autoptr (GPtrArray) compared = g_steal_pointer (&polls->in_flight);
   if (status == 409) {
-    finish_changed (polls, asked, body);
+    finish_changed (polls, compared, body);
   } else {
-    for (guint i = 0; i < asked->len; i++)
-      poll_finish (g_ptr_array_index (asked, i), status == 200 ? FT_POLL_OPEN : FT_POLL_FAILED);
+    for (guint i = 0; i < compared->len; i++)
+      poll_finish (g_ptr_array_index (compared, i), status == 200 ? FT_POLL_OPEN : FT_POLL_FAILED);
   }
   send_next (polls);
 }
@@ -102,25 +102,25 @@
 static void
 send_next (FtPolls *polls)
 {
-  if (polls->asked != NULL || g_queue_is_empty (&polls->waiting))
+  if (polls->in_flight != NULL || g_queue_is_empty (&polls->waiting))
     return;
   json_auto_t *txn = json_pack ("{s:[]}", "if");
   guint most = FT_CONDITIONS_PER_CHANGE * polls->node->config->core.txn_ops;
-  polls->asked = g_ptr_array_new ();
+  polls->in_flight = g_ptr_array_new ();
   Poll *poll;
-  while (polls->asked->len < most && (poll = g_queue_pop_head (&polls->waiting)) != NULL) {
+  while (polls->in_flight->len < most && (poll = g_queue_pop_head (&polls->waiting)) != NULL) {
     if (is_too_late (poll)) {
       poll_finish (poll, FT_POLL_FAILED);
       continue;
     }
     g_autofree char *key = ft_key_job (poll->ref);
     ft_txn_if (txn, key, poll->revision);
-    g_ptr_array_add (polls->asked, poll);
+    g_ptr_array_add (polls->in_flight, poll);
   }
-  if (polls->asked->len > 0)
+  if (polls->in_flight->len > 0)
     ft_store_client_commit (polls->node->store, txn, FT_STORE_PRIORITY_READ, on_compared, polls);
   else
-    g_clear_pointer (&polls->asked, g_ptr_array_unref);
+    g_clear_pointer (&polls->in_flight, g_ptr_array_unref);
 }
 
 gboolean
