--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -1,253 +1,327 @@
-#include <algorithm>
+#include "checker.hpp"
 
-#include "world.hpp"
+#include <algorithm>
 
 namespace sim {
 
+// Once no fault is active: how long a job may wait although it could run, and how
+// long its user may be without an answer.
+static constexpr Time kLongestWait = 90 * kSecond;
+static constexpr Time kLongestSilence = 75 * kSecond;
+// How long the largest jobs of a class may wait for their first task.
+static constexpr Time kLongestWaitOfLargest = 240 * kSecond;
+static constexpr double kCpuRounding = 1e-6;
+
 void
-Checker::check_zone (const std::string &ref, const Job &job, const Spot &where)
+Checker::violated (const std::string &rule, const std::string &what)
 {
-  guint here = 0;
-  if (!job.one_zone && !job.spread)
-    return;
-  for (auto it = where_.lower_bound ({ ref, 0 }); it != where_.end () && it->first.first == ref; ++it)
-    for (const Spot &other : it->second) {
-      if (job.one_zone && other.zone != where.zone)
-        fail ("wrong_place", ref + " in two zones");
-      here += other.zone == where.zone;
-    }
-  if (job.spread && here + 1 > (job.tasks + 1) / 2)
-    fail ("wrong_place", ref + " has more than half of its tasks in " + where.zone);
+  violations_.push_back (rule + ": " + what);
+}
+
+// ---- questions ----
+
+guint
+Checker::starts_after_cancellation () const
+{
+  guint count = 0;
+  for (const auto &[ref, job] : jobs_)
+    count += job.starts_after_cancellation;
+  return count;
 }
 
 bool
-Checker::needs_done (const Job &job) const
+Checker::dependencies_done (const Job &job) const
 {
-  return std::all_of (job.dependencies.begin (), job.dependencies.end (), [&] (const std::string &dependency) {
-    const Job &before = jobs_.at (dependency);
-    return before.done.size () == before.tasks;
+  return std::all_of (job.dependencies.begin (), job.dependencies.end (), [&] (const std::string &ref) {
+    const Job &dependency = jobs_.at (ref);
+    return dependency.done.size () == dependency.tasks;
   });
 }
 
-const Checker::Job *
-Checker::any_before (const Job &job, std::function<bool (const Job &)> reserved) const
+// Whether it holds for a job that this one depends on, directly or through others.
+bool
+Checker::any_ancestor (const Job &job, const std::function<bool (const Job &)> &holds) const
 {
-  std::vector<std::string> todo = job.dependencies;
-  std::set<std::string> seen (todo.begin (), todo.end ());
-  while (!todo.empty ()) {
-    const Job &before = jobs_.at (todo.back ());
-    todo.pop_back ();
-    if (reserved (before))
-      return &before;
-    for (const std::string &dependency : before.dependencies)
-      if (seen.insert (dependency).second)
-        todo.push_back (dependency);
+  std::vector<std::string> unvisited = job.dependencies;
+  std::set<std::string> seen (unvisited.begin (), unvisited.end ());
+  while (!unvisited.empty ()) {
+    const Job &ancestor = jobs_.at (unvisited.back ());
+    unvisited.pop_back ();
+    if (holds (ancestor))
+      return true;
+    for (const std::string &ref : ancestor.dependencies)
+      if (seen.insert (ref).second)
+        unvisited.push_back (ref);
   }
-  return nullptr;
+  return false;
+}
+
+bool
+Checker::cancellation_overdue (const Job &job, Time now) const
+{
+  return job.cancellation_confirmed_at && now > *job.cancellation_confirmed_at + cancel_;
+}
+
+guint
+Checker::live (const std::string &ref) const
+{
+  guint count = 0;
+  for (auto it = placements_.lower_bound ({ ref, 0 }); it != placements_.end () && it->first.first == ref; ++it)
+    count += (guint) it->second.size ();
+  return count;
+}
+
+guint
+Checker::live_in (const std::string &ref, const std::string &zone) const
+{
+  guint count = 0;
+  for (auto it = placements_.lower_bound ({ ref, 0 }); it != placements_.end () && it->first.first == ref; ++it)
+    for (const Placement &placement : it->second)
+      count += placement.zone == zone;
+  return count;
+}
+
+// ---- events on machines ----
+
+void
+Checker::check_zones (const std::string &ref, const Job &job, const Placement &where)
+{
+  guint all = live (ref), here = live_in (ref, where.zone);
+  if (job.one_zone)
+    for (guint i = here; i < all; i++)
+      violated ("wrong_place", ref + " in two zones");
+  if (job.spread && here + 1 > (job.tasks + 1) / 2)
+    violated ("wrong_place", ref + " has more than half of its tasks in " + where.zone);
 }
 
 void
-Checker::on (Time now, const std::string &ref, guint index, Spot where)
+Checker::task_started (Time now, const std::string &ref, guint index, const Placement &where)
 {
   Job &job = jobs_[ref];
-  if (!job.begun)
-    job.begun = now;
-  const std::string name = ref + "/" + std::to_string (index);
+  if (!job.first_start_at)
+    job.first_start_at = now;
+  const std::string task = ref + "/" + std::to_string (index);
   starts_++;
-  auto &spots = where_[{ ref, index }];
-  if (!spots.empty ())
-    fail ("ran_twice", name + " starts on " + where.machine + " while on " + spots[0].machine);
+  auto &placements = placements_[{ ref, index }];
+  if (!placements.empty ())
+    violated ("ran_twice", task + " starts on " + where.machine + " while on " + placements[0].machine);
   if ((!job.spot && where.spot) || (!job.zone.empty () && job.zone != where.zone))
-    fail ("wrong_place", name + " on " + where.machine);
-  check_zone (ref, job, where);
-  if (!needs_done (job))
-    fail ("too_early", name + " starts before the jobs that it needs are done");
-  if (job.cancel_told && now > *job.cancel_told + cancel_)
-    fail ("ran_cancelled", name + " starts after its cancellation");
-  if (job.cancel_told) {
-    job.started_cancelled++;
-    job.last_start_cancelled = std::max (job.last_start_cancelled, now - *job.cancel_told);
+    violated ("wrong_place", task + " on " + where.machine);
+  check_zones (ref, job, where);
+  if (!dependencies_done (job))
+    violated ("too_early", task + " starts before the jobs that it depends on are done");
+  if (cancellation_overdue (job, now))
+    violated ("ran_cancelled", task + " starts after its cancellation");
+  if (job.cancellation_confirmed_at) {
+    job.starts_after_cancellation++;
+    job.latest_start_after_cancellation
+        = std::max (job.latest_start_after_cancellation, now - *job.cancellation_confirmed_at);
   }
-  job.could_run.reset ();
-  spots.push_back (where);
+  job.runnable_since.reset ();
+  placements.push_back (where);
   used_[job.team] += job.cpus;
-  if (used_[job.team] > limits_[job.team] + 1e-6)
-    fail ("quota", job.team + " uses " + std::to_string (used_[job.team]));
+  if (used_[job.team] > limits_[job.team] + kCpuRounding)
+    violated ("quota", job.team + " uses " + std::to_string (used_[job.team]));
 }
 
 void
-Checker::off (const std::string &ref, guint index, const std::string &machine)
+Checker::task_stopped (const std::string &ref, guint index, const std::string &machine)
 {
-  auto &spots = where_[{ ref, index }];
-  auto it = std::find_if (spots.begin (), spots.end (), [&] (const Spot &s) { return s.machine == machine; });
-  if (it == spots.end ())
+  auto &placements = placements_[{ ref, index }];
+  auto it = std::find_if (placements.begin (), placements.end (),
+                          [&] (const Placement &placement) { return placement.machine == machine; });
+  if (it == placements.end ())
     return;
-  spots.erase (it);
+  placements.erase (it);
   used_[jobs_[ref].team] -= jobs_[ref].cpus;
 }
 
 void
-Checker::finished (Time now, const std::string &ref, guint index)
+Checker::task_completed (Time now, const std::string &ref, guint index)
 {
   Job &job = jobs_[ref];
-  job.last_done = now;
+  job.last_completed_at = now;
   bool last = job.done.insert (index).second && job.done.size () == job.tasks;
-  if (last && on_last_task)
-    on_last_task (ref);
+  if (last && on_last_task_completed)
+    on_last_task_completed (ref);
 }
 
-guint
-Checker::live (const std::string &ref) const
+// ---- events at users ----
+
+void
+Checker::submitted (const std::string &ref, const Job &job)
 {
-  guint n = 0;
-  for (auto it = where_.lower_bound ({ ref, 0 }); it != where_.end () && it->first.first == ref; ++it)
-    n += (guint) it->second.size ();
-  return n;
+  jobs_[ref] = job;
 }
 
-guint
-Checker::live_in (const std::string &ref, const std::string &zone) const
+void
+Checker::cancellation_requested (const std::string &ref)
 {
-  guint n = 0;
-  for (auto it = where_.lower_bound ({ ref, 0 }); it != where_.end () && it->first.first == ref; ++it)
-    for (const Spot &spot : it->second)
-      n += spot.zone == zone;
-  return n;
+  jobs_[ref].cancellation_requested = true;
 }
 
-// Once all troubles are over, a job that could run is not left waiting for 90 s.
 void
-Checker::waits (Time now, const std::string &ref, bool could)
+Checker::check_final_state (Time now, const std::string &ref, const Job &job, const std::string &state)
 {
-  Job &job = jobs_[ref];
-  if (!could || !calm_) {
-    job.could_run.reset ();
-    return;
-  }
-  if (!job.could_run)
-    job.could_run = now;
-  if (now - *job.could_run > 90 * kSecond)
-    fail ("waiting", ref + " could run and waits");
+  bool is_final = state == "done" || state == "cancelled";
+  auto requested = [] (const Job &ancestor) { return ancestor.cancellation_requested; };
+  auto overdue = [&] (const Job &ancestor) { return cancellation_overdue (ancestor, now); };
+  if (state == "done" && job.done.size () < job.tasks)
+    violated ("not_done", ref + " with " + std::to_string (job.done.size ()) + " tasks done");
+  if (!job.final_state.empty () && job.final_state != state)
+    violated ("went_back", ref + " was " + job.final_state + ", is " + state);
+  if (!is_final && any_ancestor (job, overdue))
+    violated ("orphaned", ref + " is called " + state + " though a job that it depends on is cancelled");
+  if (state == "cancelled" && !job.cancellation_requested && !any_ancestor (job, requested))
+    violated ("went_back", ref + " is cancelled, nobody asked for it");
 }
 
 void
-Checker::told (Time now, const std::string &ref, const std::string &state)
+Checker::state_reported (Time now, const std::string &ref, const std::string &state)
 {
   if (jobs_.find (ref) == jobs_.end ()) {
     if (!state.empty ())
-      fail ("invented", ref + " is " + state);
+      violated ("invented", ref + " is " + state);
     return;
   }
   Job &job = jobs_[ref];
   if (state.empty ()) {
     if (job.accepted)
-      fail ("forgotten", ref + " is answered 404");
+      violated ("forgotten", ref + " is answered 404");
     return;
   }
   job.accepted = true;
-  if (!job.can_run)
-    fail ("accepted", ref + " can never run, or lacks a field");
-  if (state == "done" && job.done.size () < job.tasks)
-    fail ("not_done", ref + " with " + std::to_string (job.done.size ()) + " tasks done");
-  if (!job.final_told.empty () && job.final_told != state)
-    fail ("went_back", ref + " was " + job.final_told + ", is " + state);
-  auto asked = [] (const Job &before) { return before.cancel_asked; };
-  auto overdue = [&] (const Job &before) { return before.cancel_told && now > *before.cancel_told + cancel_; };
-  if (state != "done" && state != "cancelled" && any_before (job, overdue) != nullptr)
-    fail ("orphaned", ref + " is called " + state + " though a job before it is cancelled");
-  if (state == "cancelled" && !job.cancel_asked && any_before (job, asked) == nullptr)
-    fail ("went_back", ref + " is cancelled, nobody asked");
+  if (!job.can_ever_run)
+    violated ("accepted", ref + " can never run, or lacks a field");
+  check_final_state (now, ref, job, state);
   if (state == "done" || state == "cancelled")
-    job.final_told = state;
-  if (state == "cancelled" && !job.cancel_told)
-    job.cancel_told = now;
-  if (state == "cancelled")
-    cancelled_.insert (ref);
+    job.final_state = state;
+  if (state != "cancelled")
+    return;
+  if (!job.cancellation_confirmed_at)
+    job.cancellation_confirmed_at = now;
+  cancelled_.insert (ref);
 }
 
-// Once all troubles are over, a job is not left without an answer for 75 s.
 void
-Checker::asked (Time now, const std::string &ref, bool answered)
+Checker::polled (Time now, const std::string &ref, bool answered)
 {
   auto it = jobs_.find (ref);
   if (it == jobs_.end () || !it->second.accepted)
     return;
   Job &job = it->second;
-  if (answered || !job.answered) {
-    job.answered = now;
+  if (answered || !job.last_answered_at) {
+    job.last_answered_at = now;
     return;
   }
-  if (calm_ && now - std::max (*calm_, *job.answered) > 75 * kSecond)
-    fail ("forgotten", ref + " gets no answer");
+  if (faults_over_at_ && now - std::max (*faults_over_at_, *job.last_answered_at) > kLongestSilence)
+    violated ("forgotten", ref + " gets no answer");
 }
 
 void
-Checker::refused (const std::string &ref)
+Checker::resubmission_refused (const std::string &ref)
 {
   if (jobs_[ref].accepted)
-    fail ("forgotten", ref + " is refused when submitted again");
+    violated ("forgotten", ref + " is refused when submitted again");
+}
+
+// ---- events of the run ----
+
+void
+Checker::faults_over (Time now)
+{
+  faults_over_at_ = now;
+}
+
+void
+Checker::remove_limit (const std::string &team)
+{
+  limits_[team] = G_MAXDOUBLE;
+}
+
+void
+Checker::stale_revision_used (const std::string &ref)
+{
+  violated ("revision", ref + " is open at another revision than its leader knows");
+}
+
+void
+Checker::observe_waiting (Time now, const std::string &ref, bool could_run)
+{
+  Job &job = jobs_[ref];
+  if (!could_run || !faults_over_at_) {
+    job.runnable_since.reset ();
+    return;
+  }
+  if (!job.runnable_since)
+    job.runnable_since = now;
+  if (now - *job.runnable_since > kLongestWait)
+    violated ("waiting", ref + " could run and waits");
 }
 
 void
-Checker::step (Time now)
+Checker::check_cancelled_jobs (Time now)
 {
   for (const std::string &ref : cancelled_) {
-    if (now <= *jobs_[ref].cancel_told + cancel_)
+    if (!cancellation_overdue (jobs_[ref], now))
       continue;
-    for (auto it = where_.lower_bound ({ ref, 0 }); it != where_.end () && it->first.first == ref; ++it)
+    for (auto it = placements_.lower_bound ({ ref, 0 }); it != placements_.end () && it->first.first == ref; ++it)
       if (!it->second.empty () && overdue_.insert (ref).second)
-        fail ("ran_cancelled", ref + " is still on " + it->second[0].machine);
+        violated ("ran_cancelled", ref + " is still on " + it->second[0].machine);
   }
 }
 
+// At least half of the jobs of a team or class must be done.
 void
-Checker::served (const std::string &what, const std::vector<const Job *> &jobs)
+Checker::check_served (const std::string &group, const Jobs &jobs)
 {
-  auto done = std::count_if (jobs.begin (), jobs.end (), [] (const Job *j) { return j->done.size () == j->tasks; });
+  auto done
+      = std::count_if (jobs.begin (), jobs.end (), [] (const Job *job) { return job->done.size () == job->tasks; });
   if (2 * (size_t) done < jobs.size ())
-    fail ("served", what + ": " + std::to_string (done) + " of " + std::to_string (jobs.size ()));
+    violated ("served", group + ": " + std::to_string (done) + " of " + std::to_string (jobs.size ()));
 }
 
-// When it could begin: submitted, and all that it needs done.
+// When the job could begin: submitted, and all that it depends on done.
 Time
-Checker::ready (const Job &job) const
+Checker::ready_at (const Job &job) const
 {
-  Time at = job.submitted;
-  for (const std::string &dependency : job.dependencies)
-    at = std::max (at, jobs_.at (dependency).last_done);
+  Time at = job.submitted_at;
+  for (const std::string &ref : job.dependencies)
+    at = std::max (at, jobs_.at (ref).last_completed_at);
   return at;
 }
 
-// The largest tenth of a class: half of them served, each begun in four minutes.
+// Of the largest tenth of a class half must be done, and each must have begun in time.
 void
-Checker::largest (const std::string &job_class, std::vector<const Job *> jobs)
+Checker::check_largest (const std::string &job_class, Jobs jobs)
 {
-  std::sort (jobs.begin (), jobs.end (), [] (const Job *a, const Job *b) { return a->tasks > b->tasks; });
+  std::sort (jobs.begin (), jobs.end (),
+             [] (const Job *first, const Job *second) { return first->tasks > second->tasks; });
   jobs.resize ((jobs.size () + 9) / 10);
-  served ("the largest of class " + job_class, jobs);
+  check_served ("the largest of class " + job_class, jobs);
   for (const Job *job : jobs)
-    if (!job->begun || *job->begun - ready (*job) > 240 * kSecond)
-      fail ("served", "one of the largest of class " + job_class + " did not begin in four minutes");
+    if (!job->first_start_at || *job->first_start_at - ready_at (*job) > kLongestWaitOfLargest)
+      violated ("served", "one of the largest of class " + job_class + " did not begin in four minutes");
 }
 
 void
-Checker::end ()
+Checker::check_at_end ()
 {
-  std::map<std::string, std::vector<const Job *> > classes, teams;
+  std::map<std::string, Jobs> classes, teams;
+  auto requested = [] (const Job &ancestor) { return ancestor.cancellation_requested; };
   if (starts_ == 0)
-    fail ("nothing_ran", "no task was started");
+    violated ("nothing_ran", "no task was started");
   for (const auto &[ref, job] : jobs_) {
-    auto asked = [] (const Job &before) { return before.cancel_asked; };
-    if (!job.accepted || job.cancel_asked || any_before (job, asked) != nullptr)
+    if (!job.accepted || job.cancellation_requested || any_ancestor (job, requested))
       continue;
     classes[job.job_class].push_back (&job);
     teams[job.team].push_back (&job);
   }
-  for (const auto &[name, jobs] : teams)
-    served ("team " + name, jobs);
-  for (const auto &[name, jobs] : classes) {
-    served ("class " + name, jobs);
-    largest (name, jobs);
+  for (const auto &[team, jobs] : teams)
+    check_served ("team " + team, jobs);
+  for (const auto &[job_class, jobs] : classes) {
+    check_served ("class " + job_class, jobs);
+    check_largest (job_class, jobs);
   }
 }
 
--- /dev/null
+++ b/tests/sim/network.cpp
@@ -0,0 +1,84 @@
+// Messages between the hosts of the simulated world.
+#include "world.hpp"
+
+namespace sim {
+
+void
+World::cut (const std::string &first, const std::string &second, Time until)
+{
+  cuts_[{ first, second }] = cuts_[{ second, first }] = until;
+}
+
+bool
+World::is_cut (const std::string &from, const std::string &to) const
+{
+  auto cut = cuts_.find ({ from, to });
+  return cut != cuts_.end () && cut->second > now;
+}
+
+// NULL: the host is no controller.
+Node *
+World::node_of (const std::string &host) const
+{
+  return host.rfind ("node-", 0) == 0 ? nodes[host.back () - '0'].get () : nullptr;
+}
+
+void
+World::deliver (const std::string &from, const std::string &to, EventQueue::Action action)
+{
+  if (chance (faults.message_loss))
+    return;
+  Time delay = (Time) (uniform (0.001, 0.02) * kSecond);
+  if (chance (faults.message_delay))
+    delay = (Time) (uniform (1, 25) * kSecond);
+  if (is_cut (from, to)) {
+    if (chance (0.5))
+      return;                               // the connection is reset
+    delay += cuts_.at ({ from, to }) - now; // or holds the message back
+  }
+  after (delay, [this, to, action = std::move (action)] { arrive (to, action); });
+}
+
+// A host that stands still takes its messages in when it goes on.
+void
+World::arrive (const std::string &to, const EventQueue::Action &action)
+{
+  Node *node = node_of (to);
+  if (node != nullptr && now < node->frozen_until) {
+    at (node->frozen_until, action);
+    return;
+  }
+  auto machine = machines.find (to);
+  if (machine == machines.end ()) {
+    action ();
+    return;
+  }
+  const Worker &worker = *machine->second;
+  if (worker.drops_messages (now))
+    return;
+  if (now < worker.hung_until)
+    at (worker.hung_until, action);
+  else
+    action ();
+}
+
+void
+World::keep_heartbeat (const Heartbeat &heartbeat)
+{
+  kept_heartbeats_[heartbeat->machine] = heartbeat;
+}
+
+void
+World::replay_heartbeats ()
+{
+  auto heartbeats = std::move (kept_heartbeats_);
+  kept_heartbeats_.clear ();
+  for (const auto &[machine, heartbeat] : heartbeats)
+    for (const auto &node : nodes)
+      after ((Time) (uniform (0, 0.3) * kSecond), [this, node = node.get (), heartbeat = heartbeat] {
+        if (node->alive)
+          counters.replayed_heartbeats += node->heartbeat (heartbeat.get ()).status == 200;
+      });
+}
+
+} // namespace sim
--- /dev/null
+++ b/tests/sim/node_batches.cpp
@@ -0,0 +1,133 @@
+// The leader's writes: batches of the scheduler's changes, each conditional on the
+// fence and on the journal row, so that none is applied late or twice.
+#include "node.hpp"
+
+#include <gtest/gtest.h>
+
+#include "world.hpp"
+
+extern "C" {
+#include "wire/store.h"
+}
+
+namespace sim {
+
+// A refused batch is tried again after so long.
+static constexpr Time kRetryAfter = kSecond / 5;
+
+static guint64
+journal_member (const FtRow &row, const char *name)
+{
+  return (guint64) json_integer_value (json_object_get (row.value, name));
+}
+
+const FtSettings &
+Node::own_settings () const
+{
+  return runs_previous_version ? world_.previous_settings : world_.settings;
+}
+
+Json
+Node::batch_transaction (const PointerArray &writes, guint64 batch) const
+{
+  Json transaction = adopt (ft_txn_new ());
+  // The version before wrote no wall time.
+  gint64 wall_ms = runs_previous_version ? 0 : world_.now / 1000;
+  ft_txn_if (transaction.get (), FT_KEY_FENCE, ft_lease_fence_revision (lease_.get ()));
+  ft_txn_if (transaction.get (), FT_KEY_JOURNAL, journal_revision_);
+  ft_txn_put (transaction.get (), FT_KEY_JOURNAL, ft_row_journal (ft_lease_token (lease_.get ()), batch));
+  for (guint i = 0; i < writes->len; i++)
+    ft_txn_add_write (transaction.get (), (const FtWrite *) g_ptr_array_index (writes.get (), i), wall_ms);
+  return transaction;
+}
+
+// One batch is under way at a time.
+void
+Node::commit_batch ()
+{
+  if (batching_)
+    return;
+  guint most = own_settings ().txn_ops - 1; // the journal row is one change
+  PointerArray writes = adopt (ft_scheduler_next_writes (scheduler_.get (), most, batch_ % 2 == 0, clock ()));
+  if (writes->len == 0)
+    return;
+  batching_ = true;
+  guint64 batch = ++batch_;
+  commit (batch_transaction (writes, batch), in_term ([this, writes, batch] (guint status, const json_t *body) {
+            on_batch_answer (writes, batch, status, body);
+          }));
+}
+
+void
+Node::on_batch_answer (const PointerArray &writes, guint64 batch, guint status, const json_t *body)
+{
+  guint64 revision;
+  if (status == 200 && ft_store_revision (body, &revision)) {
+    journal_revision_ = revision;
+    batch_over (writes, true, nullptr);
+  } else if (status == 409 && ft_store_failed (body, FT_KEY_FENCE)) {
+    step_down ();
+  } else if (status == 409 && !ft_store_failed (body, FT_KEY_JOURNAL)) {
+    batch_conflicted (writes, body);
+  } else if (status == 503 || status == 429 || status == 400) {
+    schedule_in_term (kRetryAfter, [this, writes] { batch_over (writes, false, nullptr); });
+  } else {
+    resolve_batch (writes, batch);
+  }
+}
+
+// A job's row has another revision than the leader knew: it has ended meanwhile. Only
+// the end is asked for here; that it is open after all is a fault of the leader.
+void
+Node::batch_conflicted (const PointerArray &writes, const json_t *body)
+{
+  const char *found = ft_store_conflicted_job (body, writes.get ());
+  std::string ref = found != nullptr ? found : "";
+  batch_over (writes, false, found);
+  g_autofree char *key = ft_key_job (ref.c_str ());
+  StoreAnswer answer = world_.store.get (key);
+  bool exists = answer.status == 200;
+  FtJobRow state{};
+  if (exists && !ft_row_job_parse (json_object_get (answer.body.get (), "data"), &state))
+    ADD_FAILURE () << "row of " << ref;
+  if (scheduler_ == nullptr)
+    return;
+  if (exists && state.open)
+    world_.checker->stale_revision_used (ref);
+  else
+    ft_scheduler_job_conflict_resolved (scheduler_.get (), ref.c_str (), exists && state.end == FT_JOB_END_DONE,
+                                        clock ());
+}
+
+// No answer came: the journal row says whether the batch was applied.
+void
+Node::resolve_batch (PointerArray writes, guint64 batch)
+{
+  auto take_journal = [this, writes, batch] (guint status, const json_t *body) {
+    FtRow row;
+    if (status != 200 || !ft_store_row (body, &row)) {
+      resolve_batch (writes, batch);
+      return;
+    }
+    if (journal_member (row, "token") != ft_lease_token (lease_.get ())) {
+      step_down ();
+      return;
+    }
+    journal_revision_ = row.revision;
+    batch_over (writes, journal_member (row, "batch") == batch, nullptr);
+  };
+  request_store ([this] { return world_.store.get (FT_KEY_JOURNAL); }, in_term (take_journal));
+}
+
+void
+Node::batch_over (const PointerArray &writes, bool applied, const char *conflicted_job)
+{
+  batching_ = false;
+  if (applied)
+    ft_scheduler_writes_committed (scheduler_.get (), writes.get (), clock ());
+  else
+    ft_scheduler_writes_failed (scheduler_.get (), writes.get (), conflicted_job, clock ());
+  run_leader ();
+}
+
+} // namespace sim
--- /dev/null
+++ b/tests/sim/node_store.cpp
@@ -0,0 +1,96 @@
+// A controller's requests to the store: each may be lost, late, executed without an
+// answer, or executed late.
+#include "node.hpp"
+
+#include "world.hpp"
+
+extern "C" {
+#include "core/constants.h"
+}
+
+namespace sim {
+
+static constexpr Time kWatchPoll = kSecond / 20;
+
+bool
+Node::store_refuses () const
+{
+  return world_.store.down || world_.now < store_refuses_until;
+}
+
+// The first answer counts, and none that was meant for a former incarnation.
+Node::Finish
+Node::once (Reply reply)
+{
+  auto done = std::make_shared<bool> (false);
+  return [this, done, incarnation = incarnation_, reply = std::move (reply)] (guint status, Json body) {
+    if (*done || incarnation != incarnation_)
+      return;
+    *done = true;
+    reply (status, body.get ());
+  };
+}
+
+void
+Node::request_store (Request request, Reply reply)
+{
+  Finish finish = once (std::move (reply));
+  world_.deliver (name (), "store", [this, request, finish] {
+    StoreAnswer answer = store_refuses () ? Store::RawAnswer (503, nullptr) : request ();
+    Time slow = world_.chance (world_.faults.slow_store_answers) ? (Time) (world_.uniform (0.3, 3) * kSecond) : 0;
+    world_.after (slow, [this, finish, answer] {
+      world_.deliver ("store", name (), [finish, answer] { finish (answer.status, answer.body); });
+    });
+  });
+  schedule ((Time) (FT_STORE_TIMEOUT_S * kSecond), [finish] { finish (0, nullptr); });
+}
+
+void
+Node::commit (Json transaction, Reply reply)
+{
+  bool late = !store_refuses () && world_.chance (world_.faults.late_writes);
+  bool unanswered = late || (!store_refuses () && world_.chance (world_.faults.lost_answers));
+  if (!unanswered) {
+    request_store ([this, transaction] { return world_.store.commit (transaction.get (), world_.now); }, reply);
+    return;
+  }
+  // Applied at once and only the answer is lost, or applied after newer ones of the same controller.
+  auto apply = [&world = world_, transaction] (guint &counter) {
+    StoreAnswer answer = world.store.commit (transaction.get (), world.now);
+    counter += answer.status == 200;
+  };
+  if (late)
+    world_.after ((Time) (world_.uniform (2, 12) * kSecond),
+                  [&world = world_, apply] { apply (world.counters.late_writes_applied); });
+  else
+    apply (world_.counters.answers_lost);
+  schedule ((Time) (FT_STORE_TIMEOUT_S * kSecond), [finish = once (std::move (reply))] { finish (0, nullptr); });
+}
+
+// An open watch waits while the store refuses its controller, as in an outage.
+void
+Node::await_change (const std::string &prefix, guint64 since, Time until, Finish finish)
+{
+  if (!store_refuses () && (world_.now >= until || world_.store.changed (prefix, since))) {
+    StoreAnswer answer = world_.store.follow (prefix, since);
+    world_.deliver ("store", name (), [finish, answer] { finish (answer.status, answer.body); });
+    return;
+  }
+  world_.after (kWatchPoll, [this, prefix, since, until, finish] { await_change (prefix, since, until, finish); });
+}
+
+void
+Node::request_watch (const std::string &prefix, guint64 since, Reply reply)
+{
+  Finish finish = once (std::move (reply));
+  world_.deliver (name (), "store", [this, prefix, since, finish] {
+    if (store_refuses ()) {
+      world_.deliver ("store", name (), [finish] { finish (503, nullptr); });
+      return;
+    }
+    await_change (prefix, since, world_.now + (Time) (FT_WATCH_S * kSecond), finish);
+  });
+  schedule ((Time) ((FT_WATCH_S + FT_WATCH_SLACK_S) * kSecond), [finish] { finish (0, nullptr); });
+}
+
+} // namespace sim
--- /dev/null
+++ b/tests/sim/node_workers.cpp
@@ -0,0 +1,95 @@
+// A controller and the machines: heartbeats that it answers, commands that it sends.
+#include "node.hpp"
+
+#include "worker.hpp"
+#include "world.hpp"
+
+extern "C" {
+#include "core/constants.h"
+}
+
+#include <cstring>
+
+namespace sim {
+
+// ---- heartbeats ----
+
+HeartbeatAnswer
+Node::heartbeat (const FtWorkerHeartbeat *heartbeat)
+{
+  HeartbeatAnswer answer;
+  Time now = clock ();
+  answer.status = 421;
+  if (!may_answer ()) {
+    const char *holder = ft_lease_holder (lease_.get ());
+    if (holder != nullptr && name () != holder)
+      answer.leader = holder[strlen (holder) - 1] - '0';
+    return answer;
+  }
+  if (!ft_scheduler_heartbeat (scheduler_.get (), heartbeat, now)) {
+    step_down ();
+    return answer;
+  }
+  ft_scheduler_place (scheduler_.get (), now, ft_lease_may_start (lease_.get (), now));
+  answer.status = 200;
+  heartbeats_answered++;
+  answer.token = ft_lease_token (lease_.get ());
+  answer.commands = adopt (ft_scheduler_answer (scheduler_.get (), heartbeat, now));
+  run_leader ();
+  return answer;
+}
+
+// ---- commands sent directly ----
+
+void
+Node::send_direct_commands ()
+{
+  while (FtDirect *direct = ft_scheduler_next_direct (scheduler_.get (), clock ()))
+    send_direct_command (DirectCommand (direct, ft_direct_free));
+}
+
+// The worker executes them when the message arrives, and its answer goes back.
+void
+Node::send_direct_command (const DirectCommand &direct)
+{
+  auto done = std::make_shared<bool> (false);
+  DirectFinish finish = [this, term = term_, done, direct] (guint status, Heartbeat heartbeat) {
+    if (*done || term != term_)
+      return;
+    *done = true;
+    direct_command_over (direct, status, heartbeat.get ());
+  };
+  World &world = world_;
+  Time held = world.chance (world.faults.late_direct_commands) ? (Time) (world.uniform (2, 20) * kSecond) : 0;
+  auto arrive = [&world, from = name (), direct, token = ft_lease_token (lease_.get ()), finish, held] {
+    auto it = world.machines.find (direct->machine);
+    if (it == world.machines.end () || !it->second->up)
+      return;
+    auto execute = [worker = it->second, direct, token] {
+      return worker->execute_commands (token, direct->incarnation, direct->commands);
+    };
+    Worker::CommandAnswer answer = execute ();
+    world.counters.late_commands_executed += held > 0 && answer.status == 200 && direct->commands->len > 0;
+    world.counters.late_commands_refused += held > 0 && answer.status == 409 && answer.heartbeat->token > token;
+    if (answer.status == 200 && world.chance (world.faults.duplicates))
+      world.after ((Time) (world.uniform (1, 1.5 * world.settings.lease_s) * kSecond), [worker = it->second, execute] {
+        if (worker->alive)
+          execute ();
+      });
+    world.deliver (direct->machine, from, [finish, answer] { finish (answer.status, answer.heartbeat); });
+  };
+  world.after (held, [&world, from = name (), direct, arrive] { world.deliver (from, direct->machine, arrive); });
+  schedule ((Time) (FT_COMMAND_TIMEOUT_S * kSecond), [finish] { finish (0, nullptr); });
+}
+
+void
+Node::direct_command_over (const DirectCommand &direct, guint status, const FtWorkerHeartbeat *heartbeat)
+{
+  FtDirectResult result = status == 200 ? FT_DIRECT_OK : status == 409 ? FT_DIRECT_CONFLICT : FT_DIRECT_UNANSWERED;
+  if (ft_scheduler_direct_done (scheduler_.get (), direct.get (), result, heartbeat, clock ()))
+    run_leader ();
+  else
+    step_down ();
+}
+
+} // namespace sim
--- a/tests/test_meetings.cpp
+++ b/tests/test_meetings.cpp
@@ -18,8 +18,8 @@
   void
   SetUp () override
   {
-    world.hints = GetParam () % 2 == 0;
-    world.extreme_clocks = GetParam () % 4 < 2;
+    world.faults.advisories = GetParam () % 2 == 0;
+    world.faults.extreme_clocks = GetParam () % 4 < 2;
   }
   Time
   about (double from, double to)
@@ -40,15 +40,15 @@
 {
   Time refusal = 60 * kSecond, outage = refusal + about (1, 2.5), long_gone = cancel + 24 * kSecond;
   guint answers = 0, later = 0;
-  world.slow_store = GetParam () % 3 == 0 ? 0.3 : 0;
+  world.faults.slow_store_answers = GetParam () % 3 == 0 ? 0.3 : 0;
   day.load_long (10, 3, 150);
   day.refuse_leader (refusal, 14 * kSecond);
   day.cancel_running (refusal + (GetParam () % 2 ? about (-0.1, 0) : about (0.1, 0.5)), 5);
   day.outage (outage, long_gone);
   if (GetParam () % 2 == 0)
-    world.at (refusal + 2 * kSecond, [&] { day.refused->freeze (world.now + about (3, 9)); });
-  world.at (outage, [&] { answers = day.refused->answers; });
-  world.at (outage + lease, [&] { later = day.refused->answers; });
+    world.at (refusal + 2 * kSecond, [&] { day.refused_leader->freeze (world.now + about (3, 9)); });
+  world.at (outage, [&] { answers = day.refused_leader->heartbeats_answered; });
+  world.at (outage + lease, [&] { later = day.refused_leader->heartbeats_answered; });
   day.finish ();
   expect_confirmed (refusal, outage);
   EXPECT_GT (later, answers) << "the old leader answered no worker";
@@ -63,7 +63,7 @@
   day.refuse_leader (refusal, 40 * kSecond);
   day.cancel_running (refusal + about (0.1, 0.6), 5);
   world.on_takeover = [&] (Node &node) {
-    if (claimed > 0 || &node == day.refused || world.now < refusal)
+    if (claimed > 0 || &node == day.refused_leader || world.now < refusal)
       return;
     claimed = world.now;
     world.after (about (0.01, 0.06), [&, taker = &node] {
@@ -97,11 +97,11 @@
       return;
     }
     world.store.down = true;
-    world.after (kSecond / 2, [&, taker] { entitled = taker->entitled (); });
+    world.after (kSecond / 2, [&, taker] { entitled = taker->may_answer (); });
     world.after (cancel + 20 * kSecond, [&] { world.store.down = false; });
   };
   world.on_takeover = [&] (Node &node) {
-    if (claimed > 0 || &node == day.refused || world.now < refusal)
+    if (claimed > 0 || &node == day.refused_leader || world.now < refusal)
       return;
     claimed = world.now;
     await_withdrawals (&node);
@@ -128,7 +128,7 @@
     bool first = ft_scheduler_view (taker->scheduler (), day.refs[0].c_str ()).known;
     if (first && claimed == 0) {
       claimed = world.now;
-      taker->refused_until = claimed + 7 * kSecond;
+      taker->store_refuses_until = claimed + 7 * kSecond;
       day.cancel_running (claimed + kSecond / 10, 4);
     }
     if (!ft_scheduler_is_loaded (taker->scheduler ())) {
@@ -142,7 +142,7 @@
   world.on_takeover = [&] (Node &node) {
     if (claimed > 0 || world.now < when)
       return;
-    world.hints = false;
+    world.faults.advisories = false;
     await_rows (&node);
   };
   day.finish ();
@@ -173,7 +173,7 @@
   day.outage (outage, cancel + 30 * kSecond);
   world.at (outage + 10 * kSecond, [&] {
     ASSERT_NE (day.leader (), nullptr);
-    EXPECT_FALSE (day.leader ()->served ());
+    EXPECT_FALSE (day.leader ()->reaches_store ());
   });
   day.finish ();
   expect_confirmed (when, outage);
@@ -186,11 +186,11 @@
 {
   Time when = 60 * kSecond, outage = when + about (0.3, 0.8);
   guint hung = 0, well = 0;
-  world.hints = false; // the leader learns of no cancellation
+  world.faults.advisories = false; // the leader learns of no cancellation
   day.load_long (10, 3, 150);
   world.at (when - kSecond, [&] {
     for (auto &node : world.nodes) // it last looked a moment before, and does not see them
-      node->refused_until = node->leads () ? when + 2 * kSecond : 0;
+      node->store_refuses_until = node->leads () ? when + 2 * kSecond : 0;
   });
   day.cancel_running (when, 5);
   world.at (when, [&] {
@@ -252,7 +252,7 @@
     });
   }
   day.finish ();
-  EXPECT_GT (world.reports_after_takeover, 0u) << "no report was held across a takeover";
+  EXPECT_GT (world.counters.heartbeats_after_takeover, 0u) << "no report was held across a takeover";
 }
 
 TEST_P (Meeting, AllControllersAreAwayForLongerThanALease)
@@ -267,7 +267,7 @@
   });
   // One returns, ends, and is back within a second.
   for (int i = 0; i < 3; i++)
-    day.blink (60 * kSecond + lease + 8 * kSecond, i);
+    day.restart_quickly (60 * kSecond + lease + 8 * kSecond, i);
   world.at (60 * kSecond + lease, [&] { after = world.checker->starts (); });
   day.finish ();
   expect_confirmed (59 * kSecond, 62 * kSecond);
@@ -285,9 +285,9 @@
   world.at (when, [&] {
     former = day.leader ();
     ASSERT_NE (former, nullptr);
-    former->refused_until = world.now + 60 * kSecond; // of the store; sim controllers need no peers
-    world.hints = false;
-    answers = former->answers;
+    former->store_refuses_until = world.now + 60 * kSecond; // of the store; sim controllers need no peers
+    world.faults.advisories = false;
+    answers = former->heartbeats_answered;
   });
   day.cancel_running (when + about (1, 6), 3);
   day.cancel_running (when + about (10, 16), 3);
@@ -298,7 +298,7 @@
         n += node->leads ();
       two |= n > 1;
     });
-  world.at (when + 12 * kSecond, [&] { later = former->answers; });
+  world.at (when + 12 * kSecond, [&] { later = former->heartbeats_answered; });
   day.finish ();
   expect_confirmed (when, when + 25 * kSecond);
   EXPECT_GT (later, answers) << "workers went on reporting to the former leader";
@@ -334,7 +334,7 @@
 TEST_P (Meeting, OldReportsArriveAfterNewerSessionsAndAttempts)
 {
   guint reboots = 0;
-  world.copies = 0.4;
+  world.faults.duplicates = 0.4;
   day.load ();
   day.load_long (6, 3, 30);
   for (int i = 0; i < 8; i++) {
@@ -359,9 +359,9 @@
 TEST_P (Meeting, TheEndOfTheLastTaskMeetsCancellationsPollsAndRepeats)
 {
   guint ends = 0;
-  world.loss = world.late = world.wrong_suspicion = 0;
+  world.faults.message_loss = world.faults.message_delay = world.faults.wrong_suspicions = 0;
   day.load_long (10, 2, 20);
-  world.checker->on_last_task = [&] (const std::string &ref) {
+  world.checker->on_last_task_completed = [&] (const std::string &ref) {
     ends++;
     for (int i = 0; i < 6; i++) {
       world.after (about (0, 4), [&, ref] { world.poll (ref); });
@@ -372,8 +372,8 @@
   day.finish ();
   guint done = 0, called_off = 0;
   for (const auto &[ref, job] : world.checker->jobs ()) {
-    done += job.cancel_asked && job.final_told == "done";
-    called_off += job.cancel_asked && job.final_told == "cancelled";
+    done += job.cancellation_requested && job.final_state == "done";
+    called_off += job.cancellation_requested && job.final_state == "cancelled";
   }
   EXPECT_GT (ends, 4u);
   EXPECT_GT (done + called_off, 0u) << "no cancellation met an end";
@@ -381,18 +381,18 @@
 
 TEST_P (Meeting, CommandsAreHeldForSecondsAndTheMachineGoesOn)
 {
-  world.late_directs = 0.3;
+  world.faults.late_direct_commands = 0.3;
   day.load ();
   day.load_long (8, 3, 40);
   for (int i = 0; i < 6; i++) {
-    day.machine_trouble (about (20, 120));
+    day.machine_fault (about (20, 120));
     day.reboot (about (20, 120));
   }
   for (int i = 0; i < 4; i++)
     day.cancel_running (about (20, 120), 2);
   day.crash (70 * kSecond, world.below (3));
   day.finish ();
-  EXPECT_GT (world.late_executed, 0u) << "no command was executed late";
+  EXPECT_GT (world.counters.late_commands_executed, 0u) << "no command was executed late";
 }
 
 TEST_P (Meeting, ControllersHandOverAndBack)
@@ -408,13 +408,13 @@
   day.cancel_running (65 * kSecond, 2);
   day.cancel_running (100 * kSecond, 2);
   day.finish ();
-  EXPECT_GE (world.takeovers, 6u);
+  EXPECT_GE (world.counters.takeovers, 6u);
 }
 
 TEST_P (Meeting, TransactionsAreAppliedLate)
 {
-  world.at (20 * kSecond, [&] { world.late_writes = 0.15; });
-  world.at (150 * kSecond, [&] { world.late_writes = 0; });
+  world.at (20 * kSecond, [&] { world.faults.late_writes = 0.15; });
+  world.at (150 * kSecond, [&] { world.faults.late_writes = 0; });
   day.load ();
   day.load_long (8, 3, 40);
   for (int i = 0; i < 3; i++)
@@ -422,7 +422,7 @@
   for (int i = 0; i < 3; i++)
     day.cancel_running (about (30, 130), 2);
   day.finish ();
-  EXPECT_GT (world.late_applied, 0u) << "no transaction was applied late";
+  EXPECT_GT (world.counters.late_writes_applied, 0u) << "no transaction was applied late";
 }
 
 TEST_P (Meeting, ALeaderEndsWhileMachinesCannotBeReachedOrDoNotHear)
@@ -435,7 +435,7 @@
         continue;
       unreached++;
       if (world.chance (0.5))
-        machine->deafen (world.now + about (20, 60));
+        machine->stop_receiving (world.now + about (20, 60));
       else
         for (auto &node : world.nodes)
           world.cut (node->name (), name, world.now + about (20, 60));
@@ -455,8 +455,8 @@
 {
   day.load ();
   day.load_long (8, 3, 60);
-  world.at (20 * kSecond, [&] { world.slow_store = 0.5; });
-  world.at (150 * kSecond, [&] { world.slow_store = 0; });
+  world.at (20 * kSecond, [&] { world.faults.slow_store_answers = 0.5; });
+  world.at (150 * kSecond, [&] { world.faults.slow_store_answers = 0; });
   for (int i = 0; i < 5; i++)
     day.cancel_running (about (25, 120), 2);
   day.refuse_leader (90 * kSecond, 14 * kSecond);
@@ -474,11 +474,11 @@
   day.cancel_running (61 * kSecond, 3);
   world.at (60 * kSecond, [&] {
     for (auto &node : world.nodes)
-      answers += node->answers;
+      answers += node->heartbeats_answered;
   });
   world.at (60 * kSecond + lease, [&] {
     for (auto &node : world.nodes)
-      later += node->answers;
+      later += node->heartbeats_answered;
   });
   day.finish ();
   expect_confirmed (60 * kSecond, 100 * kSecond);
@@ -488,17 +488,17 @@
 // Three times the work that the machines have room for; messages are slow.
 TEST_P (Meeting, MoreWorkThanRoomOverSlowLinks)
 {
-  world.most_machines = 4;
-  world.late = 0.1;
-  world.loss = 0.03;
+  world.cloud.capacity = 4;
+  world.faults.message_delay = 0.1;
+  world.faults.message_loss = 0.03;
   day.load_long (14, 6, 25);
   day.load ();
   for (int i = 0; i < 6; i++)
     day.cancel_running (about (20, 120), 2);
   world.at (150 * kSecond, [&] {
-    world.late = 0.002;
-    world.loss = 0.002;
-    world.most_machines = 14;
+    world.faults.message_delay = 0.002;
+    world.faults.message_loss = 0.002;
+    world.cloud.capacity = 14;
   });
   day.finish ();
   expect_confirmed (20 * kSecond, 150 * kSecond);
@@ -517,8 +517,8 @@
   for (int i = 0; i < 5; i++)
     day.cancel_running (about (40, 140), 2);
   guint before = 0, within = 0;
-  world.at (30 * kSecond, [&] { before = world.takeovers; });
-  world.at (160 * kSecond, [&] { within = world.takeovers - before; });
+  world.at (30 * kSecond, [&] { before = world.counters.takeovers; });
+  world.at (160 * kSecond, [&] { within = world.counters.takeovers - before; });
   day.finish ();
   EXPECT_GE (within, 10u);
   expect_confirmed (40 * kSecond, 145 * kSecond);
@@ -553,7 +553,7 @@
   world.at (40 * kSecond, [&] {
     for (auto &[name, machine] : world.machines)
       if (machine->alive && machine->up && (not_reporting == 0 || world.chance (0.5))) {
-        machine->not_reporting (world.now + 300 * kSecond);
+        machine->stop_reporting (world.now + 300 * kSecond);
         not_reporting++;
       }
   });
@@ -562,7 +562,7 @@
     day.crash (50 * kSecond, world.below (3));
   day.finish ();
   EXPECT_GT (not_reporting, 0u);
-  EXPECT_EQ (world.starts_on_mute, 0u) << "work went on to machines that nobody hears";
+  EXPECT_EQ (world.counters.starts_while_not_reporting, 0u) << "work went on to machines that nobody hears";
 }
 
 TEST_P (Meeting, JobsOfTwoOrThreeTasksEndFarApartAcrossTakeovers)
@@ -590,16 +590,16 @@
 // With no trouble at all a start may still be under way when its job is called off.
 TEST_P (Meeting, OddRequestsAreRefusedAndCancelledJobsAreNotStarted)
 {
-  world.loss = world.late = world.wrong_suspicion = 0;
-  world.hints = true;
+  world.faults.message_loss = world.faults.message_delay = world.faults.wrong_suspicions = 0;
+  world.faults.advisories = true;
   day.load ();
   guint accepted = 0;
   for (int i = 0; i < 60; i++)
-    world.at (about (1, 140), [&, i] { accepted += world.odd_request ("req-odd" + std::to_string (i)); });
+    world.at (about (1, 140), [&, i] { accepted += world.submit_invalid ("req-odd" + std::to_string (i)); });
   for (int i = 0; i < 6; i++)
     world.at (about (30, 140), [&] {
       for (const auto &[ref, job] : world.checker->jobs ())
-        if (job.final_told == "done") { // called off too late: it stays done
+        if (job.final_state == "done") { // called off too late: it stays done
           world.cancel (ref);
           return;
         }
@@ -607,14 +607,14 @@
   day.finish ();
   EXPECT_EQ (accepted, 0u) << "odd requests were accepted";
   for (const auto &[ref, job] : world.checker->jobs ())
-    EXPECT_LE (job.last_start_cancelled, 2 * kSecond) << ref;
+    EXPECT_LE (job.latest_start_after_cancellation, 2 * kSecond) << ref;
 }
 
 // Other nodes read what was written long before its writer learns of it.
 TEST_P (Meeting, TransactionsAreCarriedOutAndOnlyTheirAnswersAreLost)
 {
-  world.at (10 * kSecond, [&] { world.lost_answers = 0.25; });
-  world.at (150 * kSecond, [&] { world.lost_answers = 0; });
+  world.at (10 * kSecond, [&] { world.faults.lost_answers = 0.25; });
+  world.at (150 * kSecond, [&] { world.faults.lost_answers = 0; });
   day.load ();
   day.load_long (8, 3, 40);
   for (const std::string &ref : day.refs)
@@ -625,12 +625,12 @@
     day.cancel_running (about (30, 130), 2);
   }
   day.finish ();
-  EXPECT_GT (world.answers_lost, 10u) << "no answer was lost";
+  EXPECT_GT (world.counters.answers_lost, 10u) << "no answer was lost";
 }
 
 TEST_P (Meeting, AnOldReportReachesEveryControllerJustAsANewLeaderBegins)
 {
-  world.keep_reports = true;
+  world.faults.replay_heartbeats = true;
   day.load ();
   day.load_long (8, 3, 40);
   for (int i = 0; i < 6; i++) {
@@ -643,12 +643,12 @@
     day.reboot (when + about (-3, 0)); // its kept report is of an earlier incarnation
   }
   day.finish ();
-  EXPECT_GT (world.kept_reports, 0u) << "no kept report reached a leader";
+  EXPECT_GT (world.counters.replayed_heartbeats, 0u) << "no kept report reached a leader";
 }
 
 TEST_P (Meeting, CommandsOfADeposedLeaderArriveAfterTheNewOnes)
 {
-  world.late_directs = 0.5;
+  world.faults.late_direct_commands = 0.5;
   day.load_long (10, 3, 40);
   day.load ();
   for (int i = 0; i < 8; i++) {
@@ -660,12 +660,12 @@
       if (world.chance (0.5))
         leader->crash (about (0.1, 4));
       else
-        leader->refused_until = world.now + about (8, 20);
+        leader->store_refuses_until = world.now + about (8, 20);
     });
     day.cancel_running (when + about (0, 3), 1);
   }
   day.finish ();
-  EXPECT_GT (world.late_refused, 0u) << "no command of a former leader came after a newer one's";
+  EXPECT_GT (world.counters.late_commands_refused, 0u) << "no command of a former leader came after a newer one's";
 }
 
 TEST_P (Meeting, OneTaskJobsComeFourASecondAndAQuarterIsCancelled)
@@ -686,16 +686,16 @@
   day.finish ();
   guint cancelled = 0;
   for (const std::string &ref : day.cancelled)
-    cancelled += world.checker->jobs ().at (ref).final_told == "cancelled";
+    cancelled += world.checker->jobs ().at (ref).final_state == "cancelled";
   EXPECT_GT (cancelled, 20u);
 }
 
 TEST_P (Meeting, NewMachinesGetWorkAtOnceWhileWritesLagAndTheLeaderEnds)
 {
   guint young = 0;
-  world.boot_least = 0.2;
-  world.boot_most = 1.8;
-  world.slow_store = 0.4;
+  world.cloud.least_boot_s = 0.2;
+  world.cloud.longest_boot_s = 1.8;
+  world.faults.slow_store_answers = 0.4;
   day.load_long (6, 3, 30);
   for (int i = 0; i < 5; i++) {
     Time when = (20 + 20 * i) * kSecond;
@@ -715,8 +715,8 @@
   Time next = 0;
   for (Time t = 15 * kSecond; t < 140 * kSecond; t += kSecond / 5)
     world.at (t, [&] {
-      bool launched = world.machine_count > known;
-      known = world.machine_count;
+      bool launched = world.cloud.launched > known;
+      known = world.cloud.launched;
       if (!launched || world.now < next || day.leader () == nullptr)
         return;
       next = world.now + 12 * kSecond;
@@ -726,7 +726,7 @@
           day.leader ()->crash (about (0.1, 3));
       });
     });
-  world.at (150 * kSecond, [&] { world.slow_store = 0; });
+  world.at (150 * kSecond, [&] { world.faults.slow_store_answers = 0; });
   day.finish ();
   EXPECT_GT (young, 0u) << "no leader ended with new machines";
 }
@@ -735,7 +735,7 @@
 // nobody expects are used or returned, and what a late return takes is placed again.
 TEST_P (Meeting, RentalsAndReturnsOfAnEarlierLeaderAreCarriedOutLate)
 {
-  world.late_rentals = 0.7;
+  world.faults.late_cloud_calls = 0.7;
   day.load ();
   day.load_long (14, 4, 40);
   for (int i = 0; i < 5; i++)
@@ -743,9 +743,9 @@
       if (day.leader () != nullptr)
         day.leader ()->crash (about (0.1, 5));
     });
-  world.at (150 * kSecond, [&] { world.late_rentals = 0; });
+  world.at (150 * kSecond, [&] { world.faults.late_cloud_calls = 0; });
   day.finish ();
-  EXPECT_GT (world.rented_late, 0u) << "no machine was rented late";
+  EXPECT_GT (world.counters.late_launches, 0u) << "no machine was rented late";
   EXPECT_LE (world.alive_machines (), 2u) << "machines without work were kept";
 }
 
--- a/tests/test_pipelines.cpp
+++ b/tests/test_pipelines.cpp
@@ -17,7 +17,7 @@
   {
     guint n = 0;
     for (const auto &[ref, job] : day.world.checker->jobs ())
-      n += !job.cancel_asked && job.final_told == "cancelled";
+      n += !job.cancellation_requested && job.final_state == "cancelled";
     return n;
   }
 };
@@ -35,7 +35,7 @@
 TEST_P (PipelineRun, TheLeaderCancelsWhatComesAfter)
 {
   Day day (GetParam () + 5100);
-  day.world.polls_find_cancelled = false;
+  day.world.faults.polls_cancel_dependents = false;
   day.load ();
   day.load_pipelines (10, 0.6);
   for (int i = 0; i < 4; i++)
@@ -48,8 +48,8 @@
 TEST_P (PipelineRun, ControllersCrash)
 {
   Day day (GetParam () + 5200);
-  day.world.lost_answers = 0.02;
-  day.world.late_writes = 0.02;
+  day.world.faults.lost_answers = 0.02;
+  day.world.faults.late_writes = 0.02;
   day.load ();
   day.load_pipelines (12, 0.3);
   for (int i = 0; i < 8; i++)
@@ -57,7 +57,7 @@
   for (int i = 0; i < 3; i++)
     day.crash (100 * kSecond, i);
   day.finish ();
-  EXPECT_GT (day.world.ends_read, 0u) << "no new leader met a job whose need had ended";
+  EXPECT_GT (day.world.counters.ends_read, 0u) << "no new leader met a job whose need had ended";
 }
 
 // Nobody leads for longer than cancel_s after users have cancelled jobs: polls find out.
@@ -70,31 +70,31 @@
   day.world.at (from, [&] {
     // All controllers serve users, none can claim: its claims are lost.
     for (auto &node : day.world.nodes)
-      node->cannot_claim_until = from + 60 * kSecond;
+      node->claims_fail_until = from + 60 * kSecond;
     if (Node *leader = day.leader ())
       leader->crash (kSecond);
   });
   day.world.at (from + 2 * kSecond, [&] {
     guint n = 0;
     for (const auto &[ref, job] : day.world.checker->jobs ())
-      if (n < 6 && ref.rfind ("req-8", 0) == 0 && job.accepted && job.final_told.empty () && job.tasks > 2) {
+      if (n < 6 && ref.rfind ("req-8", 0) == 0 && job.accepted && job.final_state.empty () && job.tasks > 2) {
         day.world.after ((Time) (day.world.uniform (0, 2) * kSecond), [&day, ref = ref] { day.world.cancel (ref); });
         n++;
       }
   });
   day.finish ();
-  EXPECT_GT (day.world.cancelled_by_poll, 0u);
+  EXPECT_GT (day.world.counters.cancelled_by_poll, 0u);
 }
 
 TEST_P (PipelineRun, EverythingAtOnce)
 {
   Day day (GetParam () + 5400);
-  day.world.loss = 0.02;
-  day.world.late = 0.02;
-  day.world.copies = 0.05;
+  day.world.faults.message_loss = 0.02;
+  day.world.faults.message_delay = 0.02;
+  day.world.faults.duplicates = 0.05;
   day.load ();
   day.load_pipelines (12, 0.4);
-  day.everything_at_once ();
+  day.all_faults ();
   day.finish ();
 }
 
@@ -105,17 +105,17 @@
   day.world.settings.value_kb = 2;
   day.world.settings.txn_ops = 4;
   day.world.settings.store_write_rps = 28;
-  day.upgrade (50 * kSecond, 12 * kSecond, 95 * kSecond);
+  day.rolling_upgrade (50 * kSecond, 12 * kSecond, 95 * kSecond);
   day.load ();
   day.load_long (12, 20, 30);
   day.load_pipelines (10, 0.3, 85, 140);
   day.crash (110 * kSecond, day.world.below (3));
   for (int i = 0; i < 4; i++)
-    day.machine_trouble ((Time) (day.world.uniform (60, 140) * kSecond));
+    day.machine_fault ((Time) (day.world.uniform (60, 140) * kSecond));
   day.outage (130 * kSecond, 10 * kSecond);
   day.finish ();
   EXPECT_EQ (day.world.store.too_large, 0u);
-  EXPECT_GT (day.world.machine_count, 16u) << "one row of before held them all";
+  EXPECT_GT (day.world.cloud.launched, 16u) << "one row of before held them all";
 }
 
 INSTANTIATE_TEST_SUITE_P (Seeds, PipelineRun, testing::Range<guint32> (1, 1 + kSeedsPerGroup));
@@ -140,36 +140,36 @@
   bool
   broken (const std::string &rule)
   {
-    const auto &all = checker.broken ();
+    const auto &all = checker.violations ();
     return std::any_of (all.begin (), all.end (), [&] (const std::string &s) { return s.rfind (rule, 0) == 0; });
   }
 };
 
 TEST_F (PipelineCheckerFails, TooEarly)
 {
-  checker.finished (0, "req-1", 0);
-  checker.on (0, "req-2", 0, { "m1", "a", true });
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.on (0, "req-3", 0, { "m1", "a", true });
+  checker.task_completed (0, "req-1", 0);
+  checker.task_started (0, "req-2", 0, { "m1", "a", true });
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.task_started (0, "req-3", 0, { "m1", "a", true });
   EXPECT_TRUE (broken ("too_early"));
 }
 
 TEST_F (PipelineCheckerFails, Orphaned)
 {
-  checker.cancel_asked ("req-1");
-  checker.told (kSecond, "req-1", "cancelled");
-  checker.told (11 * kSecond, "req-3", "open");
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.told (11 * kSecond + 1, "req-3", "open");
+  checker.cancellation_requested ("req-1");
+  checker.state_reported (kSecond, "req-1", "cancelled");
+  checker.state_reported (11 * kSecond, "req-3", "open");
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.state_reported (11 * kSecond + 1, "req-3", "open");
   EXPECT_TRUE (broken ("orphaned"));
 }
 
 TEST_F (PipelineCheckerFails, CancelledThoughNothingBeforeItWasAskedFor)
 {
-  checker.cancel_asked ("req-2");
-  checker.told (0, "req-3", "cancelled");
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.told (0, "req-1", "cancelled");
+  checker.cancellation_requested ("req-2");
+  checker.state_reported (0, "req-3", "cancelled");
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.state_reported (0, "req-1", "cancelled");
   EXPECT_TRUE (broken ("went_back"));
 }
 
--- a/tests/test_random_runs.cpp
+++ b/tests/test_random_runs.cpp
@@ -46,7 +46,7 @@
   Day day (GetParam () + 200);
   day.load ();
   for (int i = 0; i < 6; i++)
-    day.machine_trouble ((Time) (day.world.uniform (20, 150) * kSecond));
+    day.machine_fault ((Time) (day.world.uniform (20, 150) * kSecond));
   day.finish ();
 }
 
@@ -63,10 +63,10 @@
 TEST_P (RandomRun, EverythingAtOnce)
 {
   Day day (GetParam () + 400);
-  day.world.loss = 0.02;
-  day.world.late = 0.02;
+  day.world.faults.message_loss = 0.02;
+  day.world.faults.message_delay = 0.02;
   day.load ();
-  day.everything_at_once ();
+  day.all_faults ();
   day.finish ();
 }
 
@@ -75,7 +75,7 @@
   Day day (GetParam () + 500);
   day.load ();
   for (int i = 0; i < 5; i++)
-    day.deafen ((Time) (day.world.uniform (15, 140) * kSecond), (Time) (day.world.uniform (5, 60) * kSecond));
+    day.stop_receiving ((Time) (day.world.uniform (15, 140) * kSecond), (Time) (day.world.uniform (5, 60) * kSecond));
   day.crash (60 * kSecond, day.world.below (3));
   day.crash (100 * kSecond, day.world.below (3));
   day.finish ();
@@ -84,11 +84,11 @@
 TEST_P (RandomRun, CopiesComeLate)
 {
   Day day (GetParam () + 600);
-  day.world.copies = 0.2;
+  day.world.faults.duplicates = 0.2;
   day.load ();
   for (int i = 0; i < 4; i++) {
     day.crash ((Time) (day.world.uniform (15, 150) * kSecond), day.world.below (3));
-    day.machine_trouble ((Time) (day.world.uniform (20, 150) * kSecond));
+    day.machine_fault ((Time) (day.world.uniform (20, 150) * kSecond));
   }
   day.finish ();
 }
@@ -106,34 +106,34 @@
 TEST_P (RandomRun, ControllersRefuseEachOther)
 {
   Day day (GetParam () + 900);
-  day.world.wrong_suspicion = 0;
-  day.world.late = 0;
+  day.world.faults.wrong_suspicions = 0;
+  day.world.faults.message_delay = 0;
   day.load ();
   guint before = 0;
   day.world.at (20 * kSecond, [&] {
-    before = day.world.takeovers;
-    day.world.peers_refuse = true;
+    before = day.world.counters.takeovers;
+    day.world.faults.peers_refuse = true;
   });
   day.world.at (60 * kSecond, [&] {
-    EXPECT_LE (day.world.takeovers, before + 1);
-    day.world.peers_refuse = false;
+    EXPECT_LE (day.world.counters.takeovers, before + 1);
+    day.world.faults.peers_refuse = false;
   });
   day.crash (80 * kSecond, day.world.below (3));
-  day.world.at (75 * kSecond, [&] { day.world.peers_refuse = true; });
+  day.world.at (75 * kSecond, [&] { day.world.faults.peers_refuse = true; });
   day.finish ();
 }
 
 TEST_P (RandomRun, ControllersStandStill)
 {
   Day day (GetParam () + 1000);
-  day.world.copies = 0.05;
+  day.world.faults.duplicates = 0.05;
   day.load ();
   for (int i = 0; i < 6; i++)
     day.freeze ((Time) (day.world.uniform (10, 140) * kSecond), day.world.below (3),
                 (Time) (day.world.uniform (2, 40) * kSecond));
   day.freeze (100 * kSecond, 0, 33 * kSecond);
   day.freeze (101 * kSecond, 1, 33 * kSecond);
-  day.machine_trouble (105 * kSecond);
+  day.machine_fault (105 * kSecond);
   day.finish ();
 }
 
@@ -142,12 +142,12 @@
 TEST_P (RandomRun, ZoneCutHangsDeathsAndNoRoom)
 {
   Day day (GetParam () + 1100);
-  day.world.boot_fail = 0.15;
+  day.world.faults.boot_failures = 0.15;
   day.load ();
   day.cut_zone (30 * kSecond, 30 * kSecond, "a", day.world.below (3));
   for (int i = 0; i < 4; i++) {
-    day.machine_trouble (70 * kSecond + i * kSecond);
-    day.machine_trouble ((Time) (day.world.uniform (75, 120) * kSecond));
+    day.machine_fault (70 * kSecond + i * kSecond);
+    day.machine_fault ((Time) (day.world.uniform (75, 120) * kSecond));
   }
   day.outage (85 * kSecond, 15 * kSecond);
   for (int i = 0; i < 3; i++) {
@@ -162,13 +162,13 @@
 TEST_P (RandomRun, BackWithinAFractionOfASecond)
 {
   Day day (GetParam () + 800);
-  day.world.late = 0.02; // claims of a former incarnation among them
+  day.world.faults.message_delay = 0.02; // claims of a former incarnation among them
   day.load ();
   for (int i = 0; i < 6; i++) {
     Time when = (Time) (day.world.uniform (10, 150) * kSecond);
     for (int node = 0; node < 3; node++)
       if (day.world.chance (0.7))
-        day.blink (when, node);
+        day.restart_quickly (when, node);
     day.reboot (when + (Time) (day.world.uniform (0, 3) * kSecond));
   }
   day.finish ();
@@ -181,18 +181,18 @@
 {
   Day day (4242, 50);
   day.length = 300 * kSecond;
-  day.world.copies = 0.01;
+  day.world.faults.duplicates = 0.01;
   day.load_large (100);
   day.crash (25 * kSecond, 0);
   day.crash (45 * kSecond, 1);
   day.crash (45 * kSecond, 2);
   for (int i = 0; i < 20; i++) {
-    day.machine_trouble ((Time) (day.world.uniform (20, 80) * kSecond));
-    day.deafen ((Time) (day.world.uniform (20, 80) * kSecond), 20 * kSecond);
+    day.machine_fault ((Time) (day.world.uniform (20, 80) * kSecond));
+    day.stop_receiving ((Time) (day.world.uniform (20, 80) * kSecond), 20 * kSecond);
   }
   day.cut_node (60 * kSecond, 1, false);
   day.finish ();
-  EXPECT_GT (day.world.machine_count, 200u);
+  EXPECT_GT (day.world.cloud.launched, 200u);
 }
 
 // Thousands of machines whose registry is in rows of 2 KiB, under the lowest limits: the fleet
@@ -212,7 +212,7 @@
     day.crash ((40 + 15 * i) * kSecond, i);
   day.crash (100 * kSecond, 0);
   day.finish ();
-  EXPECT_GT (day.world.machine_count, 4000u);
+  EXPECT_GT (day.world.cloud.launched, 4000u);
   EXPECT_EQ (day.world.store.too_large, 0u);
 }
 
@@ -239,33 +239,33 @@
   void
   expect (const std::string &rule)
   {
-    ASSERT_EQ (checker.broken ().size (), 1u);
-    EXPECT_EQ (checker.broken ()[0].substr (0, rule.size ()), rule);
+    ASSERT_EQ (checker.violations ().size (), 1u);
+    EXPECT_EQ (checker.violations ()[0].substr (0, rule.size ()), rule);
   }
 };
 
 TEST_F (CheckerFails, RanTwice)
 {
-  checker.on (0, "req-1", 0, { "m1", "a", false });
-  checker.off ("req-1", 0, "m1");
-  checker.on (1, "req-1", 0, { "m2", "a", false });
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.on (2, "req-1", 0, { "m3", "a", false });
+  checker.task_started (0, "req-1", 0, { "m1", "a", false });
+  checker.task_stopped ("req-1", 0, "m1");
+  checker.task_started (1, "req-1", 0, { "m2", "a", false });
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.task_started (2, "req-1", 0, { "m3", "a", false });
   expect ("ran_twice");
 }
 
 TEST_F (CheckerFails, Quota)
 {
-  checker.on (0, "req-1", 0, { "m1", "a", false });
-  checker.on (0, "req-1", 1, { "m1", "a", false });
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.on (0, "req-1", 2, { "m1", "a", false });
+  checker.task_started (0, "req-1", 0, { "m1", "a", false });
+  checker.task_started (0, "req-1", 1, { "m1", "a", false });
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.task_started (0, "req-1", 2, { "m1", "a", false });
   expect ("quota");
 }
 
 TEST_F (CheckerFails, WrongKindOfMachine)
 {
-  checker.on (0, "req-1", 0, { "m1", "a", true });
+  checker.task_started (0, "req-1", 0, { "m1", "a", true });
   expect ("wrong_place");
 }
 
@@ -274,131 +274,131 @@
   Checker wide{ { { "red", 80 } }, 10 * kSecond };
   Checker::Job job = checker.jobs ().at ("req-2");
   wide.submitted ("req-2", job);
-  wide.on (0, "req-2", 0, { "m1", "a", true });
-  wide.on (0, "req-2", 1, { "m1", "a", true });
-  EXPECT_TRUE (wide.broken ().empty ());
-  wide.on (0, "req-2", 2, { "m1", "a", true });
-  ASSERT_EQ (wide.broken ().size (), 1u);
+  wide.task_started (0, "req-2", 0, { "m1", "a", true });
+  wide.task_started (0, "req-2", 1, { "m1", "a", true });
+  EXPECT_TRUE (wide.violations ().empty ());
+  wide.task_started (0, "req-2", 2, { "m1", "a", true });
+  ASSERT_EQ (wide.violations ().size (), 1u);
 }
 
 TEST_F (CheckerFails, TwoZones)
 {
-  checker.on (0, "req-3", 0, { "m1", "a", true });
-  checker.on (0, "req-3", 1, { "m2", "b", true });
+  checker.task_started (0, "req-3", 0, { "m1", "a", true });
+  checker.task_started (0, "req-3", 1, { "m2", "b", true });
   expect ("wrong_place");
 }
 
 TEST_F (CheckerFails, RanCancelled)
 {
-  checker.on (0, "req-1", 0, { "m1", "a", false });
-  checker.cancel_asked ("req-1");
-  checker.told (kSecond, "req-1", "cancelled");
-  checker.step (11 * kSecond);
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.step (11 * kSecond + 1);
+  checker.task_started (0, "req-1", 0, { "m1", "a", false });
+  checker.cancellation_requested ("req-1");
+  checker.state_reported (kSecond, "req-1", "cancelled");
+  checker.check_cancelled_jobs (11 * kSecond);
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.check_cancelled_jobs (11 * kSecond + 1);
   expect ("ran_cancelled");
 }
 
 TEST_F (CheckerFails, Forgotten)
 {
-  checker.told (0, "req-1", "");
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.told (0, "req-1", "queued");
-  checker.told (1, "req-1", "");
+  checker.state_reported (0, "req-1", "");
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.state_reported (0, "req-1", "queued");
+  checker.state_reported (1, "req-1", "");
   expect ("forgotten");
 }
 
 TEST_F (CheckerFails, RefusedAgain)
 {
-  checker.told (0, "req-1", "queued");
-  checker.refused ("req-1");
+  checker.state_reported (0, "req-1", "queued");
+  checker.resubmission_refused ("req-1");
   expect ("forgotten");
 }
 
 TEST_F (CheckerFails, Invented)
 {
-  checker.told (0, "req-9", "");
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.told (0, "req-9", "queued");
+  checker.state_reported (0, "req-9", "");
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.state_reported (0, "req-9", "queued");
   expect ("invented");
 }
 
 TEST_F (CheckerFails, NotDone)
 {
-  checker.finished (0, "req-1", 0);
-  checker.finished (0, "req-1", 1);
-  checker.told (0, "req-1", "done");
+  checker.task_completed (0, "req-1", 0);
+  checker.task_completed (0, "req-1", 1);
+  checker.state_reported (0, "req-1", "done");
   expect ("not_done");
 }
 
 TEST_F (CheckerFails, WentBack)
 {
-  checker.cancel_asked ("req-1");
-  checker.told (0, "req-1", "cancelled");
-  checker.told (1, "req-1", "running");
+  checker.cancellation_requested ("req-1");
+  checker.state_reported (0, "req-1", "cancelled");
+  checker.state_reported (1, "req-1", "running");
   expect ("went_back");
 }
 
 TEST_F (CheckerFails, CancelledUnasked)
 {
-  checker.told (0, "req-1", "cancelled");
+  checker.state_reported (0, "req-1", "cancelled");
   expect ("went_back");
 }
 
 TEST_F (CheckerFails, NothingRan)
 {
-  checker.end ();
+  checker.check_at_end ();
   expect ("nothing_ran");
 }
 
 TEST_F (CheckerFails, LeftWaitingThoughItCouldRun)
 {
-  checker.waits (0, "req-1", true); // in trouble still
-  checker.calm (kSecond);
-  checker.waits (kSecond, "req-1", true);
-  checker.waits (91 * kSecond, "req-1", true);
-  checker.waits (92 * kSecond, "req-1", false); // its team is at its limit
-  checker.waits (93 * kSecond, "req-1", true);
-  checker.on (150 * kSecond, "req-1", 0, { "m1", "a", false }); // a task of it begins
-  checker.waits (160 * kSecond, "req-1", true);
-  checker.waits (250 * kSecond, "req-1", true);
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.waits (250 * kSecond + 1, "req-1", true);
+  checker.observe_waiting (0, "req-1", true); // in trouble still
+  checker.faults_over (kSecond);
+  checker.observe_waiting (kSecond, "req-1", true);
+  checker.observe_waiting (91 * kSecond, "req-1", true);
+  checker.observe_waiting (92 * kSecond, "req-1", false); // its team is at its limit
+  checker.observe_waiting (93 * kSecond, "req-1", true);
+  checker.task_started (150 * kSecond, "req-1", 0, { "m1", "a", false }); // a task of it begins
+  checker.observe_waiting (160 * kSecond, "req-1", true);
+  checker.observe_waiting (250 * kSecond, "req-1", true);
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.observe_waiting (250 * kSecond + 1, "req-1", true);
   expect ("waiting");
 }
 
 TEST_F (CheckerFails, AcceptedThoughItCanNeverRun)
 {
   Checker::Job job;
-  job.can_run = false;
+  job.can_ever_run = false;
   checker.submitted ("req-4", job);
-  checker.told (0, "req-4", ""); // refused
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.told (1, "req-4", "queued");
+  checker.state_reported (0, "req-4", ""); // refused
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.state_reported (1, "req-4", "queued");
   expect ("accepted");
 }
 
 TEST_F (CheckerFails, CountsStartsAfterAConfirmedCancellation)
 {
-  checker.on (0, "req-1", 0, { "m1", "a", false });
-  checker.cancel_asked ("req-1");
-  checker.told (kSecond, "req-1", "cancelled");
-  EXPECT_EQ (checker.started_cancelled (), 0u);
-  checker.on (3 * kSecond, "req-1", 1, { "m1", "a", false });
-  EXPECT_EQ (checker.started_cancelled (), 1u);
-  EXPECT_EQ (checker.jobs ().at ("req-1").last_start_cancelled, 2 * kSecond);
-  EXPECT_TRUE (checker.broken ().empty ()) << "counted; a rule only after cancel_s";
+  checker.task_started (0, "req-1", 0, { "m1", "a", false });
+  checker.cancellation_requested ("req-1");
+  checker.state_reported (kSecond, "req-1", "cancelled");
+  EXPECT_EQ (checker.starts_after_cancellation (), 0u);
+  checker.task_started (3 * kSecond, "req-1", 1, { "m1", "a", false });
+  EXPECT_EQ (checker.starts_after_cancellation (), 1u);
+  EXPECT_EQ (checker.jobs ().at ("req-1").latest_start_after_cancellation, 2 * kSecond);
+  EXPECT_TRUE (checker.violations ().empty ()) << "counted; a rule only after cancel_s";
 }
 
 TEST_F (CheckerFails, NoAnswerFor75Seconds)
 {
-  checker.told (0, "req-1", "queued");
-  checker.asked (0, "req-1", true);
-  checker.asked (200 * kSecond, "req-1", false); // in trouble still
-  checker.calm (200 * kSecond);
-  checker.asked (275 * kSecond, "req-1", false);
-  EXPECT_TRUE (checker.broken ().empty ());
-  checker.asked (275 * kSecond + 1, "req-1", false);
+  checker.state_reported (0, "req-1", "queued");
+  checker.polled (0, "req-1", true);
+  checker.polled (200 * kSecond, "req-1", false); // in trouble still
+  checker.faults_over (200 * kSecond);
+  checker.polled (275 * kSecond, "req-1", false);
+  EXPECT_TRUE (checker.violations ().empty ());
+  checker.polled (275 * kSecond + 1, "req-1", false);
   expect ("forgotten");
 }
 
@@ -413,16 +413,16 @@
     job.team = job.job_class = "red";
     job.tasks = tasks;
     checker.submitted (ref, job);
-    checker.told (0, ref, "queued");
-    checker.on (begun, ref, 0, { "m1", "a", true });
+    checker.state_reported (0, ref, "queued");
+    checker.task_started (begun, ref, 0, { "m1", "a", true });
     for (guint i = 0; done && i < tasks; i++)
-      checker.finished (0, ref, i);
+      checker.task_completed (0, ref, i);
   }
   bool
   failed (const std::string &what)
   {
-    checker.end ();
-    const auto &all = checker.broken ();
+    checker.check_at_end ();
+    const auto &all = checker.violations ();
     return std::any_of (all.begin (), all.end (),
                         [&] (const std::string &s) { return s.find (what) != std::string::npos; });
   }
