--- a/tests/fault_interaction.hpp
+++ b/tests/fault_interaction.hpp
@@ -24,7 +24,7 @@
   sim::Time
   seconds_between (double least, double most)
   {
-    return (sim::Time) (world.uniform (least, most) * sim::kSecond);
+    return world.seconds_between (least, most);
   }
 
   // Ends the leader's process now, if there is one, for a drawn number of seconds.
--- a/tests/sim/clock.hpp
+++ b/tests/sim/clock.hpp
@@ -27,6 +27,7 @@
     }
   };
 
+  // Times must not be before that of the last event taken.
   void
   add (Time when, Action action)
   {
--- a/tests/sim/day.cpp
+++ b/tests/sim/day.cpp
@@ -28,7 +28,7 @@
   for (int i = 0; i < 26; i++) {
     std::string ref = "req-" + std::to_string (100000 + world.below (800000) * 10 + i % 10);
     refs.push_back (ref);
-    Time when = (Time) (world.uniform (1, 140) * kSecond);
+    Time when = world.seconds_between (1, 140);
     guint tasks = (guint) world.below (9) + 1;
     double cpus = 1 + world.below (4), run_s = world.uniform (3, 40);
     std::string team = world.chance (0.6) ? "red" : "blue";
@@ -37,7 +37,7 @@
       world.submit (ref, tasks, cpus, run_s, team, one_zone, spread, spot);
     });
     if (world.chance (0.25))
-      world.at (when + (Time) (world.uniform (1, 40) * kSecond), [this, ref] { world.cancel (ref); });
+      world.at (when + world.seconds_between (1, 40), [this, ref] { world.cancel (ref); });
     for (Time poll_at = when + kFirstPollAfter; poll_at < kLength; poll_at += kPollInterval)
       world.at (poll_at, [this, ref] { world.poll (ref); });
   }
@@ -50,7 +50,7 @@
   for (int i = 0; i < jobs; i++) {
     std::string ref = "req-7" + std::to_string (refs.size ());
     refs.push_back (ref);
-    Time when = (Time) (world.uniform (1, 8) * kSecond);
+    Time when = world.seconds_between (1, 8);
     std::string team = world.chance (0.6) ? "red" : "blue";
     world.at (when, [this, ref, tasks, run_s, team, one_zone, spread] {
       world.submit (ref, tasks, 2, run_s, team, one_zone, spread, true);
@@ -67,13 +67,13 @@
   world.settings.txn_ops = 16;
   for (int i = 0; i < jobs; i++) {
     std::string ref = "req-" + std::to_string (i);
-    Time when = (Time) (world.uniform (1, 60) * kSecond);
+    Time when = world.seconds_between (1, 60);
     guint tasks = i % 10 == 0 ? 250 : (guint) world.below (60) + 20;
     double run_s = world.uniform (5, 20);
     std::string team = world.chance (0.6) ? "red" : "blue";
     world.at (when, [this, ref, tasks, run_s, team] { world.submit (ref, tasks, 3, run_s, team, false, false, true); });
     if (world.chance (0.1))
-      world.at (when + (Time) (world.uniform (1, 40) * kSecond), [this, ref] { world.cancel (ref); });
+      world.at (when + world.seconds_between (1, 40), [this, ref] { world.cancel (ref); });
     poll_until_end (ref, when + kFirstPollAfter, 15 * kSecond);
   }
 }
@@ -108,7 +108,7 @@
     world.submit (step.ref, step.tasks, cpus, run_s, "red", false, false, true, step.dependencies);
     poll_until_end (step.ref, world.now + 4 * kSecond, kPollInterval);
     if (step.cancelled)
-      world.after ((Time) (world.uniform (0.1, 40) * kSecond), [this, ref = step.ref] { world.cancel (ref); });
+      world.after (world.seconds_between (0.1, 40), [this, ref = step.ref] { world.cancel (ref); });
   });
 }
 
@@ -133,7 +133,7 @@
 Day::load_pipelines (int count, double cancelled_share, double from_s, double until_s)
 {
   for (int i = 0; i < count; i++) {
-    Time when = (Time) (world.uniform (from_s, until_s) * kSecond);
+    Time when = world.seconds_between (from_s, until_s);
     int cancelled_step = world.chance (cancelled_share) ? world.below (4) : -1;
     load_pipeline ("req-8" + std::to_string (i) + "-", when, cancelled_step);
   }
@@ -148,7 +148,7 @@
       if (taken >= count || job.cancellation_requested || !job.final_state.empty () || world.checker->live (ref) == 0)
         continue;
       cancelled.push_back (ref);
-      world.after ((Time) (world.uniform (0, 0.2) * kSecond), [this, ref = ref] { world.cancel (ref); });
+      world.after (world.seconds_between (0, 0.2), [this, ref = ref] { world.cancel (ref); });
       taken++;
     }
   });
@@ -164,6 +164,12 @@
   return leader != world.nodes.end () ? leader->get () : nullptr;
 }
 
+int
+Day::any_node ()
+{
+  return world.below ((int) world.nodes.size ());
+}
+
 std::shared_ptr<Worker>
 Day::any_machine ()
 {
--- a/tests/sim/day.hpp
+++ b/tests/sim/day.hpp
@@ -75,6 +75,8 @@
 
   // The leader as far as it knows itself; NULL: none.
   Node *leader ();
+  // A drawn controller's index, and a drawn machine; there must be one.
+  int any_node ();
   std::shared_ptr<Worker> any_machine ();
   // The machines on which tasks of the job run.
   std::vector<std::shared_ptr<Worker> > machines_of (const std::string &ref);
--- a/tests/sim/day_faults.cpp
+++ b/tests/sim/day_faults.cpp
@@ -8,15 +8,15 @@
 void
 Day::crash (Time when, int node)
 {
-  world.at (when, [this, node] { world.nodes[node]->crash ((Time) (world.uniform (0.3, 6) * kSecond)); });
+  world.at (when, [this, node] { world.nodes[node]->crash (world.seconds_between (0.3, 6)); });
 }
 
 void
 Day::restart_quickly (Time when, int node)
 {
   for (int i = 0; i < 3; i++) {
-    when += (Time) (world.uniform (0.05, 1.5) * kSecond);
-    world.at (when, [this, node] { world.nodes[node]->crash ((Time) (world.uniform (0.02, 0.4) * kSecond)); });
+    when += world.seconds_between (0.05, 1.5);
+    world.at (when, [this, node] { world.nodes[node]->crash (world.seconds_between (0.02, 0.4)); });
   }
 }
 
@@ -65,7 +65,7 @@
     if (roll < 0.4)
       machine->die ();
     else if (roll < 0.8)
-      machine->hang (world.now + (Time) (world.uniform (3, 40) * kSecond));
+      machine->hang (world.now + world.seconds_between (3, 40));
     else
       world.failing.insert (machine->name);
   });
@@ -105,7 +105,7 @@
 Day::cut_node (Time when, int node, bool from_store)
 {
   world.at (when, [this, node, from_store] {
-    Time until = world.now + (Time) (world.uniform (5, 40) * kSecond);
+    Time until = world.now + world.seconds_between (5, 40);
     std::string name = world.nodes[node]->name ();
     if (from_store)
       world.cut (name, "store", until);
@@ -134,10 +134,10 @@
 Day::all_faults ()
 {
   for (int i = 0; i < 5; i++) {
-    Time when = (Time) (world.uniform (15, 150) * kSecond);
-    crash (when, world.below (3));
-    machine_fault (when + (Time) (world.uniform (-2, 2) * kSecond));
-    cut_node ((Time) (world.uniform (15, 140) * kSecond), world.below (3), world.chance (0.5));
+    Time when = world.seconds_between (15, 150);
+    crash (when, any_node ());
+    machine_fault (when + world.seconds_between (-2, 2));
+    cut_node (world.seconds_between (15, 140), any_node (), world.chance (0.5));
   }
   outage (90 * kSecond, 15 * kSecond);
 }
--- a/tests/sim/faults.hpp
+++ b/tests/sim/faults.hpp
@@ -35,13 +35,13 @@
 
 // Counted by the world, so that a test can assert that its fault has occurred.
 struct FaultCounters {
-  guint takeovers = 0;
-  guint late_writes_applied = 0;
-  guint answers_lost = 0; // of transactions that changed something
-  guint late_launches = 0;
-  guint replayed_heartbeats = 0;       // answered by a new leader, though sent in an earlier term
-  guint heartbeats_after_takeover = 0; // sent to a former leader, answered after another takeover
-  guint late_commands_executed = 0;
+  guint takeovers = 0;                  // leases acquired, also by the former holder
+  guint late_writes_applied = 0;        // though no answer came
+  guint answers_lost = 0;               // of transactions that changed something
+  guint late_launches = 0;              // machines that a late call has launched
+  guint replayed_heartbeats = 0;        // answered by a new leader, though sent in an earlier term
+  guint heartbeats_after_takeover = 0;  // sent to a former leader, answered after another takeover
+  guint late_commands_executed = 0;     // direct commands that were late and executed
   guint late_commands_refused = 0;      // for their fencing token
   guint starts_while_not_reporting = 0; // on machines that had not reported for three leases
   guint cancelled_by_poll = 0;          // jobs that a poll has cancelled for an ancestor
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -28,9 +28,9 @@
 {
   if (chance (faults.message_loss))
     return;
-  Time delay = (Time) (uniform (0.001, 0.02) * kSecond);
+  Time delay = seconds_between (0.001, 0.02);
   if (chance (faults.message_delay))
-    delay = (Time) (uniform (1, 25) * kSecond);
+    delay = seconds_between (1, 25);
   if (is_cut (from, to)) {
     if (chance (0.5))
       return;                               // the connection is reset
@@ -75,7 +75,7 @@
   kept_heartbeats_.clear ();
   for (const auto &[machine, heartbeat] : heartbeats)
     for (const auto &node : nodes)
-      after ((Time) (uniform (0, 0.3) * kSecond), [this, node = node.get (), heartbeat = heartbeat] {
+      after (seconds_between (0, 0.3), [this, node = node.get (), heartbeat = heartbeat] {
         if (node->alive)
           counters.replayed_heartbeats += node->heartbeat (heartbeat.get ()).status == 200;
       });
--- a/tests/sim/node.cpp
+++ b/tests/sim/node.cpp
@@ -25,7 +25,7 @@
   clock_rate_ = world_.uniform (kSlowestClock, kFastestClock);
   if (world_.faults.extreme_clocks)
     clock_rate_ = world_.chance (0.5) ? kSlowestClock : kFastestClock;
-  clock_offset_ = (Time) (world_.uniform (1, 5000) * kSecond);
+  clock_offset_ = world_.seconds_between (1, 5000);
   answer_grace_ = ft_tuning_answer_grace (&world_.settings);
   lease_.reset (ft_lease_new (name ().c_str (), incarnation_ * 10 + (guint64) index_ + 1,
                               (gint64) (FT_LEASE_S * kSecond), (gint64) (FT_SWEEP_S * kSecond), answer_grace_,
--- a/tests/sim/node_cloud.cpp
+++ b/tests/sim/node_cloud.cpp
@@ -30,7 +30,7 @@
     run_leader ();
   };
   World &world = world_;
-  Time late = world.chance (world.faults.late_cloud_calls) ? (Time) (world.uniform (5, 40) * kSecond) : 0;
+  Time late = world.chance (world.faults.late_cloud_calls) ? world.seconds_between (5, 40) : 0;
   auto execute = [&world, from = name (), call, finish, late] {
     FtCloudResult result = world.cloud.execute (*call, late > 0);
     world.deliver ("cloud", from, [&world, call, finish, result] {
--- a/tests/sim/node_store.cpp
+++ b/tests/sim/node_store.cpp
@@ -37,7 +37,7 @@
   Finish finish = once (std::move (reply));
   world_.deliver (name (), "store", [this, request, finish] {
     StoreAnswer answer = store_refuses () ? Store::RawAnswer (503, nullptr) : request ();
-    Time slow = world_.chance (world_.faults.slow_store_answers) ? (Time) (world_.uniform (0.3, 3) * kSecond) : 0;
+    Time slow = world_.chance (world_.faults.slow_store_answers) ? world_.seconds_between (0.3, 3) : 0;
     world_.after (slow, [this, finish, answer] {
       world_.deliver ("store", name (), [finish, answer] { finish (answer.status, answer.body); });
     });
@@ -60,7 +60,7 @@
     counter += answer.status == 200;
   };
   if (late)
-    world_.after ((Time) (world_.uniform (2, 12) * kSecond),
+    world_.after (world_.seconds_between (2, 12),
                   [&world = world_, apply] { apply (world.counters.late_writes_applied); });
   else
     apply (world_.counters.answers_lost);
--- a/tests/sim/node_workers.cpp
+++ b/tests/sim/node_workers.cpp
@@ -60,7 +60,7 @@
     direct_command_over (direct, status, heartbeat.get ());
   };
   World &world = world_;
-  Time held = world.chance (world.faults.late_direct_commands) ? (Time) (world.uniform (2, 20) * kSecond) : 0;
+  Time held = world.chance (world.faults.late_direct_commands) ? world.seconds_between (2, 20) : 0;
   auto arrive = [&world, from = name (), direct, token = ft_lease_token (lease_.get ()), finish, held] {
     auto it = world.machines.find (direct->machine);
     if (it == world.machines.end () || !it->second->up)
@@ -72,7 +72,7 @@
     world.counters.late_commands_executed += held > 0 && answer.status == 200 && direct->commands->len > 0;
     world.counters.late_commands_refused += held > 0 && answer.status == 409 && answer.heartbeat->token > token;
     if (answer.status == 200 && world.chance (world.faults.duplicates))
-      world.after ((Time) (world.uniform (1, 1.5 * world.settings.lease_s) * kSecond), [worker = it->second, execute] {
+      world.after (world.seconds_between (1, 1.5 * world.settings.lease_s), [worker = it->second, execute] {
         if (worker->alive)
           execute ();
       });
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -12,7 +12,6 @@
 namespace sim {
 
 static constexpr Time kRetryAfter = kSecond;
-static constexpr double kCpuRounding = 1e-6;
 // How likely a submission finds no controller, and how likely its answer is lost.
 static constexpr double kNoController = 0.1, kSubmissionUnanswered = 0.05;
 
@@ -263,7 +262,7 @@
   }
   Json transaction = cancellation_transaction (ref);
   if (transaction != nullptr && chance (faults.late_writes)) {
-    after ((Time) (uniform (2, 12) * kSecond),
+    after (seconds_between (2, 12),
            [this, transaction] { counters.late_writes_applied += commit_cancellation (transaction); });
     after (kRetryAfter, [this, ref] { cancel (ref); });
     return;
@@ -295,7 +294,7 @@
   if (placed + job.done.size () >= job.tasks)
     return false;
   return std::none_of (settings.teams, settings.teams + settings.n_teams, [&] (const FtTeamLimit &team) {
-    return job.team == team.name && team.cpus_max > 0 && team_cpus + job.cpus > team.cpus_max + kCpuRounding;
+    return job.team == team.name && team.cpus_max > 0 && team_cpus + job.cpus > team.cpus_max + Worker::kCpuRounding;
   });
 }
 
@@ -309,7 +308,7 @@
   guint here = checker->live_in (ref, worker.zone), all = checker->live (ref);
   if ((job.one_zone && here < all) || (job.spread && here + 1 > (job.tasks + 1) / 2))
     return false;
-  return worker.used_cpus () + job.cpus <= Worker::kCpus + kCpuRounding;
+  return worker.used_cpus () + job.cpus <= Worker::kCpus + Worker::kCpuRounding;
 }
 
 void
--- a/tests/sim/worker.cpp
+++ b/tests/sim/worker.cpp
@@ -7,7 +7,6 @@
 
 namespace sim {
 
-static constexpr double kCpuRounding = 1e-6;
 // A change is reported at once, but not sooner than this after the last heartbeat.
 static constexpr Time kLeastHeartbeatInterval = kSecond / 2;
 static constexpr Time kAnswerTimeout = 4 * kSecond;
@@ -195,7 +194,7 @@
 Worker::duplicate_heartbeat (const Heartbeat &message)
 {
   Node *node = world_.nodes[world_.below (kControllers)].get ();
-  world_.after ((Time) (world_.uniform (1, 2.5 * world_.settings.lease_s) * kSecond), [node, message] {
+  world_.after (world_.seconds_between (1, 2.5 * world_.settings.lease_s), [node, message] {
     if (node->alive)
       node->heartbeat (message.get ());
   });
@@ -287,7 +286,7 @@
     started.exit_reason = FT_EXIT_NO_ROOM;
   if (started.exit_reason != FT_EXIT_NONE)
     started.phase = FT_TASK_PHASE_EXITED;
-  started.next_at = world_.now + (Time) (world_.uniform (0.1, 1.5) * kSecond);
+  started.next_at = world_.now + world_.seconds_between (0.1, 1.5);
   tasks_.push_back (started);
   changed_ = true;
 }
--- a/tests/sim/worker.hpp
+++ b/tests/sim/worker.hpp
@@ -36,7 +36,8 @@
 
 class Worker {
 public:
-  static constexpr double kCpus = 16; // of every machine
+  static constexpr double kCpus = 16;          // of every machine
+  static constexpr double kCpuRounding = 1e-6; // sums of CPUs are compared with that tolerance
 
   // It is off until boot().
   Worker (World &world, std::string name, std::string zone, bool spot);
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -59,6 +59,11 @@
   {
     return g_rand_double_range (random, from, to);
   }
+  Time
+  seconds_between (double least, double most)
+  {
+    return (Time) (uniform (least, most) * kSecond);
+  }
   // An integer from 0, below the limit.
   int
   below (int limit)
--- a/tests/test_fault_interactions_machines.cpp
+++ b/tests/test_fault_interactions_machines.cpp
@@ -50,8 +50,8 @@
           lost++;
         }
     });
-  day.crash (46 * kSecond, world.below (3));
-  day.cut_zone (75 * kSecond, 25 * kSecond, "a", world.below (3));
+  day.crash (46 * kSecond, day.any_node ());
+  day.cut_zone (75 * kSecond, 25 * kSecond, "a", day.any_node ());
   day.finish ();
   EXPECT_GT (bound, 0u);
   EXPECT_GT (lost, 0u) << "no machine of a zone-bound job was lost";
@@ -95,7 +95,7 @@
   });
   day.cancel_running (45 * kSecond, 3);
   if (GetParam () % 2)
-    day.crash (50 * kSecond, world.below (3));
+    day.crash (50 * kSecond, day.any_node ());
   day.finish ();
   EXPECT_GT (not_reporting, 0u);
   EXPECT_EQ (world.counters.starts_while_not_reporting, 0u) << "machines that did not report were given work";
--- a/tests/test_fault_interactions_messages.cpp
+++ b/tests/test_fault_interactions_messages.cpp
@@ -47,7 +47,7 @@
       reboots++;
     });
     if (i % 3 == 0)
-      day.crash (when + seconds_between (0, 3), world.below (3));
+      day.crash (when + seconds_between (0, 3), day.any_node ());
   }
   day.finish ();
   EXPECT_GT (reboots, 0u);
@@ -80,7 +80,7 @@
   }
   for (int i = 0; i < 4; i++)
     day.cancel_running (seconds_between (20, 120), 2);
-  day.crash (70 * kSecond, world.below (3));
+  day.crash (70 * kSecond, day.any_node ());
   day.finish ();
   EXPECT_GT (world.counters.late_commands_executed, 0u) << "no command was executed late";
 }
@@ -109,7 +109,7 @@
 
 TEST_P (MessageFaults, ZoneWithItsControllerCutOffForLongerThanALease)
 {
-  int inside = world.below (3);
+  int inside = day.any_node ();
   guint answers_before = 0, answers_after = 0;
   day.load_long (10, 4, 120);
   day.cut_zone (60 * kSecond, lease + 20 * kSecond, "a", inside);
--- a/tests/test_fault_interactions_requests.cpp
+++ b/tests/test_fault_interactions_requests.cpp
@@ -45,7 +45,7 @@
     day.poll_until_end (ref, when + 2 * kSecond, 20 * kSecond);
   }
   for (int i = 0; i < 3; i++)
-    day.crash (seconds_between (20, 120), world.below (3));
+    day.crash (seconds_between (20, 120), day.any_node ());
   day.finish ();
   guint cancelled = 0;
   for (const std::string &ref : day.cancelled)
--- a/tests/test_fault_interactions_store.cpp
+++ b/tests/test_fault_interactions_store.cpp
@@ -232,7 +232,7 @@
   day.load ();
   day.load_long (8, 3, 40);
   for (int i = 0; i < 3; i++)
-    day.crash (seconds_between (30, 130), world.below (3));
+    day.crash (seconds_between (30, 130), day.any_node ());
   for (int i = 0; i < 3; i++)
     day.cancel_running (seconds_between (30, 130), 2);
   day.finish ();
@@ -250,7 +250,7 @@
     for (Time when = 10 * kSecond; when < 150 * kSecond; when += 2 * kSecond)
       world.at (when, [&, ref] { world.poll (ref); });
   for (int i = 0; i < 4; i++) {
-    day.crash (seconds_between (30, 130), world.below (3));
+    day.crash (seconds_between (30, 130), day.any_node ());
     day.cancel_running (seconds_between (30, 130), 2);
   }
   day.finish ();
--- a/tests/test_pipelines.cpp
+++ b/tests/test_pipelines.cpp
@@ -26,7 +26,7 @@
   day.load ();
   day.load_pipelines (10, 0.3);
   day.finish ();
-  EXPECT_GT (cancelled_with_dependency (day), 0u) << "no cancellation met a job behind it";
+  EXPECT_GT (cancelled_with_dependency (day), 0u) << "no cancelled job had dependents";
 }
 
 // The leader alone cancels what comes after a cancelled job.
@@ -37,7 +37,7 @@
   day.load ();
   day.load_pipelines (10, 0.6);
   for (int i = 0; i < 4; i++)
-    day.crash ((Time) (day.world.uniform (10, 150) * kSecond), day.world.below (3));
+    day.crash (day.world.seconds_between (10, 150), day.any_node ());
   day.finish ();
   EXPECT_GT (cancelled_with_dependency (day), 0u);
 }
@@ -51,7 +51,7 @@
   day.load ();
   day.load_pipelines (12, 0.3);
   for (int i = 0; i < 8; i++)
-    day.crash ((Time) (day.world.uniform (10, 150) * kSecond), day.world.below (3));
+    day.crash (day.world.seconds_between (10, 150), day.any_node ());
   for (int i = 0; i < 3; i++)
     day.crash (100 * kSecond, i);
   day.finish ();
@@ -66,18 +66,18 @@
   day.load_pipelines (12, 0, 40, 58);
   Time from = 60 * kSecond;
   day.world.at (from, [&] {
-    // All controllers serve users, none can claim: its claims are lost.
+    // All controllers serve users, none can acquire the lease.
     for (auto &node : day.world.nodes)
       node->claims_fail_until = from + 60 * kSecond;
     if (Node *leader = day.leader ())
       leader->crash (kSecond);
   });
   day.world.at (from + 2 * kSecond, [&] {
-    guint n = 0;
+    guint cancelled = 0;
     for (const auto &[ref, job] : day.world.checker->jobs ())
-      if (n < 6 && ref.rfind ("req-8", 0) == 0 && job.accepted && job.final_state.empty () && job.tasks > 2) {
-        day.world.after ((Time) (day.world.uniform (0, 2) * kSecond), [&day, ref = ref] { day.world.cancel (ref); });
-        n++;
+      if (cancelled < 6 && ref.rfind ("req-8", 0) == 0 && job.accepted && job.final_state.empty () && job.tasks > 2) {
+        day.world.after (day.world.seconds_between (0, 2), [&day, ref = ref] { day.world.cancel (ref); });
+        cancelled++;
       }
   });
   day.finish ();
@@ -96,7 +96,7 @@
   day.finish ();
 }
 
-// Large rows of before are read and split under the new limits; nothing is refused for its size.
+// Large rows of the previous version are read and split under the new limits; nothing is refused for its size.
 TEST_P (PipelineRun, UpgradeAndNewLimits)
 {
   Day day (GetParam () + 5500, 4);
@@ -107,13 +107,13 @@
   day.load ();
   day.load_long (12, 20, 30);
   day.load_pipelines (10, 0.3, 85, 140);
-  day.crash (110 * kSecond, day.world.below (3));
+  day.crash (110 * kSecond, day.any_node ());
   for (int i = 0; i < 4; i++)
-    day.machine_fault ((Time) (day.world.uniform (60, 140) * kSecond));
+    day.machine_fault (day.world.seconds_between (60, 140));
   day.outage (130 * kSecond, 10 * kSecond);
   day.finish ();
   EXPECT_EQ (day.world.store.too_large, 0u);
-  EXPECT_GT (day.world.cloud.launched, 16u) << "one row of before held them all";
+  EXPECT_GT (day.world.cloud.launched, 16u) << "one row of the previous version holds them all";
 }
 
 INSTANTIATE_TEST_SUITE_P (Seeds, PipelineRun, testing::Range<guint32> (1, 1 + kSeedsPerGroup));
--- a/tests/test_random_runs.cpp
+++ b/tests/test_random_runs.cpp
@@ -24,7 +24,7 @@
   day.world.unlimit ();
   day.load ();
   for (int i = 0; i < 4; i++)
-    day.crash ((Time) (day.world.uniform (10, 150) * kSecond), day.world.below (3));
+    day.crash (day.world.seconds_between (10, 150), day.any_node ());
   day.finish ();
 }
 
@@ -33,7 +33,7 @@
   Day day (GetParam () + 100);
   day.load ();
   for (int i = 0; i < 8; i++)
-    day.crash ((Time) (day.world.uniform (10, 150) * kSecond), day.world.below (3));
+    day.crash (day.world.seconds_between (10, 150), day.any_node ());
   for (int i = 0; i < 3; i++)
     day.crash (100 * kSecond, i);
   day.finish ();
@@ -44,7 +44,7 @@
   Day day (GetParam () + 200);
   day.load ();
   for (int i = 0; i < 6; i++)
-    day.machine_fault ((Time) (day.world.uniform (20, 150) * kSecond));
+    day.machine_fault (day.world.seconds_between (20, 150));
   day.finish ();
 }
 
@@ -53,8 +53,8 @@
   Day day (GetParam () + 300);
   day.load ();
   for (int i = 0; i < 5; i++)
-    day.cut_node ((Time) (day.world.uniform (15, 140) * kSecond), day.world.below (3), day.world.chance (0.5));
-  day.outage ((Time) (day.world.uniform (30, 110) * kSecond), (Time) (day.world.uniform (5, 30) * kSecond));
+    day.cut_node (day.world.seconds_between (15, 140), day.any_node (), day.world.chance (0.5));
+  day.outage (day.world.seconds_between (30, 110), day.world.seconds_between (5, 30));
   day.finish ();
 }
 
@@ -73,9 +73,9 @@
   Day day (GetParam () + 500);
   day.load ();
   for (int i = 0; i < 5; i++)
-    day.stop_receiving ((Time) (day.world.uniform (15, 140) * kSecond), (Time) (day.world.uniform (5, 60) * kSecond));
-  day.crash (60 * kSecond, day.world.below (3));
-  day.crash (100 * kSecond, day.world.below (3));
+    day.stop_receiving (day.world.seconds_between (15, 140), day.world.seconds_between (5, 60));
+  day.crash (60 * kSecond, day.any_node ());
+  day.crash (100 * kSecond, day.any_node ());
   day.finish ();
 }
 
@@ -85,8 +85,8 @@
   day.world.faults.duplicates = 0.2;
   day.load ();
   for (int i = 0; i < 4; i++) {
-    day.crash ((Time) (day.world.uniform (15, 150) * kSecond), day.world.below (3));
-    day.machine_fault ((Time) (day.world.uniform (20, 150) * kSecond));
+    day.crash (day.world.seconds_between (15, 150), day.any_node ());
+    day.machine_fault (day.world.seconds_between (20, 150));
   }
   day.finish ();
 }
@@ -96,7 +96,7 @@
   Day day (GetParam () + 700);
   day.load ();
   for (int i = 0; i < 4; i++)
-    day.cut_node ((Time) (day.world.uniform (15, 150) * kSecond), day.world.below (3), true);
+    day.cut_node (day.world.seconds_between (15, 150), day.any_node (), true);
   day.finish ();
 }
 
@@ -116,7 +116,7 @@
     EXPECT_LE (day.world.counters.takeovers, before + 1);
     day.world.faults.peers_refuse = false;
   });
-  day.crash (80 * kSecond, day.world.below (3));
+  day.crash (80 * kSecond, day.any_node ());
   day.world.at (75 * kSecond, [&] { day.world.faults.peers_refuse = true; });
   day.finish ();
 }
@@ -127,8 +127,7 @@
   day.world.faults.duplicates = 0.05;
   day.load ();
   for (int i = 0; i < 6; i++)
-    day.freeze ((Time) (day.world.uniform (10, 140) * kSecond), day.world.below (3),
-                (Time) (day.world.uniform (2, 40) * kSecond));
+    day.freeze (day.world.seconds_between (10, 140), day.any_node (), day.world.seconds_between (2, 40));
   day.freeze (100 * kSecond, 0, 33 * kSecond);
   day.freeze (101 * kSecond, 1, 33 * kSecond);
   day.machine_fault (105 * kSecond);
@@ -142,10 +141,10 @@
   Day day (GetParam () + 1100);
   day.world.faults.boot_failures = 0.15;
   day.load ();
-  day.cut_zone (30 * kSecond, 30 * kSecond, "a", day.world.below (3));
+  day.cut_zone (30 * kSecond, 30 * kSecond, "a", day.any_node ());
   for (int i = 0; i < 4; i++) {
     day.machine_fault (70 * kSecond + i * kSecond);
-    day.machine_fault ((Time) (day.world.uniform (75, 120) * kSecond));
+    day.machine_fault (day.world.seconds_between (75, 120));
   }
   day.outage (85 * kSecond, 15 * kSecond);
   for (int i = 0; i < 3; i++) {
@@ -153,7 +152,7 @@
     day.crash ((115 + 12 * i) * kSecond, i); // a rolling restart
   }
   day.cut_zone (150 * kSecond, 25 * kSecond, "b", 0);
-  day.freeze (155 * kSecond, day.world.below (3), 20 * kSecond);
+  day.freeze (155 * kSecond, day.any_node (), 20 * kSecond);
   day.finish ();
 }
 
@@ -163,11 +162,11 @@
   day.world.faults.message_delay = 0.02; // claims of a former incarnation among them
   day.load ();
   for (int i = 0; i < 6; i++) {
-    Time when = (Time) (day.world.uniform (10, 150) * kSecond);
+    Time when = day.world.seconds_between (10, 150);
     for (int node = 0; node < 3; node++)
       if (day.world.chance (0.7))
         day.restart_quickly (when, node);
-    day.reboot (when + (Time) (day.world.uniform (0, 3) * kSecond));
+    day.reboot (when + day.world.seconds_between (0, 3));
   }
   day.finish ();
 }
@@ -185,8 +184,8 @@
   day.crash (45 * kSecond, 1);
   day.crash (45 * kSecond, 2);
   for (int i = 0; i < 20; i++) {
-    day.machine_fault ((Time) (day.world.uniform (20, 80) * kSecond));
-    day.stop_receiving ((Time) (day.world.uniform (20, 80) * kSecond), 20 * kSecond);
+    day.machine_fault (day.world.seconds_between (20, 80));
+    day.stop_receiving (day.world.seconds_between (20, 80), 20 * kSecond);
   }
   day.cut_node (60 * kSecond, 1, false);
   day.finish ();
