--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -8,6 +8,7 @@
 }
 
 #include <algorithm>
+#include <optional>
 
 namespace sim {
 
@@ -15,13 +16,23 @@
 // How likely a submission finds no controller, and how likely its answer is lost.
 static constexpr double kNoController = 0.1, kSubmissionUnanswered = 0.05;
 
-// A job's own row as the store has it; whether there is one that can be read.
-static bool
-read_job_row (const Store &store, const std::string &ref, StoreAnswer *answer, FtRow *row, FtJobRow *state)
+// A job's own row as the store has it.
+struct JobRow {
+  guint64 revision;
+  FtJobRow state;
+};
+
+// Empty: there is none that can be read.
+static std::optional<JobRow>
+read_job_row (const Store &store, const std::string &ref)
 {
   g_autofree char *key = ft_key_job (ref.c_str ());
-  *answer = store.get (key);
-  return answer->status == 200 && ft_store_row (answer->body.get (), row) && ft_row_job_parse (row->value, state);
+  StoreAnswer answer = store.get (key);
+  FtRow row;
+  FtJobRow state{};
+  if (answer.status != 200 || !ft_store_row (answer.body.get (), &row) || !ft_row_job_parse (row.value, &state))
+    return std::nullopt;
+  return JobRow{ row.revision, state };
 }
 
 // ---- submissions ----
@@ -176,13 +187,13 @@
 {
   if (faults.polls_cancel_dependents && is_cancelled (ref))
     counters.cancelled_by_poll += commit_cancellation (cancellation_transaction (ref));
-  StoreAnswer answer = Store::RawAnswer{};
-  FtRow row;
-  FtJobRow state;
-  if (!read_job_row (store, ref, &answer, &row, &state))
+  std::optional<JobRow> row = read_job_row (store, ref);
+  if (!row)
     checker->state_reported (now, ref, "");
+  else if (row->state.open)
+    checker->state_reported (now, ref, "open");
   else
-    checker->state_reported (now, ref, state.open ? "open" : state.end == FT_JOB_END_DONE ? "done" : "cancelled");
+    checker->state_reported (now, ref, row->state.end == FT_JOB_END_DONE ? "done" : "cancelled");
 }
 
 // Whether the job or an ancestor of it is cancelled, as src/net/ancestors.c finds it in the rows.
@@ -196,14 +207,12 @@
     unvisited.pop_back ();
     if (!seen.insert (visited).second)
       continue;
-    StoreAnswer answer = Store::RawAnswer{};
-    FtRow row;
-    FtJobRow state{};
-    if (!read_job_row (store, visited, &answer, &row, &state))
+    std::optional<JobRow> row = read_job_row (store, visited);
+    if (!row)
       continue;
-    if (!state.open && state.end == FT_JOB_END_CANCELLED)
+    if (!row->state.open && row->state.end == FT_JOB_END_CANCELLED)
       return true;
-    if (!state.open || !state.has_dependencies)
+    if (!row->state.open || !row->state.has_dependencies)
       continue;
     for (const std::string &dependency : dependencies_of (visited))
       unvisited.push_back (dependency);
@@ -232,15 +241,13 @@
 Json
 World::cancellation_transaction (const std::string &ref) const
 {
-  StoreAnswer answer = Store::RawAnswer{};
-  FtRow row;
-  FtJobRow state;
-  if (!read_job_row (store, ref, &answer, &row, &state) || !state.open)
+  std::optional<JobRow> row = read_job_row (store, ref);
+  if (!row || !row->state.open)
     return nullptr;
   g_autofree char *key = ft_key_job (ref.c_str ()), *mark = ft_key_cancellation (ref.c_str ());
   Json transaction = adopt (ft_txn_new ());
-  ft_txn_if (transaction.get (), key, row.revision);
-  ft_txn_put (transaction.get (), key, ft_row_job_ended (FT_JOB_END_CANCELLED, state.tasks, now / 1000));
+  ft_txn_if (transaction.get (), key, row->revision);
+  ft_txn_put (transaction.get (), key, ft_row_job_ended (FT_JOB_END_CANCELLED, row->state.tasks, now / 1000));
   ft_txn_put (transaction.get (), mark, ft_row_cancellation (now / 1000));
   return transaction;
 }
