--- /dev/null
+++ b/src/core/attempt_reports.c
@@ -0,0 +1,226 @@
+#include "core/attempt_reports.h"
+
+#include "core/fault.h"
+
+/* ---- an attempt ends ---- */
+
+static void
+task_failed (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
+{
+  FtTask *task = &attempt->job->tasks[attempt->index];
+  task->fails = MIN (task->fails + 1, FT_FAILS_COUNTED);
+  task->avoid = attempt->machine;
+  double pause_s = MIN (FT_RETRY_FIRST_S * (1u << (task->fails - 1)), FT_RETRY_LONGEST_S);
+  task->not_before = table->context->now + ft_seconds (pause_s);
+  if (reason == FT_EXIT_ERROR)
+    ft_fault_task_failed (table, attempt);
+}
+
+static void
+task_finished (FtAttempt *attempt)
+{
+  ft_fault_task_completed (attempt->machine);
+  ft_task_set_state (attempt->job, attempt->index, FT_TASK_FINISHED);
+  if (attempt->job->state == FT_JOB_CANCELLING)
+    ft_task_set_state (attempt->job, attempt->index, FT_TASK_CANCELLED);
+  if (attempt->job->state == FT_JOB_OPEN)
+    return; /* the attempt ends when the result is committed */
+  attempt->forget_ok = TRUE;
+  ft_attempt_end (attempt);
+}
+
+/* The attempt of a task ended without a result. */
+static void
+task_lost (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
+{
+  const FtMachine *machine = attempt->machine;
+  /* Its room is somebody else's for the moment: it does not take it back at once. */
+  if (reason == FT_EXIT_STOPPED && attempt->stop_wanted && machine->notice_until == 0)
+    attempt->job->tasks[attempt->index].not_before = table->context->now + ft_seconds (FT_PREEMPTED_PAUSE_S);
+  gboolean blameless = reason == FT_EXIT_STOPPED || reason == FT_EXIT_PEERS || reason == FT_EXIT_ALONE;
+  if (!blameless && attempt->job->state == FT_JOB_OPEN)
+    task_failed (table, attempt, reason);
+  g_message ("task %s/%u: attempt ended on %s (%s)", attempt->job_ref, attempt->index, machine->name,
+             ft_exit_reason_name (reason));
+}
+
+static void
+attempt_exited (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
+{
+  attempt->exited = TRUE;
+  attempt->listed = TRUE;
+  attempt->exited_at = table->context->now;
+  ft_attempt_release (attempt);
+  table->context->placement_due = TRUE;
+  if (attempt->bound && reason == FT_EXIT_DONE) {
+    task_finished (attempt);
+    return;
+  }
+  if (attempt->bound)
+    task_lost (table, attempt, reason);
+  attempt->forget_ok = TRUE;
+  ft_attempt_end (attempt);
+}
+
+/* ---- an attempt goes on ---- */
+
+static void
+attempt_progress (FtAttempt *attempt, FtTaskPhase phase)
+{
+  static const FtTaskState states[] = { FT_TASK_FETCHING, FT_TASK_FETCHING, FT_TASK_RUNNING, FT_TASK_CHECKPOINTING };
+  attempt->shown = TRUE;
+  if (phase != FT_TASK_PHASE_FETCHING && !attempt->has_image) {
+    attempt->has_image = TRUE;
+    if (attempt->job != NULL)
+      g_hash_table_add (attempt->machine->images, g_strdup (attempt->job->spec->image));
+  }
+  if (phase != FT_TASK_PHASE_FETCHING && phase != FT_TASK_PHASE_WAITING && !attempt->running) {
+    attempt->running = TRUE;
+    attempt->running_at = attempt->machine->context->now;
+  }
+  if (attempt->bound)
+    ft_task_set_state (attempt->job, attempt->index, states[phase]);
+}
+
+/* ---- an attempt that this leadership did not start ---- */
+
+/* Its task is open and has no attempt: this one may be it. */
+static gboolean
+task_is_free (const FtJob *job, guint index)
+{
+  if (job == NULL || job->state != FT_JOB_OPEN)
+    return FALSE;
+  const FtTask *task = &job->tasks[index];
+  return task->attempt == NULL && (task->state == FT_TASK_UNKNOWN || task->state == FT_TASK_QUEUED);
+}
+
+/* Its task belongs to a job that is being cancelled, and may be what runs of it. */
+static gboolean
+task_is_being_cancelled (const FtJob *job, guint index)
+{
+  if (job == NULL || job->state != FT_JOB_CANCELLING)
+    return FALSE;
+  const FtTask *task = &job->tasks[index];
+  return task->attempt == NULL && task->state == FT_TASK_UNKNOWN;
+}
+
+static void
+adopt_exited (FtAttempt *attempt, gboolean task_free, FtExitReason reason)
+{
+  FtCoreContext *context = attempt->machine->context;
+  gboolean has_result = task_free && reason == FT_EXIT_DONE;
+  attempt->exited = TRUE;
+  attempt->exited_at = context->now;
+  attempt->forget_ok = !has_result;
+  if (has_result)
+    ft_attempt_bind (attempt, FT_TASK_FINISHED);
+  context->placement_due = TRUE;
+}
+
+static void
+adopt_live (FtAttempt *attempt, gboolean task_free, FtTaskPhase phase)
+{
+  ft_attempt_reserve (attempt);
+  if (task_free) {
+    ft_attempt_bind (attempt, FT_TASK_FETCHING);
+  } else if (task_is_being_cancelled (attempt->job, attempt->index)) {
+    ft_attempt_bind (attempt, FT_TASK_FETCHING);
+    ft_attempt_want_stop (attempt, 0);
+  } else {
+    g_warning ("task %s/%u: attempt %" G_GUINT64_FORMAT " on %s is stopped (its task has another attempt or is over)",
+               attempt->job_ref, attempt->index, attempt->id, attempt->machine->name);
+    ft_attempt_want_stop (attempt, 0);
+  }
+  attempt_progress (attempt, phase);
+}
+
+static void
+adopt (const FtJobTable *job_table, FtMachine *machine, const FtTaskStatus *status)
+{
+  FtJob *job = g_hash_table_lookup (job_table->jobs, status->job);
+  if (job != NULL && status->index >= job->spec->tasks)
+    job = NULL;
+  gboolean task_free = task_is_free (job, status->index);
+  FtAttempt *attempt = ft_attempt_new (machine, job, status->job, status->index, status->attempt);
+  attempt->shown = attempt->listed = TRUE;
+  attempt->placed_at = machine->context->now;
+  attempt->by_direct = TRUE; /* for all we know */
+  if (status->state == FT_TASK_PHASE_EXITED)
+    adopt_exited (attempt, task_free, status->exit_reason);
+  else
+    adopt_live (attempt, task_free, status->state);
+}
+
+/* ---- the list ---- */
+
+static void
+apply_status (const FtMachineTable *table, const FtJobTable *job_table, FtMachine *machine, const FtTaskStatus *status)
+{
+  FtAttempt *attempt = ft_machine_attempt (machine, status->job, status->index, status->attempt);
+  if (attempt == NULL) {
+    adopt (job_table, machine, status);
+    return;
+  }
+  attempt->listed = TRUE;
+  if (attempt->exited)
+    return;
+  if (status->state != FT_TASK_PHASE_EXITED) {
+    attempt_progress (attempt, status->state);
+    return;
+  }
+  attempt->shown = TRUE;
+  attempt_exited (table, attempt, status->exit_reason);
+}
+
+/* A heartbeat showed the attempt, and a newer one does not. The protocol has no way to this; the start is repeated, on
+ * this machine. */
+static void
+attempt_vanished (FtAttempt *attempt)
+{
+  g_warning ("task %s/%u: vanished from %s (not in its task list)", attempt->job_ref, attempt->index,
+             attempt->machine->name);
+  if (attempt->stop_wanted)
+    ft_attempt_end (attempt);
+  else
+    attempt->shown = FALSE;
+}
+
+/* An attempt that a newer heartbeat of its incarnation does not show. */
+static void
+apply_absence (FtAttempt *attempt, const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat)
+{
+  if (attempt->exited) {
+    if (!attempt->bound) /* otherwise its result is not committed yet */
+      g_hash_table_remove (attempt->machine->attempts, attempt);
+    return;
+  }
+  if (attempt->shown) {
+    attempt_vanished (attempt);
+    return;
+  }
+  /* Commands in the answer to a heartbeat are executed before the next heartbeat or
+   * never, but a direct start may still be on its way: then only the end of
+   * the incarnation proves that it did not happen. */
+  gboolean certain = is_heartbeat && attempt->sent_sequence < heartbeat->sequence;
+  if (!attempt->stop_wanted || !certain || attempt->direct_in_flight)
+    return;
+  if (!attempt->direct_unanswered)
+    ft_attempt_end (attempt);
+  else if (attempt->bound && attempt->job->state == FT_JOB_OPEN)
+    attempt->stop_wanted = FALSE; /* started after all: waiting for the lost start could last for ever */
+}
+
+void
+ft_attempt_reports_apply (const FtMachineTable *table, const FtJobTable *job_table, FtMachine *machine,
+                          const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat)
+{
+  g_autoptr (GList) before = g_hash_table_get_values (machine->attempts);
+  for (GList *link = before; link != NULL; link = link->next)
+    ((FtAttempt *) link->data)->listed = FALSE;
+  for (guint i = 0; i < heartbeat->tasks->len; i++)
+    apply_status (table, job_table, machine, &g_array_index (heartbeat->tasks, FtTaskStatus, i));
+  g_autoptr (GList) after = g_hash_table_get_values (machine->attempts);
+  for (GList *link = after; link != NULL; link = link->next)
+    if (!((FtAttempt *) link->data)->listed)
+      apply_absence (link->data, heartbeat, is_heartbeat);
+}
--- /dev/null
+++ b/src/core/cloud_calls.c
@@ -0,0 +1,131 @@
+#include "core/cloud_calls.h"
+
+void
+ft_cloud_call_free (FtCloudCall *call)
+{
+  if (call == NULL)
+    return;
+  g_free (call->booking);
+  g_free (call->type);
+  g_free (call->zone);
+  if (call->names != NULL)
+    g_ptr_array_unref (call->names);
+  g_free (call);
+}
+
+static FtCloudCall *
+call_new (FtCloudOp op)
+{
+  FtCloudCall *call = g_new0 (FtCloudCall, 1);
+  call->op = op;
+  call->names = g_ptr_array_new_with_free_func (g_free);
+  return call;
+}
+
+/* A leader that has lost the store gives back only what holds cancelled tasks: they
+ * must be gone in time, and a machine that hangs cannot drop them. That is no placing,
+ * and a successor that returns the same machines again changes nothing. */
+static gboolean
+may_return_now (const FtMachineEviction *eviction, const FtMachine *machine)
+{
+  const FtCoreContext *context = eviction->context;
+  return !machine->terminate_in_flight && machine->terminate_at <= context->now
+         && (context->may_start || ft_machine_eviction_may_hold_cancelled (eviction, machine));
+}
+
+static FtCloudCall *
+next_return (const FtMachineEviction *eviction)
+{
+  FtCloudCall *call = NULL;
+  const FtMachineQueues *queues = eviction->machine_table->queues;
+  for (GList *link = queues->terminating.head; link != NULL; link = link->next) {
+    FtMachine *machine = link->data;
+    eviction->context->looked_at++;
+    if (!may_return_now (eviction, machine))
+      continue;
+    if (call == NULL)
+      call = call_new (FT_CLOUD_SCALE_IN);
+    if (call->names->len == FT_SCALE_IN_MAX)
+      break;
+    machine->terminate_in_flight = TRUE;
+    g_ptr_array_add (call->names, g_strdup (machine->name));
+  }
+  return call;
+}
+
+static FtCloudCall *
+next_launch (FtCloudPools *pools, gint64 now)
+{
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, pools->pools);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    FtCloudPool *pool = value;
+    if (pool->booking == NULL || pool->in_flight || pool->retry_at > now)
+      continue;
+    pool->in_flight = TRUE;
+    FtCloudCall *call = call_new (FT_CLOUD_SCALE_OUT);
+    call->booking = g_strdup (pool->booking);
+    call->type = g_strdup (pool->type);
+    call->zone = g_strdup (pool->zone);
+    call->spot = pool->spot;
+    call->count = pool->asked;
+    return call;
+  }
+  return NULL;
+}
+
+FtCloudCall *
+ft_cloud_calls_next (const FtMachineEviction *eviction, FtCloudPools *pools)
+{
+  FtCloudCall *call = next_return (eviction);
+  if (call != NULL || !eviction->context->may_start)
+    return call;
+  return next_launch (pools, eviction->context->now);
+}
+
+static void
+add_launched (FtMachineTable *table, const FtCloudPool *pool, const FtCloudCall *call)
+{
+  for (guint i = 0; i < call->names->len; i++) {
+    const char *name = g_ptr_array_index (call->names, i);
+    if (ft_machine_table_find (table, name) != NULL || ft_machine_table_is_gone (table, name))
+      continue;
+    FtMachine *machine = ft_machine_table_add (table, name, NULL, pool->type, pool->zone, pool->spot);
+    ft_machine_set_reconciled (machine); /* it has never been sent a command */
+    g_message ("machine %s: known (launched by request %s)", name, call->booking);
+  }
+}
+
+gboolean
+ft_cloud_calls_launch_done (FtMachineTable *table, FtCloudPools *pools, const FtCloudCall *call, FtCloudResult result)
+{
+  gint64 now = table->context->now;
+  FtCloudPool *pool = ft_cloud_pools_get (pools, call->type, call->zone, call->spot);
+  pool->in_flight = FALSE;
+  if (g_strcmp0 (pool->booking, call->booking) != 0)
+    return FALSE;
+  if (result == FT_CLOUD_FAILED) {
+    /* Perhaps carried out: the same booking is repeated until it is answered. */
+    pool->retry_at = now + ft_seconds (FT_LAUNCH_RETRY_S);
+    return TRUE;
+  }
+  if (result == FT_CLOUD_OK)
+    add_launched (table, pool, call);
+  if (result == FT_CLOUD_REFUSED || call->names->len < pool->asked)
+    ft_cloud_pool_refused (pool, now);
+  ft_cloud_pool_answered (pool);
+  return TRUE;
+}
+
+void
+ft_cloud_calls_return_done (FtMachineTable *table, const FtCloudCall *call)
+{
+  for (guint i = 0; i < call->names->len; i++) {
+    FtMachine *machine = ft_machine_table_find (table, g_ptr_array_index (call->names, i));
+    if (machine == NULL)
+      continue;
+    machine->terminate_in_flight = FALSE;
+    machine->terminate_at = table->context->now + ft_seconds (FT_TERMINATE_RETRY_S);
+  }
+}
--- /dev/null
+++ b/src/core/cloud_inventory.c
@@ -0,0 +1,45 @@
+#include "core/cloud_inventory.h"
+
+static void
+add_machine (FtMachineTable *table, const FtListedMachine *entry)
+{
+  if (entry->state == FT_LISTED_FAILED)
+    return;
+  FtMachine *machine = ft_machine_table_add (table, entry->name, entry->addr, entry->type, entry->zone, entry->spot);
+  machine->launched_at = table->context->now - ft_seconds (entry->age_s);
+  ft_machine_set_reconciled (machine); /* in no registry: never sent a command */
+  machine->listed_running = entry->state == FT_LISTED_RUNNING;
+  g_message ("machine %s: known (in the cloud's list)", machine->name);
+}
+
+static void
+update_machine (FtRecovery *recovery, FtMachine *machine, const FtListedMachine *entry)
+{
+  if (entry->state == FT_LISTED_FAILED && machine->state != FT_MACHINE_GONE) {
+    /* It stopped on its own and comes back no more. */
+    if (machine->state != FT_MACHINE_TERMINATING)
+      ft_machine_terminate (machine, "failed");
+    ft_machine_end_incarnation (machine);
+    ft_machine_set_reconciled (machine);
+    ft_recovery_uncount (recovery, machine);
+  }
+  /* A machine known from the registry or a heartbeat is older than this leadership. */
+  machine->launched_at = MIN (machine->launched_at, machine->context->now - ft_seconds (entry->age_s));
+  if (machine->addr == NULL)
+    ft_machine_set_addr (machine, entry->addr);
+}
+
+void
+ft_cloud_inventory_apply (FtMachineTable *table, FtRecovery *recovery, const GArray *list)
+{
+  for (guint i = 0; i < list->len; i++) {
+    const FtListedMachine *entry = &g_array_index (list, FtListedMachine, i);
+    if (ft_machine_table_is_gone (table, entry->name))
+      continue;
+    FtMachine *machine = ft_machine_table_find (table, entry->name);
+    if (machine == NULL)
+      add_machine (table, entry);
+    else
+      update_machine (recovery, machine, entry);
+  }
+}
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -117,6 +117,9 @@
 #define FT_PROBES_TAKEOVER 2
 /* Share of the machines that may be terminated for silence within the window. */
 #define FT_SILENT_SCALE_IN_SHARE 0.2
+/* Worker leases for which a machine must have sent no heartbeat to be terminated for silence while
+ * more machines are lost than heard: then the leader itself may be cut off. */
+#define FT_SILENT_MAJORITY_LEASES 2
 /* Machines that may always be terminated for silence within the window. */
 #define FT_SILENT_SCALE_IN_MIN 2
 /* Window in seconds in which the terminations for silence are bounded. */
@@ -178,6 +181,8 @@
 /* Seconds since the cloud last answered after which it may not be reached any more: it is
  * asked every four, and given five to answer. */
 #define FT_CLOUD_SEEN_S 12.0
+/* Least rate in GB per second at which an image is taken to be fetched: a catalog may name none. */
+#define FT_FETCH_RATE_MIN 1e-3
 /* Share of an image's fetch that is still to come, in the mean, if it has begun. */
 #define FT_SCORE_FETCHING 0.8
 /* What a machine left wholly empty and an ordinary machine weigh in the choice of
@@ -237,10 +242,15 @@
 #define FT_SCALE_OUT_FROM 0.2
 /* Nominal boot time in seconds of a type that is not in the catalog. */
 #define FT_BOOT_UNKNOWN_S 60.0
+/* Least CPUs of a task in the count of tasks per machine, so that it stays finite; and what absorbs the
+ * rounding of that count. */
+#define FT_TASK_CPUS_MIN 1e-6
+#define FT_TASK_COUNT_ROUNDING 1e-6
 /* Machines in a pool that weigh as much as a price of one an hour: the price
  * decides, the number of machines only among equal prices. */
 #define FT_POOL_PRICE_WEIGHT 1000.0
-/* Machines asked for in one launch request (protocol: at most 50). */
+/* Machines that stand by idle while there is any open job, beside the reserve. */
+#define FT_STANDBY_MACHINES 1.0
 /* Least seconds charged for a machine (protocol): no earlier return saves. */
 #define FT_LEAST_CHARGED_S 60.0
 /* A task that will have run less than this share of its estimate when its spot
@@ -251,6 +261,9 @@
 #define FT_NOTICE_MARGIN_S 0.5
 /* Seconds before a return that failed is tried again. */
 #define FT_TERMINATE_RETRY_S 1.0
+/* Seconds before a launch request that got no answer is repeated. */
+#define FT_LAUNCH_RETRY_S 1.0
+/* Machines asked for in one launch request (protocol: at most 50). */
 #define FT_SCALE_OUT_MAX 50
 /* Machines named in one return request (protocol: at most 100). */
 #define FT_SCALE_IN_MAX 100
--- /dev/null
+++ b/src/core/direct_commands.c
@@ -0,0 +1,92 @@
+#include "core/direct_commands.h"
+
+#include "core/worker_commands.h"
+
+static gboolean
+may_send (const FtMachine *machine)
+{
+  return !machine->command_in_flight && machine->addr != NULL && machine->state == FT_MACHINE_UP && machine->reconciled
+         && machine->incarnation > machine->expired_incarnation;
+}
+
+/* A start that went out with an answer to a heartbeat, or directly without an answer, is not sent a second time: either
+ * copy may still be executed. */
+static gboolean
+may_start_directly (const FtAttempt *attempt)
+{
+  return ft_machine_usable (attempt->machine) && ft_worker_command_wants_start (attempt) && attempt->sent_sequence == 0
+         && !attempt->direct_unanswered;
+}
+
+static FtDirect *
+request_to (FtMachine *machine)
+{
+  if (!may_send (machine))
+    return NULL;
+  g_autoptr (GArray) commands = ft_commands_new ();
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, machine->attempts);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    FtAttempt *attempt = value;
+    if (attempt->stop_wanted && attempt->shown && !attempt->exited && !attempt->stop_sent) {
+      attempt->stop_sent = TRUE;
+      ft_worker_command_add (commands, FT_COMMAND_STOP, attempt);
+    } else if (may_start_directly (attempt)) {
+      attempt->direct_in_flight = attempt->by_direct = TRUE;
+      ft_worker_command_add (commands, FT_COMMAND_START, attempt);
+    }
+  }
+  return commands->len > 0 ? ft_worker_command_direct (machine, g_steal_pointer (&commands)) : NULL;
+}
+
+FtDirect *
+ft_direct_commands_next (FtMachineQueues *queues)
+{
+  FtMachine *machine;
+  while ((machine = g_queue_pop_head (&queues->directs)) != NULL) {
+    machine->direct_queued = FALSE;
+    machine->context->looked_at++;
+    FtDirect *direct = request_to (machine);
+    if (direct != NULL)
+      return direct;
+  }
+  return NULL;
+}
+
+gboolean
+ft_direct_commands_wanted (const FtMachine *machine)
+{
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, machine->attempts);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    const FtAttempt *attempt = value;
+    if (!attempt->exited && (attempt->stop_wanted ? !attempt->stop_sent : !attempt->shown))
+      return TRUE;
+  }
+  return FALSE;
+}
+
+static void
+settle_start (FtAttempt *attempt, const FtDirect *direct, FtDirectResult result)
+{
+  attempt->direct_in_flight = FALSE;
+  if (result == FT_DIRECT_UNANSWERED && attempt->incarnation == direct->incarnation)
+    attempt->direct_unanswered = attempt->machine->in_doubt = TRUE;
+  /* Refused as a whole: this copy was not executed and never will be. */
+  if (result == FT_DIRECT_CONFLICT && attempt->stop_wanted && !attempt->shown && attempt->sent_sequence == 0
+      && !attempt->exited)
+    ft_attempt_end (attempt);
+}
+
+void
+ft_direct_commands_settle (FtMachine *machine, const FtDirect *direct, FtDirectResult result)
+{
+  for (guint i = 0; i < direct->commands->len; i++) {
+    const FtCommand *command = &g_array_index (direct->commands, FtCommand, i);
+    FtAttempt *attempt = ft_machine_attempt (machine, command->job, command->index, command->attempt);
+    if (attempt != NULL && command->op == FT_COMMAND_START)
+      settle_start (attempt, direct, result);
+  }
+}
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -1,6 +1,7 @@
 #include "core/fault.h"
 
 #include "core/constants.h"
+#include "core/job.h"
 
 /* Remembers on how many different machines the job has failed, as far as it matters. */
 static void
@@ -15,36 +16,36 @@
 
 /* How long the attempt ran before it failed. */
 static gint64
-ran_for (const FtScheduler *scheduler, const FtAttempt *attempt)
+ran_for (const FtAttempt *attempt)
 {
-  return attempt->running ? scheduler->context.now - attempt->running_at : 0;
+  return attempt->running ? attempt->machine->context->now - attempt->running_at : 0;
 }
 
-/* Tasks of the job do well on other machines: one has completed, or runs for longer than
+/* Tasks of the job do well on other machines: one has completed, or has run for longer than
  * any that failed did. */
 static gboolean
-does_well_elsewhere (const FtScheduler *scheduler, const FtJob *job, const FtMachine *machine)
+does_well_elsewhere (const FtJob *job, const FtMachine *machine)
 {
   if (ft_job_finished (job) > 0)
     return TRUE;
   GHashTableIter it;
   gpointer key;
   guint looked = 0;
-  gint64 enough = job->failed_after + (gint64) (FT_FAULT_MARGIN_S * FT_SECOND);
+  gint64 enough = job->failed_after + ft_seconds (FT_FAULT_MARGIN_S);
   g_hash_table_iter_init (&it, job->attempts);
   while (looked++ < FT_FAULT_ATTEMPTS && g_hash_table_iter_next (&it, &key, NULL)) {
     const FtAttempt *other = key;
-    if (other->bound && other->running && !other->exited && other->machine != machine
-        && ran_for (scheduler, other) > enough)
+    if (other->bound && other->running && !other->exited && other->machine != machine && ran_for (other) > enough)
       return TRUE;
   }
   return FALSE;
 }
 
+/* Whether the job's failure is evidence of a fault of the machine. */
 static gboolean
-counts_against (const FtScheduler *scheduler, const FtJob *job, const FtMachine *machine)
+counts_against (const FtJob *job, const FtMachine *machine)
 {
-  if (does_well_elsewhere (scheduler, job, machine))
+  if (does_well_elsewhere (job, machine))
     return TRUE;
   if (job->n_failed_on >= FT_MISTAKEN_MACHINES)
     return FALSE; /* the mistake is in the job, for all that is known */
@@ -53,31 +54,32 @@
 
 /* Whatever goes wrong, most machines stay in use. */
 static gboolean
-may_shun_one_more (const FtScheduler *scheduler)
+may_quarantine_one_more (const FtMachineTable *table)
 {
-  guint shunned = 0;
+  guint quarantined = 0;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
+  g_hash_table_iter_init (&it, table->machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    shunned += ((const FtMachine *) value)->quarantined;
-  return shunned < MAX (FT_QUARANTINE_MIN, FT_QUARANTINE_SHARE * g_hash_table_size (scheduler->machine_table.machines));
+    quarantined += ((const FtMachine *) value)->quarantined;
+  return quarantined < MAX (FT_QUARANTINE_MIN, FT_QUARANTINE_SHARE * g_hash_table_size (table->machines));
 }
 
 void
-ft_fault_task_failed (FtScheduler *scheduler, const FtAttempt *attempt)
+ft_fault_task_failed (const FtMachineTable *table, const FtAttempt *attempt)
 {
   FtJob *job = attempt->job;
   FtMachine *machine = attempt->machine;
-  job->failed_after = MAX (job->failed_after, ran_for (scheduler, attempt));
+  job->failed_after = MAX (job->failed_after, ran_for (attempt));
   note_machine (job, machine);
-  if (counts_against (scheduler, job, machine))
+  if (counts_against (job, machine))
     machine->faults++;
   machine->last_failed = job->revision;
-  if (machine->quarantined || !ft_fault_proven (machine) || !may_shun_one_more (scheduler))
+  if (machine->quarantined || !ft_fault_proven (machine) || !may_quarantine_one_more (table))
     return;
   machine->quarantined = TRUE;
-  g_warning ("machine %s: faulty, %u tasks failed on it that were not to blame", machine->name, machine->faults);
+  g_warning ("machine %s: quarantined (faulty: %u tasks in a row failed on it, not by their own mistake)",
+             machine->name, machine->faults);
 }
 
 void
--- a/src/core/fault.h
+++ b/src/core/fault.h
@@ -2,15 +2,19 @@
  *
  * A failure alone proves nothing: a job that was submitted with a mistake fails everywhere.
  * A machine is judged by comparison: tasks of the same job do well elsewhere, or different
- * jobs, none of them known to fail everywhere, fail on it in a row. */
+ * jobs, none of them known to fail everywhere, fail on it in a row.
+ *
+ * Called by the heartbeats as attempts end. A faulty machine is quarantined here and terminated by the
+ * eviction (machine_eviction.h) once it is idle. */
 #pragma once
-#include "core/scheduler_private.h"
+#include "core/attempt.h"
+#include "core/machine_table.h"
 
-/* The attempt has exited with an error; its job is open. */
-void ft_fault_task_failed (FtScheduler *scheduler, const FtAttempt *attempt);
+/* The attempt has exited with an error; its job is open. May quarantine its machine, one of the table's. */
+void ft_fault_task_failed (const FtMachineTable *table, const FtAttempt *attempt);
 
 /* A task has completed on the machine: what failed there before is forgotten. */
 void ft_fault_task_completed (FtMachine *machine);
 
-/* The machine is shunned for its faults, not for another reason. */
+/* The machine is quarantined for its faults, not for another reason. */
 gboolean ft_fault_proven (const FtMachine *machine);
--- /dev/null
+++ b/src/core/heartbeat_answer.c
@@ -0,0 +1,68 @@
+#include "core/heartbeat_answer.h"
+
+#include "core/worker_commands.h"
+
+/* Notes that the heartbeat is answered. FALSE: the answer carries no commands, since the heartbeat is not the
+ * newest, or its worker does not know our token yet, or its incarnation is over. */
+static gboolean
+note_answer (FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
+{
+  const FtCoreContext *context = machine->context;
+  machine->last_answer = context->now;
+  /* It shows our token in its next heartbeat, in half a second. */
+  if (!machine->reconciled)
+    machine->probe_at = MAX (machine->probe_at, context->now + ft_seconds (FT_PROBE_FIRST_S));
+  if (heartbeat->incarnation == machine->incarnation && heartbeat->sequence == machine->sequence
+      && heartbeat->token >= context->token && machine->incarnation > machine->expired_incarnation) {
+    machine->answered = heartbeat->sequence;
+    return TRUE;
+  }
+  if (heartbeat->incarnation == machine->incarnation)
+    machine->answered = MAX (machine->answered, heartbeat->sequence);
+  return FALSE;
+}
+
+static void
+add_stops_and_forgets (GArray *commands, const FtMachine *machine)
+{
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, machine->attempts);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    const FtAttempt *attempt = value;
+    if (attempt->stop_wanted && attempt->shown && !attempt->exited)
+      ft_worker_command_add (commands, FT_COMMAND_STOP, attempt);
+    else if (machine->context->may_start && ft_worker_command_may_forget (attempt))
+      ft_worker_command_add (commands, FT_COMMAND_FORGET, attempt);
+  }
+}
+
+static void
+add_starts (GArray *commands, const FtMachine *machine, guint64 sequence)
+{
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, machine->attempts);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    FtAttempt *attempt = value;
+    if (!ft_worker_command_wants_start (attempt))
+      continue;
+    attempt->sent_sequence = sequence;
+    ft_worker_command_add (commands, FT_COMMAND_START, attempt);
+  }
+}
+
+GArray *
+ft_heartbeat_answer (FtMachineTable *table, FtPlacement *placement, const FtWorkerHeartbeat *heartbeat)
+{
+  GArray *commands = ft_commands_new ();
+  FtMachine *machine = ft_machine_table_find (table, heartbeat->machine);
+  if (machine == NULL || !note_answer (machine, heartbeat))
+    return commands;
+  /* What the heartbeat has freed is filled by this very answer. */
+  ft_placement_fill (placement, machine);
+  /* What is stopped or forgotten makes room for what starts. */
+  add_stops_and_forgets (commands, machine);
+  add_starts (commands, machine, heartbeat->sequence);
+  return commands;
+}
--- /dev/null
+++ b/src/core/interruption_notice.c
@@ -0,0 +1,34 @@
+#include "core/interruption_notice.h"
+
+#include "core/job.h"
+
+static void
+stop_if_useful (FtAttempt *attempt, double notice_s)
+{
+  const FtJobSpec *spec = attempt->job->spec;
+  gint64 now = attempt->machine->context->now;
+  double ran_s = attempt->running ? (double) (now - attempt->running_at) / FT_SECOND : 0;
+  if (spec->checkpoint_s > 0 && attempt->running)
+    ft_attempt_want_stop (attempt, spec->save_s);
+  else if (ran_s + notice_s < FT_NOTICE_LOST_SHARE * spec->estimate_s)
+    ft_attempt_want_stop (attempt, 0);
+}
+
+void
+ft_interruption_notice_apply (FtMachine *machine, double notice_s, FtSpotRisk *spot_risk)
+{
+  if (notice_s < 0 || machine->state == FT_MACHINE_TERMINATING)
+    return;
+  gboolean first = machine->notice_until == 0;
+  machine->notice_until = machine->context->now + ft_seconds (notice_s);
+  if (!first)
+    return;
+  g_message ("machine %s: interruption notice, taken by the cloud in %.1f s", machine->name, notice_s);
+  ft_spot_risk_lost (spot_risk);
+  g_autoptr (GList) all = g_hash_table_get_values (machine->attempts);
+  for (GList *link = all; link != NULL; link = link->next) {
+    FtAttempt *attempt = link->data;
+    if (attempt->bound && !attempt->exited)
+      stop_if_useful (attempt, notice_s);
+  }
+}
--- a/src/core/job_table.c
+++ b/src/core/job_table.c
@@ -116,7 +116,7 @@
     ft_job_spec_free (spec);
     return NULL;
   }
-  FtJob *job = ft_job_new (spec, ft_quota_team (scheduler, spec->team), revision, initial);
+  FtJob *job = ft_job_new (spec, ft_quota_team (&scheduler->quota, spec->team), revision, initial);
   job->scheduler = scheduler;
   /* Each leader's starts are bounded by marks that it commits first, and the
    * fence lets no former one raise a dispatch watermark: what lies beyond was never sent. */
@@ -184,7 +184,7 @@
     ft_attempt_want_stop (a, 0);
     /* A start that never left this process needs no stop. */
     if (!a->shown && a->sent_sequence == 0 && !a->direct_in_flight && !a->direct_unanswered)
-      ft_attempt_end (scheduler, a);
+      ft_attempt_end (a);
   }
   scheduler->context.placement_due = TRUE;
 }
@@ -230,7 +230,7 @@
       ft_task_set_state (job, i, FT_TASK_CANCELLED);
   scheduler->job_table.open_tasks -= job->spec->tasks;
   scheduler->context.placement_due = TRUE;
-  ft_placement_forget (scheduler, job);
+  ft_placement_forget (&scheduler->placement, job);
   if (job->write_queued)
     g_queue_remove (&scheduler->write_queue.pending_jobs, job);
   g_autofree char *ref = g_strdup (job->spec->ref);
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -1,30 +1,25 @@
-#include "core/scheduler_private.h"
+#include "core/machine.h"
 
-static const char *const names[] = { "booting", "up", "silent", "returning", "gone" };
+#include "core/job.h"
+#include "core/zone.h"
 
-static void
-attempt_free (FtAttempt *attempt)
-{
-  if (attempt->job != NULL)
-    g_hash_table_remove (attempt->job->attempts, attempt);
-  g_free (attempt->job_ref);
-  g_free (attempt);
-}
+/* As operators see them. */
+static const char *const names[] = { "booting", "up", "silent", "returning", "gone" };
 
-/* The tasks of a gang start under one attempt number, several of them perhaps
- * on one machine: an attempt is known by its number and its task. */
-static guint
-attempt_hash (gconstpointer key)
+void
+ft_machine_queues_init (FtMachineQueues *queues)
 {
-  const FtAttempt *attempt = key;
-  return (guint) attempt->id * 31u + attempt->index;
+  g_queue_init (&queues->directs);
+  g_queue_init (&queues->probes);
+  g_queue_init (&queues->terminating);
 }
 
-static gboolean
-attempt_equal (gconstpointer x, gconstpointer y)
+void
+ft_machine_queues_clear (FtMachineQueues *queues)
 {
-  const FtAttempt *attempt = x, *b = y;
-  return attempt->id == b->id && attempt->index == b->index && g_strcmp0 (attempt->job_ref, b->job_ref) == 0;
+  g_queue_clear (&queues->directs);
+  g_queue_clear (&queues->probes);
+  g_queue_clear (&queues->terminating);
 }
 
 FtAttempt *
@@ -35,21 +30,21 @@
 }
 
 FtMachine *
-ft_machine_new (FtScheduler *scheduler, const char *name, const char *addr, const char *type, const char *zone,
-                gboolean spot)
+ft_machine_new (FtCoreContext *context, FtMachineQueues *queues, FtZone *zone, const char *name, const char *addr,
+                const char *type, gboolean spot)
 {
   FtMachine *machine = g_new0 (FtMachine, 1);
-  machine->scheduler = scheduler;
+  machine->context = context;
+  machine->queues = queues;
   machine->name = g_strdup (name);
   machine->addr = g_strdup (addr);
   machine->type_name = g_strdup (type);
-  machine->zone = g_strdup (zone);
-  machine->zone_view = ft_zone_get (scheduler->machine_table.zones, zone);
+  machine->zone = g_strdup (zone->name);
+  machine->zone_view = zone;
   machine->spot = spot;
-  machine->type = ft_catalog_find (scheduler->context.catalog, type);
-  machine->launched_at = machine->idle_since = scheduler->context.now;
-  machine->drained = g_hash_table_contains (scheduler->machine_table.drained, name);
-  machine->attempts = g_hash_table_new_full (attempt_hash, attempt_equal, NULL, (GDestroyNotify) attempt_free);
+  machine->type = ft_catalog_find (context->catalog, type);
+  machine->launched_at = machine->idle_since = context->now;
+  machine->attempts = g_hash_table_new_full (ft_attempt_hash, ft_attempt_equal, NULL, (GDestroyNotify) ft_attempt_free);
   machine->images = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return machine;
 }
@@ -57,12 +52,10 @@
 void
 ft_machine_set_reconciled (FtMachine *machine)
 {
-  FtScheduler *scheduler = machine->scheduler;
   if (machine->reconciled)
     return;
   machine->reconciled = TRUE;
-  scheduler->context.placement_due = TRUE;
-  ft_recovery_uncount (machine);
+  machine->context->placement_due = TRUE;
 }
 
 void
@@ -71,7 +64,7 @@
   if (machine->direct_queued || machine->state == FT_MACHINE_GONE)
     return;
   machine->direct_queued = TRUE;
-  g_queue_push_tail (&machine->scheduler->command_queue.directs, machine);
+  g_queue_push_tail (&machine->queues->directs, machine);
 }
 
 void
@@ -80,16 +73,16 @@
   if (machine->probe_queued || machine->state == FT_MACHINE_GONE)
     return;
   machine->probe_queued = TRUE;
-  g_queue_push_tail (&machine->scheduler->command_queue.probes, machine);
+  g_queue_push_tail (&machine->queues->probes, machine);
 }
 
 void
 ft_machine_free (FtMachine *machine)
 {
   if (machine->probe_queued)
-    g_queue_remove (&machine->scheduler->command_queue.probes, machine);
+    g_queue_remove (&machine->queues->probes, machine);
   if (machine->direct_queued)
-    g_queue_remove (&machine->scheduler->command_queue.directs, machine);
+    g_queue_remove (&machine->queues->directs, machine);
   g_hash_table_unref (machine->attempts);
   g_hash_table_unref (machine->images);
   g_free (machine->name);
@@ -105,39 +98,55 @@
   return names[state];
 }
 
-/* The one place where a machine's state changes. */
 gboolean
-ft_machine_set_state (FtMachine *machine, FtMachineState to)
+ft_machine_set_state (FtMachine *machine, FtMachineState to, const char *reason)
 {
   FtMachineState from = machine->state;
   if (from == to)
     return TRUE;
-  /* What is being returned comes back to no other state; gone is the end. */
+  /* What is being returned comes back to no other state, and GONE is final. */
   if (from == FT_MACHINE_GONE || (from == FT_MACHINE_TERMINATING && to != FT_MACHINE_GONE)
       || to == FT_MACHINE_BOOTING) {
-    g_warning ("machine %s: refused move %s -> %s", machine->name, names[from], names[to]);
+    g_warning ("machine %s: refused move %s -> %s (%s)", machine->name, names[from], names[to], reason);
     return FALSE;
   }
-  g_message ("machine %s: %s -> %s", machine->name, names[from], names[to]);
+  g_message ("machine %s: %s -> %s (%s)", machine->name, names[from], names[to], reason);
   machine->state = to;
+  if (from == FT_MACHINE_TERMINATING)
+    g_queue_remove (&machine->queues->terminating, machine);
   if (to == FT_MACHINE_TERMINATING)
-    g_queue_push_tail (&machine->scheduler->autoscaler.terminating, machine);
+    g_queue_push_tail (&machine->queues->terminating, machine);
   return TRUE;
 }
 
+void
+ft_machine_terminate (FtMachine *machine, const char *reason)
+{
+  ft_machine_set_state (machine, FT_MACHINE_TERMINATING, reason);
+  machine->terminate_at = machine->context->now;
+}
+
+void
+ft_machine_set_addr (FtMachine *machine, const char *addr)
+{
+  if (g_strcmp0 (machine->addr, addr) == 0)
+    return;
+  g_free (machine->addr);
+  machine->addr = g_strdup (addr);
+}
+
 gboolean
-ft_machine_usable (const FtScheduler *scheduler, const FtMachine *machine)
+ft_machine_usable (const FtMachine *machine)
 {
+  const FtCoreContext *context = machine->context;
   return machine->state == FT_MACHINE_UP && machine->registered && machine->reconciled && machine->acknowledged_token
-         && !ft_machine_not_receiving (machine) && !ft_machine_not_reporting (scheduler, machine)
-         && machine->type != NULL && !machine->drained && !machine->quarantined && machine->notice_until == 0
+         && !ft_machine_not_receiving (machine) && !ft_machine_not_reporting (machine) && machine->type != NULL
+         && !machine->drained && !machine->quarantined && machine->notice_until == 0
          && machine->incarnation > machine->expired_incarnation
-         && scheduler->context.now - machine->last_status_at
-                < (gint64) ((scheduler->context.settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_USABLE_MARGIN_S)
-                            * FT_SECOND);
+         && context->now - machine->last_status_at
+                < (gint64) ((context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_USABLE_MARGIN_S) * FT_SECOND);
 }
 
-/* Its heartbeats come, but neither answers nor commands seem to reach it. */
 gboolean
 ft_machine_not_receiving (const FtMachine *machine)
 {
@@ -145,40 +154,37 @@
 }
 
 gint64
-ft_machine_lease_us (const FtScheduler *scheduler)
+ft_machine_lease_us (const FtCoreContext *context)
 {
-  return (gint64) ((scheduler->context.settings->lease_s * (1 + FT_CLOCK_DRIFT) + FT_WORKER_LEASE_MARGIN_S)
-                   * FT_SECOND);
+  return (gint64) ((context->settings->lease_s * (1 + FT_CLOCK_DRIFT) + FT_WORKER_LEASE_MARGIN_S) * FT_SECOND);
 }
 
 gint64
-ft_machine_silence_us (const FtScheduler *scheduler)
+ft_machine_silence_us (const FtCoreContext *context)
 {
-  return (
-      gint64) ((scheduler->context.settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S + FT_SILENCE_MARGIN_S)
-               * FT_SECOND);
+  return (gint64) ((context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S + FT_SILENCE_MARGIN_S)
+                   * FT_SECOND);
 }
 
 gint64
-ft_machine_overdue_us (const FtScheduler *scheduler)
+ft_machine_overdue_us (const FtCoreContext *context)
 {
-  return (gint64) ((scheduler->context.settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_OVERDUE_MARGIN_S) * FT_SECOND);
+  return (gint64) ((context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_OVERDUE_MARGIN_S) * FT_SECOND);
 }
 
 gint64
-ft_machine_no_heartbeat_since (const FtScheduler *scheduler, const FtMachine *machine)
+ft_machine_no_heartbeat_since (const FtMachine *machine)
 {
-  return MAX (machine->last_heartbeat_at, MAX (scheduler->context.on_time_since, scheduler->context.answering_since));
+  const FtCoreContext *context = machine->context;
+  return MAX (machine->last_heartbeat_at, MAX (context->on_time_since, context->answering_since));
 }
 
-/* Commands reach it, but its heartbeats reach nobody: whatever is started there dies with
- * its lease. Counted from its own heartbeats alone, while we were there to answer them. */
 gboolean
-ft_machine_not_reporting (const FtScheduler *scheduler, const FtMachine *machine)
+ft_machine_not_reporting (const FtMachine *machine)
 {
+  const FtCoreContext *context = machine->context;
   return machine->state == FT_MACHINE_UP
-         && scheduler->context.now - ft_machine_no_heartbeat_since (scheduler, machine)
-                > ft_machine_silence_us (scheduler);
+         && context->now - ft_machine_no_heartbeat_since (machine) > ft_machine_silence_us (context);
 }
 
 gboolean
@@ -199,7 +205,6 @@
   return free_amount <= 0 ? 0 : (guint) MIN (free_amount / each + 1e-6, G_MAXUINT16);
 }
 
-/* How many tasks of this kind the machine has room for. */
 guint
 ft_machine_room (const FtMachine *machine, const FtJobSpec *spec)
 {
@@ -211,7 +216,6 @@
   return MIN (n, fits (type->gpus - machine->gpus, spec->gpus));
 }
 
-/* TRUE if nothing is, or may still come to be, on the machine. */
 gboolean
 ft_machine_idle (const FtMachine *machine)
 {
@@ -227,127 +231,14 @@
   return TRUE;
 }
 
-FtAttempt *
-ft_attempt_new (FtMachine *machine, FtJob *job, const char *ref, guint index, guint64 id)
-{
-  FtAttempt *attempt = g_new0 (FtAttempt, 1);
-  attempt->id = id;
-  attempt->job = job;
-  attempt->job_ref = g_strdup (ref);
-  attempt->index = index;
-  attempt->machine = machine;
-  attempt->incarnation = machine->incarnation;
-  if (job != NULL) {
-    attempt->team = job->team;
-    attempt->cpus = job->spec->cpus;
-    attempt->gpus = job->spec->gpus;
-    attempt->memory_gb = job->spec->memory_gb;
-  }
-  g_hash_table_insert (machine->attempts, attempt, attempt);
-  if (job != NULL)
-    g_hash_table_add (job->attempts, attempt);
-  return attempt;
-}
-
-static void
-count (FtAttempt *attempt, double sign)
-{
-  attempt->machine->cpus += sign * attempt->cpus;
-  attempt->machine->gpus += sign * attempt->gpus;
-  attempt->machine->memory_gb += sign * attempt->memory_gb;
-  if (attempt->team != NULL) {
-    attempt->team->cpus += sign * attempt->cpus;
-    attempt->team->gpus += sign * attempt->gpus;
-  }
-}
-
-void
-ft_attempt_reserve (FtAttempt *attempt)
-{
-  if (!attempt->reserved)
-    count (attempt, 1);
-  attempt->reserved = TRUE;
-}
-
-void
-ft_attempt_release (FtAttempt *attempt)
-{
-  if (attempt->reserved)
-    count (attempt, -1);
-  attempt->reserved = FALSE;
-}
-
-void
-ft_attempt_bind (FtAttempt *attempt, FtTaskState state)
-{
-  FtTask *task = &attempt->job->tasks[attempt->index];
-  g_return_if_fail (task->attempt == NULL);
-  if (!ft_task_set_state (attempt->job, attempt->index, state))
-    return;
-  task->attempt = attempt;
-  attempt->bound = TRUE;
-}
-
-static void
-unbind (FtAttempt *attempt)
-{
-  if (!attempt->bound)
-    return;
-  FtJob *job = attempt->job;
-  FtTask *task = &job->tasks[attempt->index];
-  attempt->bound = FALSE;
-  task->attempt = NULL;
-  if (task->state == FT_TASK_FINISHED || task->state == FT_TASK_DONE)
-    return;
-  ft_task_set_state (job, attempt->index, job->state < FT_JOB_CANCELLING ? FT_TASK_QUEUED : FT_TASK_CANCELLED);
-}
-
-void
-ft_attempt_want_stop (FtAttempt *attempt, double grace_s)
-{
-  if (attempt->stop_wanted && attempt->grace_s <= grace_s)
-    return;
-  attempt->stop_wanted = TRUE;
-  attempt->stop_sent = FALSE;
-  attempt->grace_s = grace_s;
-  ft_machine_queue_direct (attempt->machine);
-}
-
 void
-ft_attempt_end (FtScheduler *scheduler, FtAttempt *attempt)
-{
-  FtMachine *machine = attempt->machine;
-  ft_attempt_release (attempt);
-  unbind (attempt);
-  scheduler->context.placement_due = TRUE;
-  if (ft_machine_idle (machine))
-    machine->idle_since = scheduler->context.now;
-  if (!(attempt->exited && attempt->listed))
-    g_hash_table_remove (machine->attempts, attempt);
-}
-
-/* Everything that ran in the incarnations so far is over. */
-void
-ft_machine_end_incarnation (FtScheduler *scheduler, FtMachine *machine)
+ft_machine_end_incarnation (FtMachine *machine)
 {
   g_autoptr (GList) all = g_hash_table_get_values (machine->attempts);
   for (GList *link = all; link != NULL; link = link->next) {
     FtAttempt *attempt = link->data;
     attempt->listed = FALSE;
-    ft_attempt_end (scheduler, attempt);
+    ft_attempt_end (attempt);
   }
   machine->expired_incarnation = MAX (machine->expired_incarnation, machine->incarnation);
 }
-
-void
-ft_machine_gone (FtScheduler *scheduler, FtMachine *machine, const char *why)
-{
-  g_message ("machine %s: gone (%s)", machine->name, why);
-  ft_machine_end_incarnation (scheduler, machine);
-  ft_machine_set_reconciled (machine);
-  g_queue_remove (&scheduler->autoscaler.terminating, machine);
-  ft_machine_set_state (machine, FT_MACHINE_GONE);
-  g_hash_table_add (scheduler->machine_table.gone, g_strdup (machine->name));
-  ft_registry_remove (scheduler, machine);
-  scheduler->context.placement_due = TRUE;
-}
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -1,25 +1,50 @@
-/* A machine as the leader knows it. */
+/* A machine as the leader knows it: its lifecycle, what it holds and whether it may be used.
+ *
+ *     BOOTING ----> UP <----> SILENT        UP and SILENT follow the machine's heartbeats
+ *        |          |           |
+ *        +----------+-----------+---> TERMINATING ---> GONE
+ *
+ * A machine becomes known when a launch is answered, when the cloud lists it, when its first
+ * heartbeat arrives or when the registry is read after a takeover. TERMINATING is final but for GONE:
+ * from then on it gets no starts, and the cloud is asked to return it until it confirms. A machine
+ * that is GONE stays in the table while a request that concerns it is in flight.
+ *
+ * Machines are owned by the machine table. They know nothing of the modules above: what these have
+ * to do for a machine is put in one of the queues of FtMachineQueues, and that a placement pass may
+ * find something is noted in the context. */
 #pragma once
 #include "core/attempt.h"
+#include "core/context.h"
 #include "core/types.h"
-#include "core/zone.h"
 
-typedef struct _FtScheduler FtScheduler;
+typedef struct _FtZone FtZone;
 typedef struct _FtRegistryRow FtRegistryRow;
 
 typedef enum {
-  FT_MACHINE_BOOTING, /* launched, not heard from */
-  FT_MACHINE_UP,
-  FT_MACHINE_SILENT,      /* was heard, now is not */
-  FT_MACHINE_TERMINATING, /* gets no starts; the cloud is being told */
-  FT_MACHINE_GONE,
+  FT_MACHINE_BOOTING,     /* launched, no heartbeat yet */
+  FT_MACHINE_UP,          /* its heartbeats come */
+  FT_MACHINE_SILENT,      /* its heartbeats came, and no longer do */
+  FT_MACHINE_TERMINATING, /* gets no starts; the cloud is asked to return it */
+  FT_MACHINE_GONE,        /* returned or failed */
 } FtMachineState;
 
+/* Machines that wait for something to be done for them. A machine is in each at most once. Owned
+ * by the scheduler; filled by the machines. */
+typedef struct {
+  GQueue directs;     /* FtMachine that may want a direct request; emptied by the command queue */
+  GQueue probes;      /* FtMachine that may want a probe; emptied by the command queue */
+  GQueue terminating; /* FtMachine in FT_MACHINE_TERMINATING; read by the cloud calls */
+} FtMachineQueues;
+
+void ft_machine_queues_init (FtMachineQueues *queues);
+void ft_machine_queues_clear (FtMachineQueues *queues);
+
 struct _FtMachine {
-  FtScheduler *scheduler; /* borrowed */
+  FtCoreContext *context;  /* borrowed */
+  FtMachineQueues *queues; /* borrowed */
   char *name, *addr, *zone, *type_name;
-  FtZone *zone_view;         /* of the scheduler's zones */
-  const FtMachineType *type; /* of the scheduler's catalog; NULL if not in it */
+  FtZone *zone_view;         /* of the machine table's zones */
+  const FtMachineType *type; /* of the context's catalog; NULL if not in it */
   gboolean spot;
   FtMachineState state; /* changed by ft_machine_set_state() only */
   guint64 incarnation, sequence;
@@ -27,14 +52,14 @@
   gboolean acknowledged_token; /* it has shown our token: a heartbeat with a lower one is a late copy */
   guint64 answered;            /* highest sequence of this incarnation that we have answered */
   guint unacknowledged;        /* newer heartbeats in a row that show nothing of our answers */
-  gint64 not_receiving_since;  /* 0: it hears us, for all we know */
+  gint64 not_receiving_since;  /* 0: it receives our answers, for all we know */
   gint64 launched_at, last_status_at, last_answer, idle_since;
   gint64 last_heartbeat_at; /* its last heartbeat of its own, not the answer to a command of ours */
-  gint64 notice_until;      /* 0: none */
+  gint64 notice_until;      /* when its interruption notice ends; 0: none */
   gint64 probe_at;
   guint probe_fails;             /* direct requests without answer since the last heartbeat */
   gint64 terminate_at;           /* earliest next try of a return */
-  gboolean counted_unreconciled; /* among the scheduler's unreconciled ones */
+  gboolean counted_unreconciled; /* counted by the recovery among the unreconciled machines */
   gboolean reconciled;           /* heard under our token, or certainly empty; ft_machine_set_reconciled() sets it */
   FtRegistryRow *row;            /* the registry row that names it; NULL: none yet */
   FtRegistryRow *split_row;      /* a stored row that names it until `row` is stored; NULL: none */
@@ -52,29 +77,66 @@
   GHashTable *images;           /* names known to be cached */
 };
 
-FtMachine *ft_machine_new (FtScheduler *scheduler, const char *name, const char *addr, const char *type,
-                           const char *zone, gboolean spot);
+/* A machine in FT_MACHINE_BOOTING. Called by ft_machine_table_add(). `addr` may be NULL. */
+FtMachine *ft_machine_new (FtCoreContext *context, FtMachineQueues *queues, FtZone *zone, const char *name,
+                           const char *addr, const char *type, gboolean spot);
 void ft_machine_free (FtMachine *machine);
-gboolean ft_machine_set_state (FtMachine *machine, FtMachineState to);
+
+/* The one place where a machine's state changes. `reason` goes to the log. FALSE: a move that the lifecycle does
+ * not have; refused. */
+gboolean ft_machine_set_state (FtMachine *machine, FtMachineState to, const char *reason);
+
+/* The state's name as operators see it. */
 const char *ft_machine_state_name (FtMachineState state);
-gboolean ft_machine_usable (const FtScheduler *scheduler, const FtMachine *machine);
+
+/* Gives the machine up: no more starts, and the cloud is asked to return it. */
+void ft_machine_terminate (FtMachine *machine, const char *reason);
+
+/* The cloud may have given it an address, or another one. */
+void ft_machine_set_addr (FtMachine *machine, const char *addr);
+
+/* All that the machine may run unseen is known. The recovery is told by the caller. */
 void ft_machine_set_reconciled (FtMachine *machine);
-/* The machine may want a direct request. */
+
+/* The machine may want a direct request, or a probe. */
 void ft_machine_queue_direct (FtMachine *machine);
 void ft_machine_queue_probe (FtMachine *machine);
+
+/* New work may be started on it now. */
+gboolean ft_machine_usable (const FtMachine *machine);
+
+/* The job's constraints allow the machine. */
+gboolean ft_machine_allowed (const FtMachine *machine, const FtJobSpec *spec);
+
+/* How many tasks of this kind the machine has room for. */
 guint ft_machine_room (const FtMachine *machine, const FtJobSpec *spec);
-gboolean ft_machine_not_receiving (const FtMachine *machine);
-gboolean ft_machine_not_reporting (const FtScheduler *scheduler, const FtMachine *machine);
-/* How long a worker keeps its tasks after its last answered report, at most; and how long
- * nothing comes from a machine until it counts as silent. */
-gint64 ft_machine_lease_us (const FtScheduler *scheduler);
-gint64 ft_machine_silence_us (const FtScheduler *scheduler);
-/* After how long without one a machine's report is overdue. */
-gint64 ft_machine_overdue_us (const FtScheduler *scheduler);
-/* Since when it could have reported to us, and has not. */
-gint64 ft_machine_no_heartbeat_since (const FtScheduler *scheduler, const FtMachine *machine);
+
+/* Nothing is, or may still come to be, on the machine, and no result there is needed. */
 gboolean ft_machine_idle (const FtMachine *machine);
-gboolean ft_machine_allowed (const FtMachine *machine, const FtJobSpec *spec);
+
+/* The attempt of that identity on the machine; NULL: none. */
 FtAttempt *ft_machine_attempt (const FtMachine *machine, const char *ref, guint index, guint64 id);
-void ft_machine_end_incarnation (FtScheduler *scheduler, FtMachine *machine);
-void ft_machine_gone (FtScheduler *scheduler, FtMachine *machine, const char *why);
+
+/* Everything that ran in the machine's incarnations so far is over: ends its attempts. */
+void ft_machine_end_incarnation (FtMachine *machine);
+
+/* ---- reachability ---- */
+
+/* Its heartbeats come, but neither answers nor commands seem to reach it. */
+gboolean ft_machine_not_receiving (const FtMachine *machine);
+
+/* Commands reach it, but its heartbeats reach nobody: whatever is started there dies with
+ * its lease. Counted from its own heartbeats alone, while we were there to answer them. */
+gboolean ft_machine_not_reporting (const FtMachine *machine);
+
+/* Since when it could have sent a heartbeat to us, and has not. */
+gint64 ft_machine_no_heartbeat_since (const FtMachine *machine);
+
+/* How long a worker keeps its tasks after its last answered heartbeat, at most, in microseconds. */
+gint64 ft_machine_lease_us (const FtCoreContext *context);
+
+/* How long nothing comes from a machine until it counts as silent, in microseconds. */
+gint64 ft_machine_silence_us (const FtCoreContext *context);
+
+/* After how long without one a machine's heartbeat is overdue, in microseconds. */
+gint64 ft_machine_overdue_us (const FtCoreContext *context);
--- /dev/null
+++ b/src/core/machine_eviction.c
@@ -0,0 +1,261 @@
+#include "core/machine_eviction.h"
+
+#include "core/fault.h"
+
+/* Machines heard, and machines that should be heard and are not. */
+typedef struct {
+  guint heard, lost;
+} HeardCount;
+
+static HeardCount
+count_heard (const FtMachineTable *table)
+{
+  HeardCount count = { 0 };
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, table->machines);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    const FtMachine *machine = value;
+    gboolean heard
+        = machine->state == FT_MACHINE_UP && !ft_machine_not_receiving (machine) && !ft_machine_not_reporting (machine);
+    count.heard += heard;
+    count.lost += !heard && (machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT);
+  }
+  return count;
+}
+
+/* ---- cancelled work ---- */
+
+static gboolean
+holds_cancelled (const FtMachine *machine)
+{
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, machine->attempts);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    const FtAttempt *attempt = value;
+    if (attempt->reserved && attempt->job != NULL && attempt->job->state == FT_JOB_CANCELLING)
+      return TRUE;
+  }
+  return FALSE;
+}
+
+/* The age of the oldest cancellation of which tasks may run unseen; 0: none. */
+static gint64
+unseen_cancellation_age (const FtMachineEviction *eviction)
+{
+  gint64 age = 0;
+  GHashTableIter it;
+  gpointer value;
+  if (eviction->recovery->recovered)
+    return 0;
+  g_hash_table_iter_init (&it, eviction->job_table->jobs);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    const FtJob *job = value;
+    if (job->state == FT_JOB_CANCELLING && job->counts[FT_TASK_UNKNOWN] > 0)
+      age = MAX (age, eviction->context->now - job->cancelled_at);
+  }
+  return age;
+}
+
+/* A cancellation as old as that leaves no time to wait for the machine. */
+static gboolean
+is_pressing (const FtCoreContext *context, gint64 age)
+{
+  return age > (gint64) (FT_CANCELLED_SCALE_IN_SHARE * context->settings->cancel_s * FT_SECOND);
+}
+
+static gboolean
+cloud_answers (const FtCoreContext *context)
+{
+  return context->cloud_answered_at > 0 && context->now - context->cloud_answered_at < ft_seconds (FT_CLOUD_SEEN_S);
+}
+
+/* Any task may have been cancelled since the store was seen last, and one on a machine
+ * that hangs outlives its lease. A leader that is cut off itself hears few machines and
+ * no cloud, and must not give back, late, what its successor uses. */
+static gboolean
+is_store_unreachable (const FtCoreContext *context, HeardCount count)
+{
+  return is_pressing (context, context->now - context->cancellations_known_until)
+         && (FT_STORE_UNREACHABLE_HEARD_RATIO * count.lost <= count.heard || cloud_answers (context));
+}
+
+/* What an unreconciled machine holds nobody knows, and without the store nobody knows what
+ * was cancelled. Given back for that alone, a cut zone would go with each cancellation:
+ * not before half of the time is over. */
+gboolean
+ft_machine_eviction_may_hold_cancelled (const FtMachineEviction *eviction, const FtMachine *machine)
+{
+  return holds_cancelled (machine)
+         || (!machine->reconciled && is_pressing (eviction->context, eviction->unseen_cancellation_us))
+         || (eviction->store_unreachable && !ft_machine_idle (machine));
+}
+
+/* ---- lost machines ---- */
+
+/* The store has been seen since the zone was heard last: it is the zone that is cut off. */
+static gboolean
+zone_alone_lost (const FtCoreContext *context, const FtZone *zone)
+{
+  gint64 silent_since = MAX (zone->last_heard, context->loaded_at);
+  return context->cancellations_known_until > silent_since + ft_seconds (FT_ZONE_STORE_SEEN_S);
+}
+
+/* TRUE if one more machine may be terminated for silence in the present window. */
+static gboolean
+window_allows (FtMachineEviction *eviction, HeardCount count)
+{
+  gint64 now = eviction->context->now;
+  if (now - eviction->window_at > ft_seconds (FT_SILENT_SCALE_IN_WINDOW_S)) {
+    eviction->window_at = now;
+    eviction->window_terminated = 0;
+  }
+  guint most = MAX (FT_SILENT_SCALE_IN_MIN, (guint) (FT_SILENT_SCALE_IN_SHARE * (count.heard + count.lost)));
+  return eviction->window_terminated < most;
+}
+
+/* A controller that is itself cut off must not return a healthy fleet: silence
+ * counts against a machine only while the store and most others are heard, and only
+ * a few machines are given up within a window, unless their whole zone is
+ * unreachable. Machines that do not receive count like silent ones. */
+static gboolean
+may_give_up (FtMachineEviction *eviction, const FtMachine *machine, HeardCount count)
+{
+  const FtCoreContext *context = eviction->context;
+  gboolean window_open = window_allows (eviction, count);
+  gint64 long_silent = ft_seconds (FT_SILENT_MAJORITY_LEASES * context->settings->lease_s);
+  if (context->now - context->cancellations_known_until > ft_seconds (FT_GIVE_UP_STORE_SEEN_S))
+    return FALSE;
+  if (count.lost > count.heard && context->now - ft_machine_no_heartbeat_since (machine) <= long_silent)
+    return FALSE;
+  if (machine->zone_view->unreachable)
+    return zone_alone_lost (context, machine->zone_view);
+  return window_open;
+}
+
+static gboolean
+not_receiving_long (const FtMachine *machine)
+{
+  const FtCoreContext *context = machine->context;
+  /* A controller that is late itself answers too late: that is not the machine's. */
+  return machine->state == FT_MACHINE_UP && ft_machine_not_receiving (machine)
+         && context->now - MAX (machine->not_receiving_since, context->on_time_since)
+                > ft_seconds (FT_NOT_RECEIVING_SCALE_IN_S);
+}
+
+/* Its lease has run out, and so will the next. */
+static gboolean
+not_reporting_long (const FtMachine *machine)
+{
+  const FtCoreContext *context = machine->context;
+  return ft_machine_not_reporting (machine)
+         && context->now - ft_machine_no_heartbeat_since (machine) > ft_machine_lease_us (context);
+}
+
+/* Why a machine is of no use, and may be given up; NULL: it is of use. */
+static const char *
+why_lost (const FtMachine *machine)
+{
+  if (machine->state == FT_MACHINE_SILENT)
+    return "silent";
+  if (not_receiving_long (machine))
+    return "not receiving our answers";
+  return not_reporting_long (machine) ? "not reporting to any controller" : NULL;
+}
+
+/* ---- other reasons ---- */
+
+static gboolean
+taken_by_cloud (const FtMachine *machine)
+{
+  gint64 taken_at = machine->notice_until + ft_seconds (FT_NOTICE_MARGIN_S);
+  return machine->notice_until > 0 && machine->context->now > taken_at
+         && machine->last_status_at < machine->notice_until;
+}
+
+static gboolean
+boot_failed (const FtMachine *machine)
+{
+  double boot_s = machine->type != NULL ? machine->type->boot_s : FT_BOOT_UNKNOWN_S;
+  gint64 limit = ft_seconds (boot_s * FT_BOOT_FACTOR + FT_BOOT_PLUS_S);
+  return machine->state == FT_MACHINE_BOOTING && machine->context->now - machine->launched_at > limit;
+}
+
+/* Seconds since the oldest cancelled start on the machine that got no answer; `others`: there is other work. */
+static double
+doubt_age_s (const FtMachine *machine, gboolean *others)
+{
+  double age_s = 0;
+  GHashTableIter it;
+  gpointer value;
+  *others = FALSE;
+  g_hash_table_iter_init (&it, machine->attempts);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    const FtAttempt *attempt = value;
+    gboolean doubt = attempt->direct_unanswered && !attempt->shown && !attempt->exited && attempt->stop_wanted;
+    if (doubt)
+      age_s = MAX (age_s, (double) (machine->context->now - attempt->placed_at) / FT_SECOND);
+    else
+      *others |= !attempt->exited || attempt->bound;
+  }
+  return age_s;
+}
+
+/* A cancelled task whose direct start got no answer may still start, late, as
+ * long as the machine's incarnation lasts: such a machine is quarantined, emptied and returned. */
+static gboolean
+start_in_doubt (FtMachine *machine)
+{
+  gboolean others;
+  if (!machine->in_doubt)
+    return FALSE; /* nearly all: their attempts need no look */
+  double age_s = doubt_age_s (machine, &others);
+  if (age_s <= FT_DOUBT_S)
+    return FALSE;
+  machine->quarantined = TRUE;
+  return !others || age_s > FT_DOUBT_MAX * machine->context->settings->cancel_s;
+}
+
+/* What ran before it became faulty may well complete. */
+static gboolean
+faulty_and_idle (const FtMachine *machine)
+{
+  return machine->quarantined && machine->reconciled && ft_fault_proven (machine) && ft_machine_idle (machine);
+}
+
+static void
+check_machine (FtMachineEviction *eviction, FtMachine *machine, HeardCount count)
+{
+  const char *lost_why = why_lost (machine);
+  if (taken_by_cloud (machine)) {
+    ft_machine_terminate (machine, "taken by the cloud");
+  } else if (lost_why != NULL
+             && (ft_machine_eviction_may_hold_cancelled (eviction, machine)
+                 || may_give_up (eviction, machine, count))) {
+    eviction->window_terminated += !machine->zone_view->unreachable;
+    ft_machine_terminate (machine, lost_why);
+  } else if (boot_failed (machine)) {
+    ft_machine_terminate (machine, "did not come up");
+  } else if (start_in_doubt (machine)) {
+    ft_machine_terminate (machine, "a cancelled start may still be executed");
+  } else if (faulty_and_idle (machine)) {
+    ft_machine_terminate (machine, "faulty");
+  }
+}
+
+void
+ft_machine_eviction_tick (FtMachineEviction *eviction)
+{
+  GHashTableIter it;
+  gpointer value;
+  HeardCount count = count_heard (eviction->machine_table);
+  eviction->unseen_cancellation_us = unseen_cancellation_age (eviction);
+  eviction->store_unreachable = is_store_unreachable (eviction->context, count);
+  g_hash_table_iter_init (&it, eviction->machine_table->machines);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    FtMachine *machine = value;
+    if (machine->state != FT_MACHINE_TERMINATING && machine->state != FT_MACHINE_GONE)
+      check_machine (eviction, machine, count);
+  }
+}
--- a/src/core/machine_table.h
+++ b/src/core/machine_table.h
@@ -1,10 +1,42 @@
-/* The machines that the leader knows, and names that are gone or drained. */
+/* The machines that the leader knows, their zones, and the names that are gone or drained.
+ *
+ * Owns the machines and the zones. A name that is gone is kept as long as the leadership: a heartbeat or a
+ * list that comes late must not bring the machine back. */
 #pragma once
-#include <glib.h>
+#include "core/machine.h"
+#include "core/zone.h"
 
 typedef struct {
-  GHashTable *machines; /* name -> FtMachine, owned */
-  GHashTable *zones;    /* name -> FtZone, owned */
-  GHashTable *gone;     /* names returned or failed */
-  GHashTable *drained;  /* names drained by operators */
+  FtCoreContext *context;  /* borrowed */
+  FtMachineQueues *queues; /* borrowed */
+  GHashTable *machines;    /* name -> FtMachine, owned */
+  GHashTable *zones;       /* name -> FtZone, owned */
+  GHashTable *gone;        /* names returned or failed */
+  GHashTable *drained;     /* names drained by operators */
 } FtMachineTable;
+
+void ft_machine_table_init (FtMachineTable *table, FtCoreContext *context, FtMachineQueues *queues);
+void ft_machine_table_clear (FtMachineTable *table);
+
+/* Makes a machine of a name that is not known; borrowed. `addr` may be NULL. */
+FtMachine *ft_machine_table_add (FtMachineTable *table, const char *name, const char *addr, const char *type,
+                                 const char *zone, gboolean spot);
+
+/* The machine of that name; borrowed, NULL: not known. */
+FtMachine *ft_machine_table_find (const FtMachineTable *table, const char *name);
+
+/* The name was a machine's that has been returned or has failed. */
+gboolean ft_machine_table_is_gone (const FtMachineTable *table, const char *name);
+
+/* The machine has been returned or has failed: all on it is over. It stays in the table until
+ * ft_machine_table_forget_gone() drops it. */
+void ft_machine_table_set_gone (FtMachineTable *table, FtMachine *machine, const char *reason);
+
+/* By an operator. Remembered by name, also for a machine that is not known. */
+void ft_machine_table_set_drained (FtMachineTable *table, const char *name, gboolean drained);
+
+/* All machines are of the types of the context's catalog, which is new. */
+void ft_machine_table_catalog_changed (FtMachineTable *table);
+
+/* Machines that should be sending heartbeats. */
+guint ft_machine_table_up (const FtMachineTable *table);
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -1,70 +1,59 @@
-/* Places queued tasks: best fit among a few sampled machines with room, all
- * machines scanned if none of the sample has any. */
-#include "core/scheduler_private.h"
+#include "core/placement.h"
 
 #include <math.h>
 
-static gint
-by_urgency (gconstpointer a, gconstpointer b)
+#include "core/placement_rank.h"
+
+void
+ft_placement_init (FtPlacement *placement)
 {
-  const FtJob *job = *(FtJob *const *) a, *y = *(FtJob *const *) b;
-  if (job->starved != y->starved)
-    return job->starved ? -1 : 1;
-  if (job->guaranteed != y->guaranteed)
-    return job->guaranteed ? -1 : 1;
-  if (job->priority != y->priority)
-    return job->priority > y->priority ? -1 : 1;
-  if (job->too_late != y->too_late)
-    return job->too_late ? 1 : -1;
-  gint64 dx = job->deadline_at ? job->deadline_at : G_MAXINT64, dy = y->deadline_at ? y->deadline_at : G_MAXINT64;
-  if (dx != dy)
-    return dx < dy ? -1 : 1;
-  return job->revision < y->revision ? -1 : job->revision > y->revision;
+  placement->order = g_ptr_array_new ();
+  placement->waiting = g_ptr_array_new ();
+  placement->next_attempt = 1;
 }
 
-/* In overload, earliest deadline first makes every job late. What cannot be in
- * time any more lets pass what still can, for a bounded time. */
-static gboolean
-too_late (const FtScheduler *scheduler, const FtJob *job)
+void
+ft_placement_clear (FtPlacement *placement)
 {
-  if (job->deadline_at == 0)
-    return FALSE;
-  gint64 dependencies = (gint64) (job->spec->estimate_s * FT_TOO_LATE_SHARE * FT_SECOND);
-  gint64 patience = (gint64) (FT_TOO_LATE_PATIENCE * (double) (job->deadline_at - job->accepted_at));
-  return scheduler->context.now + dependencies > job->deadline_at
-         && scheduler->context.now < job->deadline_at + patience;
+  g_clear_pointer (&placement->order, g_ptr_array_unref);
+  g_clear_pointer (&placement->waiting, g_ptr_array_unref);
+}
+
+guint
+ft_placement_quota_left (const FtPlacement *placement, const FtTeam *team, const FtJobSpec *spec)
+{
+  FtUnseenCapacity unseen;
+  ft_recovery_unreconciled (placement->recovery, &unseen.cpus, &unseen.gpus);
+  return ft_quota_count (team, spec, &unseen);
 }
 
 static gboolean
-wants_placing (const FtScheduler *scheduler, const FtJob *job)
+wants_placing (const FtPlacement *placement, const FtJob *job)
 {
-  return job->state == FT_JOB_OPEN && job->counts[FT_TASK_QUEUED] > 0 && job->not_before <= scheduler->context.now;
+  return job->state == FT_JOB_OPEN && job->counts[FT_TASK_QUEUED] > 0 && job->not_before <= placement->context->now;
 }
 
 static void
-collect (FtScheduler *scheduler)
+collect (FtPlacement *placement)
 {
   GHashTableIter it;
   gpointer value;
-  g_ptr_array_set_size (scheduler->placement.order, 0);
-  g_hash_table_iter_init (&it, scheduler->job_table.jobs);
+  g_ptr_array_set_size (placement->order, 0);
+  g_hash_table_iter_init (&it, placement->job_table->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtJob *job = value;
     if (job->state != FT_JOB_OPEN || job->team == NULL)
       continue;
-    job->too_late = too_late (scheduler, job);
-    /* Whatever the order is, nothing waits for ever to begin: not what is too late
-     * for its deadline, not the largest jobs of a class. */
-    job->starved = !job->begun && scheduler->context.now - job->ready_at > (gint64) (FT_STARVED_AFTER_S * FT_SECOND);
-    g_ptr_array_add (scheduler->placement.order, job);
+    ft_placement_rank_refresh (job, placement->context->now);
+    g_ptr_array_add (placement->order, job);
   }
-  scheduler->context.looked_at += scheduler->placement.order->len;
-  ft_quota_mark_guaranteed (scheduler);
-  g_ptr_array_sort (scheduler->placement.order, by_urgency);
-  g_ptr_array_set_size (scheduler->placement.waiting, 0);
-  for (guint i = 0; i < scheduler->placement.order->len; i++)
-    if (wants_placing (scheduler, g_ptr_array_index (scheduler->placement.order, i)))
-      g_ptr_array_add (scheduler->placement.waiting, g_ptr_array_index (scheduler->placement.order, i));
+  placement->context->looked_at += placement->order->len;
+  ft_quota_mark_guaranteed (placement->quota, placement->order);
+  g_ptr_array_sort (placement->order, ft_placement_rank_jobs);
+  g_ptr_array_set_size (placement->waiting, 0);
+  for (guint i = 0; i < placement->order->len; i++)
+    if (wants_placing (placement, g_ptr_array_index (placement->order, i)))
+      g_ptr_array_add (placement->waiting, g_ptr_array_index (placement->order, i));
 }
 
 static guint
@@ -93,12 +82,12 @@
   if (!job->spec->one_zone && !job->spec->spread)
     return; /* nobody asks, and a job may have very many tasks */
   for (guint i = 0; i < job->spec->tasks; i++) {
-    const FtAttempt *a = job->tasks[i].attempt;
-    if (a == NULL || !a->reserved)
+    const FtAttempt *attempt = job->tasks[i].attempt;
+    if (attempt == NULL || !attempt->reserved)
       continue;
-    whereabouts->zone = a->machine->zone;
+    whereabouts->zone = attempt->machine->zone;
     guint n = GPOINTER_TO_UINT (g_hash_table_lookup (whereabouts->zone_count, whereabouts->zone));
-    g_hash_table_insert (whereabouts->zone_count, a->machine->zone, GUINT_TO_POINTER (n + 1));
+    g_hash_table_insert (whereabouts->zone_count, attempt->machine->zone, GUINT_TO_POINTER (n + 1));
   }
 }
 
@@ -113,50 +102,20 @@
   return here + 1 <= (job->spec->tasks + 1) / 2;
 }
 
-/* Smaller is better: seconds until the task could start, then the room left and what the
- * machine's kind is expected to cost. */
-static double
-score (const FtMachine *machine, const FtJob *job, double spot_delay_s)
-{
-  const FtJobSpec *spec = job->spec;
-  double wait = 0;
-  if (!g_hash_table_contains (machine->images, spec->image)) {
-    wait = spec->image_gb / MAX (machine->type->fetch_gb_per_s, 1e-3);
-    GHashTableIter it;
-    gpointer value;
-    g_hash_table_iter_init (&it, machine->attempts);
-    while (g_hash_table_iter_next (&it, NULL, &value)) {
-      const FtAttempt *attempt = value;
-      if (attempt->reserved && !attempt->running && attempt->job != NULL
-          && g_strcmp0 (attempt->job->spec->image, spec->image) == 0) {
-        wait *= FT_SCORE_FETCHING; /* another task fetches it already */
-        break;
-      }
-    }
-  }
-  double left = (machine->type->cpus - machine->cpus - spec->cpus) / machine->type->cpus;
-  /* Work that need not begin at once is packed, so that machines come free whole,
-   * the dear ones first. */
-  double pack = job->priority < FT_PRIORITY_HIGH ? FT_SCORE_PACK : 1;
-  double kind = machine->spot ? spot_delay_s : pack * FT_SCORE_ORDINARY_S;
-  return wait + pack * FT_SCORE_LEFT_S * left + kind;
-}
-
 /* A task keeps off the machine where it failed, for a while only: it may be
  * the only one that is allowed. */
 static gboolean
-avoided (const FtScheduler *scheduler, const FtTask *task, const FtMachine *machine)
+avoided (const FtPlacement *placement, const FtTask *task, const FtMachine *machine)
 {
-  return task->avoid == machine && scheduler->context.now < task->not_before + (gint64) (FT_AVOID_S * FT_SECOND);
+  return task->avoid == machine && placement->context->now < task->not_before + ft_seconds (FT_AVOID_S);
 }
 
 static gboolean
-candidate (const FtScheduler *scheduler, const FtJob *job, const FtTask *task, const Whereabouts *whereabouts,
+candidate (const FtPlacement *placement, const FtJob *job, const FtTask *task, const Whereabouts *whereabouts,
            const FtMachine *machine)
 {
-  return ft_machine_usable (scheduler, machine) && ft_machine_allowed (machine, job->spec)
-         && !avoided (scheduler, task, machine) && zone_allowed (job, whereabouts, machine)
-         && ft_machine_room (machine, job->spec) > 0;
+  return ft_machine_usable (machine) && ft_machine_allowed (machine, job->spec) && !avoided (placement, task, machine)
+         && zone_allowed (job, whereabouts, machine) && ft_machine_room (machine, job->spec) > 0;
 }
 
 /* Room for a kind of task that a pass has looked for everywhere in vain: what
@@ -185,23 +144,23 @@
 }
 
 static FtMachine *
-pick (FtScheduler *scheduler, const FtJob *job, const FtTask *task, const Whereabouts *whereabouts, Pass *pass)
+pick (FtPlacement *placement, const FtJob *job, const FtTask *task, const Whereabouts *whereabouts, Pass *pass)
 {
   FtMachine *best = NULL;
   double best_score = INFINITY;
   guint seen = 0;
   if (known_full (pass, job->spec))
     return NULL;
-  double spot_delay_s = ft_spot_risk_delay_s (&scheduler->autoscaler.spot_risk, job->spec);
+  double spot_delay_s = ft_spot_risk_delay_s (placement->spot_risk, job->spec);
   guint n = pass->machines->len,
-        start = n > 0 ? (guint) g_rand_int_range (scheduler->context.random, 0, (gint32) n) : 0;
-  for (guint i = 0; i < n && seen < scheduler->context.tuning.sample_size; i++) {
+        start = n > 0 ? (guint) g_rand_int_range (placement->context->random, 0, (gint32) n) : 0;
+  for (guint i = 0; i < n && seen < placement->context->tuning.sample_size; i++) {
     FtMachine *machine = g_ptr_array_index (pass->machines, (start + i) % n);
-    scheduler->context.looked_at++;
-    if (!candidate (scheduler, job, task, whereabouts, machine))
+    placement->context->looked_at++;
+    if (!candidate (placement, job, task, whereabouts, machine))
       continue;
     seen++;
-    double value = score (machine, job, spot_delay_s);
+    double value = ft_placement_rank_machine (machine, job, spot_delay_s);
     if (value < best_score) {
       best_score = value;
       best = machine;
@@ -215,13 +174,13 @@
 
 /* Attempt numbers rise with the token, so across leaders. */
 static guint64
-next_attempt (FtScheduler *scheduler)
+next_attempt (FtPlacement *placement)
 {
-  return (scheduler->context.token << FT_ATTEMPT_BITS) + scheduler->placement.next_attempt++;
+  return (placement->context->token << FT_ATTEMPT_BITS) + placement->next_attempt++;
 }
 
-/* A task is sent once the job's mark lies beyond it. Raised with some reserve: one
- * change covers many tasks that are placed one by one. */
+/* A task is sent once the job's dispatch watermark lies beyond it. Raised with some reserve: one
+ * write covers many tasks that are placed one by one. */
 static void
 raise_watermark (FtJob *job, guint index)
 {
@@ -234,13 +193,13 @@
 }
 
 static void
-place (FtScheduler *scheduler, FtJob *job, guint index, FtMachine *machine, guint64 id)
+place (FtPlacement *placement, FtJob *job, guint index, FtMachine *machine, guint64 id)
 {
   FtAttempt *attempt = ft_attempt_new (machine, job, job->spec->ref, index, id);
   ft_attempt_reserve (attempt);
   ft_attempt_bind (attempt, FT_TASK_STARTING);
-  attempt->placed_at = scheduler->context.now;
-  attempt->placed_pass = scheduler->placement.pass;
+  attempt->placed_at = placement->context->now;
+  attempt->placed_pass = placement->pass;
   raise_watermark (job, index);
   ft_machine_queue_direct (machine);
   g_message ("task %s/%u: placed on %s attempt %" G_GUINT64_FORMAT, job->spec->ref, index, machine->name, id);
@@ -249,17 +208,17 @@
 /* What is left of a gang that has lost a task can only end: it is stopped, and
  * the gang starts again whole. */
 static gboolean
-gang_ready (FtScheduler *scheduler, FtJob *job)
+gang_ready (FtPlacement *placement, FtJob *job)
 {
   guint unfinished = job->spec->tasks - ft_job_finished (job);
   if (job->counts[FT_TASK_QUEUED] == unfinished)
-    return ft_quota_count (scheduler, job->team, job->spec) >= unfinished;
+    return ft_placement_quota_left (placement, job->team, job->spec) >= unfinished;
   if (job->counts[FT_TASK_UNKNOWN] > 0 || job->spec->kind == FT_KIND_SERVICE)
     return FALSE;
   for (guint i = 0; i < job->spec->tasks; i++) {
-    FtAttempt *a = job->tasks[i].attempt;
-    if (a != NULL && !a->exited)
-      ft_attempt_want_stop (a, job->spec->checkpoint_s > 0 ? job->spec->save_s : 0);
+    FtAttempt *attempt = job->tasks[i].attempt;
+    if (attempt != NULL && !attempt->exited)
+      ft_attempt_want_stop (attempt, job->spec->checkpoint_s > 0 ? job->spec->save_s : 0);
   }
   return FALSE;
 }
@@ -267,26 +226,26 @@
 /* Takes back what this pass placed of a gang that did not fit whole; none of
  * it has left the process. */
 static void
-take_back (FtScheduler *scheduler, FtJob *job)
+take_back (FtPlacement *placement, FtJob *job)
 {
   for (guint i = 0; i < job->spec->tasks; i++) {
-    FtAttempt *a = job->tasks[i].attempt;
-    if (a != NULL && a->placed_pass == scheduler->placement.pass)
-      ft_attempt_end (scheduler, a);
+    FtAttempt *attempt = job->tasks[i].attempt;
+    if (attempt != NULL && attempt->placed_pass == placement->pass)
+      ft_attempt_end (attempt);
   }
 }
 
 /* Puts tasks of the job on the machine while both have more and the team may. */
 static guint
-place_on (FtScheduler *scheduler, FtJob *job, FtMachine *machine, guint most)
+place_on (FtPlacement *placement, FtJob *job, FtMachine *machine, guint most)
 {
   guint placed = 0;
   while (placed < most && ft_machine_room (machine, job->spec) > 0
-         && ft_quota_allows (scheduler, job->team, job->spec)) {
-    guint index = next_queued (job, scheduler->context.now);
-    if (index >= job->spec->tasks || avoided (scheduler, &job->tasks[index], machine))
+         && ft_placement_quota_left (placement, job->team, job->spec) > 0) {
+    guint index = next_queued (job, placement->context->now);
+    if (index >= job->spec->tasks || avoided (placement, &job->tasks[index], machine))
       break;
-    place (scheduler, job, index, machine, next_attempt (scheduler));
+    place (placement, job, index, machine, next_attempt (placement));
     placed++;
   }
   return placed;
@@ -295,136 +254,135 @@
 /* An array: whatever fits, machine by machine. Tasks of a job that share a
  * machine share the fetch of their image and one command. */
 static guint
-place_array (FtScheduler *scheduler, FtJob *job, Pass *pass)
+place_array (FtPlacement *placement, FtJob *job, Pass *pass)
 {
-  Whereabouts w;
+  Whereabouts whereabouts;
   guint placed = 0;
   gboolean zoned = job->spec->one_zone || job->spec->spread;
   /* Unknown tasks could be in any zone: wait until they are found. */
   if (zoned && job->counts[FT_TASK_UNKNOWN] > 0)
     return 0;
-  find_whereabouts (job, &w);
-  while (placed < FT_PASS_TASKS && ft_quota_allows (scheduler, job->team, job->spec)) {
-    guint index = next_queued (job, scheduler->context.now);
+  find_whereabouts (job, &whereabouts);
+  while (placed < FT_PASS_TASKS && ft_placement_quota_left (placement, job->team, job->spec) > 0) {
+    guint index = next_queued (job, placement->context->now);
     if (index >= job->spec->tasks)
       break;
-    FtMachine *machine = pick (scheduler, job, &job->tasks[index], &w, pass);
+    FtMachine *machine = pick (placement, job, &job->tasks[index], &whereabouts, pass);
     if (machine == NULL) {
-      job->no_room_pass = scheduler->placement.pass;
+      job->no_room_pass = placement->pass;
       break;
     }
-    guint n = place_on (scheduler, job, machine, zoned ? 1 : FT_PASS_TASKS - placed);
+    guint n = place_on (placement, job, machine, zoned ? 1 : FT_PASS_TASKS - placed);
     if (n == 0)
       break;
     placed += n;
     if (zoned) {
-      g_hash_table_unref (w.zone_count);
-      find_whereabouts (job, &w);
+      g_hash_table_unref (whereabouts.zone_count);
+      find_whereabouts (job, &whereabouts);
     }
   }
-  g_hash_table_unref (w.zone_count);
+  g_hash_table_unref (whereabouts.zone_count);
   return placed;
 }
 
 /* A gang: all of it or nothing, under one attempt number. */
 static guint
-place_whole (FtScheduler *scheduler, FtJob *job, Pass *pass)
+place_whole (FtPlacement *placement, FtJob *job, Pass *pass)
 {
-  Whereabouts w;
+  Whereabouts whereabouts;
   guint placed = 0;
-  if (!gang_ready (scheduler, job))
+  if (!gang_ready (placement, job))
     return 0;
-  guint64 id = next_attempt (scheduler);
+  guint64 id = next_attempt (placement);
   for (;;) {
-    guint index = next_queued (job, scheduler->context.now);
-    if (index >= job->spec->tasks || !ft_quota_allows (scheduler, job->team, job->spec))
+    guint index = next_queued (job, placement->context->now);
+    if (index >= job->spec->tasks || ft_placement_quota_left (placement, job->team, job->spec) == 0)
       break;
-    find_whereabouts (job, &w);
-    FtMachine *machine = pick (scheduler, job, &job->tasks[index], &w, pass);
-    g_hash_table_unref (w.zone_count);
+    find_whereabouts (job, &whereabouts);
+    FtMachine *machine = pick (placement, job, &job->tasks[index], &whereabouts, pass);
+    g_hash_table_unref (whereabouts.zone_count);
     if (machine == NULL) {
-      job->no_room_pass = scheduler->placement.pass;
+      job->no_room_pass = placement->pass;
       break;
     }
-    place (scheduler, job, index, machine, id);
+    place (placement, job, index, machine, id);
     placed++;
   }
   if (job->counts[FT_TASK_QUEUED] == 0)
     return placed;
-  take_back (scheduler, job);
+  take_back (placement, job);
   return 0;
 }
 
 static guint
-place_job (FtScheduler *scheduler, FtJob *job, Pass *pass)
+place_job (FtPlacement *placement, FtJob *job, Pass *pass)
 {
-  return job->spec->kind == FT_KIND_GANG ? place_whole (scheduler, job, pass) : place_array (scheduler, job, pass);
+  return job->spec->kind == FT_KIND_GANG ? place_whole (placement, job, pass) : place_array (placement, job, pass);
 }
 
 static void
-find_machines (FtScheduler *scheduler, Pass *pass)
+find_machines (FtPlacement *placement, Pass *pass)
 {
   GHashTableIter it;
   gpointer value;
-  pass->machines = g_ptr_array_sized_new (g_hash_table_size (scheduler->machine_table.machines));
-  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
+  pass->machines = g_ptr_array_sized_new (g_hash_table_size (placement->machine_table->machines));
+  g_hash_table_iter_init (&it, placement->machine_table->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
-    if (ft_machine_usable (scheduler, machine) && machine->cpus < machine->type->cpus
+    if (ft_machine_usable (machine) && machine->cpus < machine->type->cpus
         && machine->memory_gb < machine->type->memory_gb)
       g_ptr_array_add (pass->machines, value);
   }
-  scheduler->context.looked_at += g_hash_table_size (scheduler->machine_table.machines);
+  placement->context->looked_at += g_hash_table_size (placement->machine_table->machines);
 }
 
 void
-ft_placement_pass (FtScheduler *scheduler)
+ft_placement_pass (FtPlacement *placement)
 {
   Pass pass = { 0 };
-  scheduler->context.placement_due = FALSE;
-  scheduler->placement.pass++;
-  scheduler->placement.next_pass = scheduler->context.now + (gint64) (FT_PASS_EVERY_S * FT_SECOND);
-  collect (scheduler);
-  if (!scheduler->context.may_start || !scheduler->recovery.loaded || scheduler->placement.waiting->len == 0)
+  placement->context->placement_due = FALSE;
+  placement->pass++;
+  placement->next_pass = placement->context->now + ft_seconds (FT_PASS_EVERY_S);
+  collect (placement);
+  if (!placement->context->may_start || !placement->recovery->loaded || placement->waiting->len == 0)
     return;
-  find_machines (scheduler, &pass);
-  guint placed = 0, preempting = scheduler->context.now >= scheduler->placement.next_preempt ? 0 : FT_PREEMPT_JOBS;
-  for (guint i = 0; i < scheduler->placement.waiting->len && placed < FT_PASS_TASKS; i++) {
-    FtJob *job = g_ptr_array_index (scheduler->placement.waiting, i);
-    placed += place_job (scheduler, job, &pass);
-    if (job->no_room_pass == scheduler->placement.pass && job->counts[FT_TASK_QUEUED] > 0
-        && preempting < FT_PREEMPT_JOBS) {
-      ft_preempt_for (scheduler, job);
+  find_machines (placement, &pass);
+  guint placed = 0, preempting = placement->context->now >= placement->next_preempt ? 0 : FT_PREEMPT_JOBS;
+  for (guint i = 0; i < placement->waiting->len && placed < FT_PASS_TASKS; i++) {
+    FtJob *job = g_ptr_array_index (placement->waiting, i);
+    placed += place_job (placement, job, &pass);
+    if (job->no_room_pass == placement->pass && job->counts[FT_TASK_QUEUED] > 0 && preempting < FT_PREEMPT_JOBS) {
+      ft_preempt_for (placement->preemption, job, ft_placement_quota_left (placement, job->team, job->spec));
       preempting++;
-      scheduler->placement.next_preempt = scheduler->context.now + (gint64) (FT_PREEMPT_EVERY_S * FT_SECOND);
+      placement->next_preempt = placement->context->now + ft_seconds (FT_PREEMPT_EVERY_S);
     }
   }
   g_ptr_array_unref (pass.machines);
-  g_clear_pointer (&scheduler->preemption.victims, g_ptr_array_unref);
+  ft_preempt_end_pass (placement->preemption);
   if (placed >= FT_PASS_TASKS)
-    scheduler->context.placement_due = TRUE;
+    placement->context->placement_due = TRUE;
 }
 
 void
-ft_placement_fill (FtScheduler *scheduler, FtMachine *machine)
+ft_placement_fill (FtPlacement *placement, FtMachine *machine)
 {
-  if (!scheduler->context.may_start || !scheduler->recovery.loaded || !ft_machine_usable (scheduler, machine))
+  if (!placement->context->may_start || !placement->recovery->loaded || !ft_machine_usable (machine))
     return;
-  for (guint i = 0, looked = 0; i < scheduler->placement.waiting->len && looked < FT_FILL_JOBS; i++) {
-    FtJob *job = g_ptr_array_index (scheduler->placement.waiting, i);
-    if (!wants_placing (scheduler, job))
+  for (guint i = 0, looked = 0; i < placement->waiting->len && looked < FT_FILL_JOBS; i++) {
+    FtJob *job = g_ptr_array_index (placement->waiting, i);
+    if (!wants_placing (placement, job))
       continue;
     looked++;
-    scheduler->context.looked_at++;
+    placement->context->looked_at++;
     gboolean plain = job->spec->kind != FT_KIND_GANG && !job->spec->one_zone && !job->spec->spread;
     if (plain && ft_machine_allowed (machine, job->spec))
-      place_on (scheduler, job, machine, FT_PASS_TASKS);
+      place_on (placement, job, machine, FT_PASS_TASKS);
   }
 }
 
 void
-ft_placement_forget (FtScheduler *scheduler, FtJob *job)
+ft_placement_forget (FtPlacement *placement, FtJob *job)
 {
-  g_ptr_array_remove (scheduler->placement.order, job);
-  g_ptr_array_remove (scheduler->placement.waiting, job);
+  g_ptr_array_remove (placement->order, job);
+  g_ptr_array_remove (placement->waiting, job);
 }
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -1,25 +1,25 @@
-/* Makes room for a job that found none: by stopping work of lower priority, or
- * work that another team runs beyond its own guarantee. */
-#include "core/scheduler_private.h"
+#include "core/preempt.h"
 
-/* Stopping is worth it only for what has hardly begun and can still be in time
+#include "core/quota.h"
+
+/* Stopping is worth it only for what has hardly begun, or saves its progress, and can still be in time
  * when it starts again later. */
 static gboolean
-cheap_to_stop (const FtScheduler *scheduler, const FtAttempt *victim)
+cheap_to_stop (const FtAttempt *victim, gint64 now)
 {
   const FtJob *owner = victim->job;
-  double ran = victim->running ? (double) (scheduler->context.now - victim->running_at) / FT_SECOND : 0;
+  double ran = victim->running ? (double) (now - victim->running_at) / FT_SECOND : 0;
   if (owner->spec->checkpoint_s <= 0 && ran > FT_PREEMPT_RAN_SHARE * owner->spec->estimate_s)
     return FALSE;
-  double left = (double) (owner->deadline_at - scheduler->context.now) / FT_SECOND;
+  double left = (double) (owner->deadline_at - now) / FT_SECOND;
   return owner->deadline_at == 0 || left < 0 || left > FT_PREEMPT_SLACK * owner->spec->estimate_s;
 }
 
+/* Whether the job takes precedence over the victim's. */
 static gboolean
-may_stop (const FtScheduler *scheduler, const FtJob *job, const FtAttempt *victim)
+may_stop (const FtJob *job, const FtAttempt *victim, gint64 now)
 {
-  if (!victim->bound || victim->stop_wanted || victim->job == NULL || victim->exited
-      || !cheap_to_stop (scheduler, victim))
+  if (!victim->bound || victim->stop_wanted || victim->job == NULL || victim->exited || !cheap_to_stop (victim, now))
     return FALSE;
   if (job->guaranteed && victim->job->team != job->team && !victim->job->guaranteed)
     return victim->job->team->cpus > victim->job->team->limit->cpus;
@@ -27,68 +27,72 @@
 }
 
 static gint
-youngest_first (gconstpointer a, gconstpointer b)
+youngest_first (gconstpointer first_element, gconstpointer second_element)
 {
-  const FtAttempt *attempt = *(FtAttempt *const *) a, *y = *(FtAttempt *const *) b;
-  return attempt->placed_at > y->placed_at ? -1 : attempt->placed_at < y->placed_at;
+  const FtAttempt *first = *(FtAttempt *const *) first_element;
+  const FtAttempt *second = *(FtAttempt *const *) second_element;
+  return first->placed_at > second->placed_at ? -1 : first->placed_at < second->placed_at;
 }
 
 /* All that might be stopped, found once for a pass and not for each job. */
 static void
-find_victims (FtScheduler *scheduler)
+find_victims (FtPreemption *preemption)
 {
   GHashTableIter machines, attempts;
-  gpointer m, value;
-  scheduler->preemption.victims = g_ptr_array_new ();
-  scheduler->preemption.stops_pending = 0;
-  g_hash_table_iter_init (&machines, scheduler->machine_table.machines);
-  while (g_hash_table_iter_next (&machines, NULL, &m)) {
-    gboolean usable = ft_machine_usable (scheduler, m);
-    g_hash_table_iter_init (&attempts, ((FtMachine *) m)->attempts);
+  gpointer machine, value;
+  preemption->victims = g_ptr_array_new ();
+  preemption->stops_pending = 0;
+  g_hash_table_iter_init (&machines, preemption->machine_table->machines);
+  while (g_hash_table_iter_next (&machines, NULL, &machine)) {
+    gboolean usable = ft_machine_usable (machine);
+    g_hash_table_iter_init (&attempts, ((FtMachine *) machine)->attempts);
     while (g_hash_table_iter_next (&attempts, NULL, &value)) {
       const FtAttempt *attempt = value;
-      scheduler->context.looked_at++;
-      scheduler->preemption.stops_pending += attempt->stop_wanted && !attempt->exited;
+      preemption->context->looked_at++;
+      preemption->stops_pending += attempt->stop_wanted && !attempt->exited;
       if (usable && attempt->bound && !attempt->stop_wanted && !attempt->exited && attempt->job != NULL
-          && cheap_to_stop (scheduler, attempt))
-        g_ptr_array_add (scheduler->preemption.victims, value);
+          && cheap_to_stop (attempt, preemption->context->now))
+        g_ptr_array_add (preemption->victims, value);
     }
   }
-  g_ptr_array_sort (scheduler->preemption.victims, youngest_first);
+  g_ptr_array_sort (preemption->victims, youngest_first);
 }
 
 static FtAttempt *
-youngest_victim (FtScheduler *scheduler, const FtJob *job, guint *from)
+youngest_victim (FtPreemption *preemption, const FtJob *job, guint *from)
 {
-  for (; *from < scheduler->preemption.victims->len; (*from)++) {
-    FtAttempt *victim = g_ptr_array_index (scheduler->preemption.victims, *from);
-    scheduler->context.looked_at++;
-    if (may_stop (scheduler, job, victim) && victim->cpus >= job->spec->cpus
+  for (; *from < preemption->victims->len; (*from)++) {
+    FtAttempt *victim = g_ptr_array_index (preemption->victims, *from);
+    preemption->context->looked_at++;
+    if (may_stop (job, victim, preemption->context->now) && victim->cpus >= job->spec->cpus
         && ft_machine_allowed (victim->machine, job->spec))
       return victim;
   }
   return NULL;
 }
 
-gboolean
-ft_preempt_for (FtScheduler *scheduler, FtJob *job)
+void
+ft_preempt_for (FtPreemption *preemption, const FtJob *job, guint quota_left)
 {
-  if (scheduler->context.now - job->ready_at < (gint64) (FT_PREEMPT_AFTER_S * FT_SECOND))
-    return FALSE;
-  if (scheduler->preemption.victims == NULL)
-    find_victims (scheduler);
-  guint wanted = MIN (job->counts[FT_TASK_QUEUED], ft_quota_count (scheduler, job->team, job->spec));
+  if (preemption->context->now - job->ready_at < ft_seconds (FT_PREEMPT_AFTER_S))
+    return;
+  if (preemption->victims == NULL)
+    find_victims (preemption);
+  guint wanted = MIN (job->counts[FT_TASK_QUEUED], quota_left);
   guint from = 0;
-  gboolean any = FALSE;
-  while (scheduler->preemption.stops_pending < wanted) {
-    FtAttempt *victim = youngest_victim (scheduler, job, &from);
+  while (preemption->stops_pending < wanted) {
+    FtAttempt *victim = youngest_victim (preemption, job, &from);
     if (victim == NULL)
       break;
-    g_message ("task %s/%u: stopped on %s for job %s", victim->job_ref, victim->index, victim->machine->name,
-               job->spec->ref);
+    g_message ("task %s/%u: stopped on %s (preempted for job %s)", victim->job_ref, victim->index,
+               victim->machine->name, job->spec->ref);
     ft_attempt_want_stop (victim, victim->job->spec->checkpoint_s > 0 ? victim->job->spec->save_s : 0);
-    scheduler->preemption.stops_pending++;
-    any = TRUE;
+    preemption->stops_pending++;
   }
-  return any;
+}
+
+void
+ft_preempt_end_pass (FtPreemption *preemption)
+{
+  g_clear_pointer (&preemption->victims, g_ptr_array_unref);
 }
--- /dev/null
+++ b/src/core/probes.h
@@ -0,0 +1,30 @@
+/* Probes: requests without commands that ask a worker for its status.
+ *
+ * A machine is probed while it is not reconciled after a takeover, while it seems not to receive our answers, and when
+ * its heartbeat is overdue: the probe tells whether the machine or only the exchange is lost. The scheduler's tick puts
+ * machines in the queue of probes; the command queue takes them out. */
+#pragma once
+#include "core/direct_command.h"
+#include "core/machine.h"
+
+typedef struct {
+  guint in_flight; /* bounded, so that machines that do not answer keep out no others */
+} FtProbes;
+
+/* Since when nothing has come from the machine, for all we can tell. */
+gint64 ft_machine_silent_since (const FtMachine *machine);
+
+/* The ordinary gap between two heartbeats is over. */
+gboolean ft_machine_heartbeat_overdue (const FtMachine *machine);
+
+/* The machine is to be probed now. */
+gboolean ft_machine_wants_probe (const FtMachine *machine);
+
+/* The next probe to send, of the machines in the queue: new; NULL: none. */
+FtDirect *ft_probes_next (FtProbes *probes, FtMachineQueues *queues);
+
+/* A request to the machine got no answer. */
+void ft_probes_unanswered (FtMachine *machine);
+
+/* The machine refused a request for its incarnation, which it has named: it is asked again at once. */
+void ft_probes_again (FtMachine *machine);
--- a/src/core/recovery.c
+++ b/src/core/recovery.c
@@ -3,20 +3,19 @@
 #include "core/scheduler_private.h"
 
 static void
-count (FtMachine *machine, int sign)
+count (FtRecovery *recovery, FtMachine *machine, int sign)
 {
-  FtScheduler *scheduler = machine->scheduler;
   machine->counted_unreconciled = sign > 0;
-  scheduler->recovery.unreconciled += (guint) sign;
-  scheduler->recovery.unreconciled_cpus += sign * (machine->type != NULL ? machine->type->cpus : FT_CAPACITY_UNKNOWN);
-  scheduler->recovery.unreconciled_gpus += sign * (machine->type != NULL ? machine->type->gpus : FT_CAPACITY_UNKNOWN);
+  recovery->unreconciled += (guint) sign;
+  recovery->unreconciled_cpus += sign * (machine->type != NULL ? machine->type->cpus : FT_CAPACITY_UNKNOWN);
+  recovery->unreconciled_gpus += sign * (machine->type != NULL ? machine->type->gpus : FT_CAPACITY_UNKNOWN);
 }
 
 void
-ft_recovery_uncount (FtMachine *machine)
+ft_recovery_uncount (FtRecovery *recovery, FtMachine *machine)
 {
   if (machine->counted_unreconciled)
-    count (machine, -1);
+    count (recovery, machine, -1);
 }
 
 /* Counts the machines that may run tasks we do not see, and what they can hold:
@@ -36,15 +35,15 @@
     FtMachine *machine = value;
     machine->counted_unreconciled = FALSE;
     if (!machine->reconciled)
-      count (machine, 1);
+      count (&scheduler->recovery, machine, 1);
   }
 }
 
 void
-ft_recovery_unreconciled (const FtScheduler *scheduler, double *cpus, double *gpus)
+ft_recovery_unreconciled (const FtRecovery *recovery, double *cpus, double *gpus)
 {
-  *cpus = scheduler->recovery.loaded ? scheduler->recovery.unreconciled_cpus : FT_CAPACITY_UNKNOWN;
-  *gpus = scheduler->recovery.loaded ? scheduler->recovery.unreconciled_gpus : FT_CAPACITY_UNKNOWN;
+  *cpus = recovery->loaded ? recovery->unreconciled_cpus : FT_CAPACITY_UNKNOWN;
+  *gpus = recovery->loaded ? recovery->unreconciled_gpus : FT_CAPACITY_UNKNOWN;
 }
 
 static void
--- a/src/core/recovery.h
+++ b/src/core/recovery.h
@@ -13,5 +13,5 @@
 
 void ft_recovery_tick (FtScheduler *scheduler);
 void ft_recovery_recount (FtScheduler *scheduler);
-void ft_recovery_uncount (FtMachine *machine);
-void ft_recovery_unreconciled (const FtScheduler *scheduler, double *cpus, double *gpus);
+void ft_recovery_uncount (FtRecovery *recovery, FtMachine *machine);
+void ft_recovery_unreconciled (const FtRecovery *recovery, double *cpus, double *gpus);
--- /dev/null
+++ b/src/core/scale_out.c
@@ -0,0 +1,121 @@
+#include "core/scale_out.h"
+
+#include <math.h>
+
+#include "core/capacity_supply.h"
+
+static guint
+machines_in (const FtMachineTable *table, const FtCloudPool *pool)
+{
+  guint count = 0;
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, table->machines);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    const FtMachine *machine = value;
+    count += machine->spot == pool->spot && g_strcmp0 (machine->zone, pool->zone) == 0
+             && g_strcmp0 (machine->type_name, pool->type) == 0;
+  }
+  return count;
+}
+
+/* TRUE if one more spot machine keeps within the operators' share. */
+static gboolean
+spot_allowed (const FtMachineTable *table)
+{
+  guint spot = 0, all = 0;
+  GHashTableIter it;
+  gpointer value;
+  if (table->context->tuning.spot_share >= 1)
+    return TRUE;
+  g_hash_table_iter_init (&it, table->machines);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    const FtMachine *machine = value;
+    if (machine->state == FT_MACHINE_GONE || machine->state == FT_MACHINE_TERMINATING)
+      continue;
+    all++;
+    spot += machine->spot;
+  }
+  return spot + 1 <= table->context->tuning.spot_share * (all + 1);
+}
+
+static gboolean
+may_launch (const FtMachineTable *table, const FtCloudPool *pool)
+{
+  gint64 now = table->context->now;
+  return pool->booking == NULL && pool->refused_until <= now
+         && ft_zone_launchable (ft_zone_get (table->zones, pool->zone), now) > 0;
+}
+
+/* The cheapest pool that has not refused of late; among equals the emptiest,
+ * so that a wave that takes one zone's spot machines takes few of ours. */
+static FtCloudPool *
+best_pool (FtMachineTable *table, FtCloudPools *pools, const FtCapacityDemand *demand)
+{
+  const FtMachineType *type = demand->type;
+  FtCloudPool *best = NULL;
+  double best_cost = INFINITY;
+  gboolean spot_ok = demand->spot && spot_allowed (table);
+  for (guint i = 0; type->zones != NULL && type->zones[i] != NULL; i++) {
+    if (demand->zone != NULL && g_strcmp0 (type->zones[i], demand->zone) != 0)
+      continue;
+    for (int spot = spot_ok ? 1 : 0; spot >= 0; spot--) {
+      FtCloudPool *pool = ft_cloud_pools_get (pools, type->name, type->zones[i], spot);
+      if (!may_launch (table, pool))
+        continue;
+      double price = spot ? type->spot_price : type->price;
+      double cost = price * FT_POOL_PRICE_WEIGHT + machines_in (table, pool);
+      if (cost < best_cost) {
+        best_cost = cost;
+        best = pool;
+      }
+    }
+  }
+  return best;
+}
+
+static void
+launch (FtMachineTable *table, FtCloudPools *pools, const FtCapacityDemand *demand, guint wanted)
+{
+  const FtCoreContext *context = table->context;
+  FtCloudPool *pool = best_pool (table, pools, demand);
+  if (pool == NULL || wanted == 0)
+    return;
+  FtZone *zone = ft_zone_get (table->zones, pool->zone);
+  guint count = MIN (MIN (wanted, FT_SCALE_OUT_MAX), ft_zone_launchable (zone, context->now));
+  ft_zone_launched (zone, context->now);
+  if (pool->spot && context->tuning.spot_share < 1)
+    count = 1; /* one at a time, to keep within the share */
+  ft_cloud_pools_request (pools, pool, count, context->token, context->now);
+}
+
+/* TRUE if a job of this demand has found no room for longer than a machine takes to boot. */
+static gboolean
+blocked_long (const FtPlacement *placement, const FtCapacityDemand *demand)
+{
+  gint64 boot_us = ft_seconds (demand->type->boot_s);
+  for (guint i = 0; i < placement->order->len; i++) {
+    const FtJob *job = g_ptr_array_index (placement->order, i);
+    if (job->no_room_pass == placement->pass && job->spec->spot == demand->spot
+        && g_strcmp0 (job->spec->zone, demand->zone) == 0 && placement->context->now - job->ready_at > boot_us)
+      return TRUE;
+  }
+  return FALSE;
+}
+
+void
+ft_scale_out_plan (const FtPlacement *placement, FtMachineTable *table, FtCloudPools *pools)
+{
+  g_autoptr (GArray) demands = ft_capacity_demand_find (placement);
+  for (guint i = 0; i < demands->len; i++) {
+    const FtCapacityDemand *demand = &g_array_index (demands, FtCapacityDemand, i);
+    FtCapacitySupply supply = ft_capacity_supply_find (table, pools, demand);
+    double reserve = ft_capacity_headroom (table->context) * supply.in_use;
+    double wanted = demand->machines + reserve - supply.free - supply.booting;
+    /* A small rest waits for room to come free, unless none can come: the one
+     * small job of a site without a machine must get one too. */
+    gboolean stuck = demand->blocked && supply.booting < 1 && (supply.in_use <= 0 || blocked_long (placement, demand));
+    if (wanted > FT_SCALE_OUT_FROM || stuck)
+      launch (table, pools, demand, (guint) MAX (1, ceil (wanted)));
+  }
+}
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -1,10 +1,37 @@
 #include "core/scheduler.h"
 
 #include "core/autoscaler.h"
+#include "core/direct_commands.h"
 #include "core/scheduler_private.h"
 
 /* ---- life ---- */
 
+/* Lends the modules that deal with machines what they need of each other. */
+static void
+init_workers (FtScheduler *scheduler)
+{
+  scheduler->worker_heartbeats = (FtWorkerHeartbeats){ .context = &scheduler->context,
+                                                       .machine_table = &scheduler->machine_table,
+                                                       .job_table = &scheduler->job_table,
+                                                       .spot_risk = &scheduler->spot_risk };
+  scheduler->preemption = (FtPreemption){ .context = &scheduler->context, .machine_table = &scheduler->machine_table };
+  scheduler->placement = (FtPlacement){ .context = &scheduler->context,
+                                        .machine_table = &scheduler->machine_table,
+                                        .job_table = &scheduler->job_table,
+                                        .quota = &scheduler->quota,
+                                        .recovery = &scheduler->recovery,
+                                        .spot_risk = &scheduler->spot_risk,
+                                        .preemption = &scheduler->preemption };
+  ft_placement_init (&scheduler->placement);
+  scheduler->autoscaler = (FtAutoscaler){ .context = &scheduler->context,
+                                          .machine_table = &scheduler->machine_table,
+                                          .job_table = &scheduler->job_table,
+                                          .placement = &scheduler->placement,
+                                          .recovery = &scheduler->recovery,
+                                          .spot_risk = &scheduler->spot_risk };
+  ft_autoscaler_init (&scheduler->autoscaler);
+}
+
 FtScheduler *
 ft_scheduler_new (const FtSettings *settings, FtCatalog *catalog, guint64 token, gint64 answer_grace_us, gint64 now,
                   guint32 seed)
@@ -16,27 +43,16 @@
   scheduler->context.answer_grace_us = answer_grace_us;
   scheduler->context.now = scheduler->context.took_over_at = scheduler->context.cancellations_known_until = now;
   scheduler->context.random = g_rand_new_with_seed (seed);
-  scheduler->placement.next_attempt = scheduler->autoscaler.next_booking = 1;
   ft_tuning_defaults (&scheduler->context.tuning);
   scheduler->registry.value_divisor = 1;
-  scheduler->machine_table.drained = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  scheduler->quota.teams = g_new0 (FtTeam, settings->n_teams);
-  for (guint i = 0; i < settings->n_teams; i++)
-    scheduler->quota.teams[i].limit = &settings->teams[i];
+  ft_quota_init (&scheduler->quota, settings);
   ft_open_jobs_init (scheduler);
-  scheduler->machine_table.machines
-      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_machine_free);
-  scheduler->machine_table.zones = ft_zones_new ();
-  scheduler->machine_table.gone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  scheduler->autoscaler.pools = ft_autoscaler_pools_new ();
-  scheduler->placement.order = g_ptr_array_new ();
-  scheduler->placement.waiting = g_ptr_array_new ();
+  ft_machine_queues_init (&scheduler->machine_queues);
+  ft_machine_table_init (&scheduler->machine_table, &scheduler->context, &scheduler->machine_queues);
+  init_workers (scheduler);
   scheduler->registry.rows
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_registry_row_free);
   g_queue_init (&scheduler->write_queue.pending_jobs);
-  g_queue_init (&scheduler->command_queue.directs);
-  g_queue_init (&scheduler->command_queue.probes);
-  g_queue_init (&scheduler->autoscaler.terminating);
   g_queue_init (&scheduler->registry.pending_rows);
   g_queue_init (&scheduler->registry.drain_deletions);
   g_queue_init (&scheduler->write_queue.chunk_deletions);
@@ -49,25 +65,19 @@
   if (scheduler == NULL)
     return;
   /* Attempts know their jobs: machines go first. */
-  g_hash_table_unref (scheduler->machine_table.machines);
+  ft_machine_table_clear (&scheduler->machine_table);
   ft_open_jobs_clear (scheduler);
-  g_hash_table_unref (scheduler->machine_table.zones);
-  g_hash_table_unref (scheduler->machine_table.gone);
-  g_hash_table_unref (scheduler->machine_table.drained);
-  g_hash_table_unref (scheduler->autoscaler.pools);
-  g_ptr_array_unref (scheduler->placement.order);
-  g_ptr_array_unref (scheduler->placement.waiting);
+  ft_autoscaler_clear (&scheduler->autoscaler);
+  ft_placement_clear (&scheduler->placement);
   g_hash_table_unref (scheduler->registry.rows);
   g_queue_clear (&scheduler->write_queue.pending_jobs);
-  g_queue_clear (&scheduler->command_queue.directs);
-  g_queue_clear (&scheduler->command_queue.probes);
-  g_queue_clear (&scheduler->autoscaler.terminating);
+  ft_machine_queues_clear (&scheduler->machine_queues);
   g_queue_clear (&scheduler->registry.pending_rows);
   g_queue_clear_full (&scheduler->registry.drain_deletions, g_free);
   g_queue_clear_full (&scheduler->write_queue.chunk_deletions, (GDestroyNotify) ft_write_free);
   g_rand_free (scheduler->context.random);
   ft_catalog_unref (scheduler->context.catalog);
-  g_free (scheduler->quota.teams);
+  ft_quota_clear (&scheduler->quota);
   g_free (scheduler);
 }
 
@@ -90,28 +100,14 @@
   ft_catalog_ref (catalog);
   ft_catalog_unref (scheduler->context.catalog);
   scheduler->context.catalog = catalog;
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
-  while (g_hash_table_iter_next (&it, NULL, &value)) {
-    FtMachine *machine = value;
-    machine->type = ft_catalog_find (catalog, machine->type_name);
-  }
+  ft_machine_table_catalog_changed (&scheduler->machine_table);
   ft_recovery_recount (scheduler);
 }
 
 guint
 ft_scheduler_up (const FtScheduler *scheduler)
 {
-  guint n = 0;
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
-  while (g_hash_table_iter_next (&it, NULL, &value)) {
-    FtMachineState state = ((FtMachine *) value)->state;
-    n += state == FT_MACHINE_UP || state == FT_MACHINE_SILENT;
-  }
-  return n;
+  return ft_machine_table_up (&scheduler->machine_table);
 }
 
 /* ---- recovery ---- */
@@ -125,12 +121,11 @@
     ft_registry_loaded (scheduler, row, known);
     return;
   }
-  FtMachine *machine = ft_machine_new (scheduler, name, addr, type, zone, spot);
+  FtMachine *machine = ft_machine_table_add (&scheduler->machine_table, name, addr, type, zone, spot);
   ft_registry_loaded (scheduler, row, machine);
   /* A former leader that lost the store may have answered it until then. */
   machine->last_answer = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
   machine->last_status_at = scheduler->context.now;
-  g_hash_table_insert (scheduler->machine_table.machines, machine->name, machine);
 }
 
 void
@@ -148,7 +143,7 @@
     machine->probe_at = now + ft_seconds (FT_PROBE_FIRST_S);
     machine->last_answer = MAX (machine->last_answer, now); /* it may have been answered while we read */
     if (machine->state == FT_MACHINE_BOOTING && machine->registered)
-      ft_machine_set_state (machine, FT_MACHINE_UP);
+      ft_machine_set_state (machine, FT_MACHINE_UP, "in the registry");
   }
   ft_recovery_recount (scheduler);
   ft_recovery_tick (scheduler);
@@ -171,34 +166,19 @@
    * not: what was on the machine is over only when a heartbeat of a later incarnation
    * comes or the machine is gone. The expired incarnation is not used again. */
   if (machine->incarnation > machine->expired_incarnation && machine->last_answer > 0
-      && scheduler->context.now > machine->last_answer + ft_machine_lease_us (scheduler)) {
-    g_message ("machine %s: worker lease over, session %" G_GUINT64_FORMAT, machine->name, machine->incarnation);
+      && scheduler->context.now > machine->last_answer + ft_machine_lease_us (&scheduler->context)) {
+    g_message ("machine %s: worker lease over, incarnation %" G_GUINT64_FORMAT, machine->name, machine->incarnation);
     machine->expired_incarnation = machine->incarnation;
   }
   /* Probes alone tell nothing while a heartbeat is not due: right after a takeover
    * this controller is busy, and gives back no healthy fleet for its own lateness. */
   gboolean silent
-      = scheduler->context.now - ft_machine_silent_since (scheduler, machine) > ft_machine_silence_us (scheduler)
-        || (ft_machine_heartbeat_overdue (scheduler, machine)
+      = scheduler->context.now - ft_machine_silent_since (machine) > ft_machine_silence_us (&scheduler->context)
+        || (ft_machine_heartbeat_overdue (machine)
             && (machine->zone_view->unreachable
                 || machine->probe_fails >= (machine->reconciled ? FT_PROBES : FT_PROBES_TAKEOVER)));
   if (machine->state == FT_MACHINE_UP && silent)
-    ft_machine_set_state (machine, FT_MACHINE_SILENT);
-}
-
-/* What no event tells of: a command that could not be sent when it came up. */
-static gboolean
-wants_direct (const FtMachine *machine)
-{
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init (&it, machine->attempts);
-  while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtAttempt *attempt = value;
-    if (!attempt->exited && (attempt->stop_wanted ? !attempt->stop_sent : !attempt->shown))
-      return TRUE;
-  }
-  return FALSE;
+    ft_machine_set_state (machine, FT_MACHINE_SILENT, "no heartbeat");
 }
 
 void
@@ -211,22 +191,22 @@
   if (scheduler->context.last_tick > 0 && now - scheduler->context.last_tick > ft_seconds (FT_LATE_TICK_S))
     scheduler->context.on_time_since = now;
   scheduler->context.last_tick = now;
-  ft_zones_update (scheduler);
+  ft_zones_update (scheduler->machine_table.zones, scheduler->machine_table.machines, &scheduler->context);
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
     check_machine (scheduler, machine);
-    if (wants_direct (machine))
+    if (ft_direct_commands_wanted (machine))
       ft_machine_queue_direct (machine);
-    if (ft_machine_wants_probe (scheduler, machine))
+    if (ft_machine_wants_probe (machine))
       ft_machine_queue_probe (machine);
     if (machine->state == FT_MACHINE_GONE && !machine->command_in_flight && !machine->terminate_in_flight)
       g_hash_table_iter_remove (&it);
   }
   ft_recovery_tick (scheduler);
-  ft_placement_pass (scheduler); /* pauses end with time alone */
+  ft_placement_pass (&scheduler->placement); /* pauses end with time alone */
   if (scheduler->recovery.loaded)
-    ft_autoscaler_tick (scheduler);
+    ft_autoscaler_tick (&scheduler->autoscaler);
 }
 
 void
@@ -237,7 +217,7 @@
   /* Many reports come between two passes; what each has freed is filled by its
    * answer, without one. */
   if (scheduler->context.placement_due && now >= scheduler->placement.next_pass)
-    ft_placement_pass (scheduler);
+    ft_placement_pass (&scheduler->placement);
 }
 
 void
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -5,6 +5,8 @@
  * microseconds of the steady clock; walls are milliseconds of the time of day.
  * Strings and arrays passed in stay the caller's unless said otherwise. */
 #pragma once
+#include "core/cloud_call.h"
+#include "core/direct_command.h"
 #include "core/tuning.h"
 #include "core/types.h"
 
@@ -55,35 +57,15 @@
 /* The commands for the answer to this report. `starts`: the lease allows it. */
 GArray *ft_scheduler_answer (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now);
 
-/* A direct request to one machine. Probes have no commands. */
-typedef struct {
-  char *machine, *addr;
-  guint64 incarnation;
-  GArray *commands; /* FtCommand */
-} FtDirect;
-void ft_direct_free (FtDirect *direct);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtDirect, ft_direct_free)
 /* The next request to send, or NULL. */
 FtDirect *ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now);
-typedef enum { FT_DIRECT_OK, FT_DIRECT_CONFLICT, FT_DIRECT_UNANSWERED } FtDirectResult;
 /* `report` may be NULL. Returns FALSE if a higher token was seen. */
 gboolean ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirect *direct, FtDirectResult result,
                                    const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* ---- cloud ---- */
 void ft_scheduler_listed (FtScheduler *scheduler, GArray *list, gint64 now);
-typedef enum { FT_CLOUD_SCALE_OUT, FT_CLOUD_SCALE_IN } FtCloudOp;
-typedef struct {
-  FtCloudOp op;
-  char *booking, *type, *zone;
-  gboolean spot;
-  guint count;
-  GPtrArray *names; /* to return, or launched */
-} FtCloudCall;
-void ft_cloud_call_free (FtCloudCall *call);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtCloudCall, ft_cloud_call_free)
 FtCloudCall *ft_scheduler_next_cloud (FtScheduler *scheduler, gint64 now);
-typedef enum { FT_CLOUD_OK, FT_CLOUD_REFUSED, FT_CLOUD_FAILED } FtCloudResult;
 /* For a launch that went through, `call->names` are the machines. A call that
  * failed is to be repeated by the caller of ft_scheduler_next_cloud(). */
 void ft_scheduler_cloud_done (FtScheduler *scheduler, const FtCloudCall *call, FtCloudResult result, gint64 now);
--- a/src/core/scheduler_private.h
+++ b/src/core/scheduler_private.h
@@ -2,7 +2,6 @@
  * dies with it. For the core's modules only. */
 #pragma once
 #include "core/autoscaler.h"
-#include "core/command_queue.h"
 #include "core/context.h"
 #include "core/job_table.h"
 #include "core/machine.h"
@@ -12,7 +11,9 @@
 #include "core/quota.h"
 #include "core/recovery.h"
 #include "core/registry.h"
+#include "core/probes.h"
 #include "core/scheduler.h"
+#include "core/spot_risk.h"
 #include "core/worker_heartbeats.h"
 #include "core/write_queue.h"
 
@@ -20,12 +21,18 @@
   FtCoreContext context;
   FtQuota quota;
   FtJobTable job_table;
+  FtMachineQueues machine_queues;
   FtMachineTable machine_table;
+  FtSpotRisk spot_risk;
   FtRegistry registry;
   FtRecovery recovery;
   FtWriteQueue write_queue;
-  FtCommandQueue command_queue;
-  FtPlacement placement;
+  FtWorkerHeartbeats worker_heartbeats;
+  FtProbes probes;
   FtPreemption preemption;
+  FtPlacement placement;
   FtAutoscaler autoscaler;
 };
+
+/* The machine has been returned or has failed: tells all modules that it concerns. */
+void ft_scheduler_machine_gone (FtScheduler *scheduler, FtMachine *machine, const char *reason);
--- /dev/null
+++ b/src/core/scheduler_workers.c
@@ -0,0 +1,136 @@
+/* What the scheduler is told by workers and by the cloud, and what it wants them to do: hands each event to the modules
+ * that it concerns, in their order. */
+#include "core/direct_commands.h"
+#include "core/heartbeat_answer.h"
+#include "core/scheduler_private.h"
+
+/* ---- workers ---- */
+
+static void
+apply_status (FtScheduler *scheduler, FtMachine *machine, const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat)
+{
+  if (!ft_worker_heartbeats_apply (&scheduler->worker_heartbeats, machine, heartbeat, is_heartbeat))
+    return;
+  ft_registry_add (scheduler, machine);
+  if (machine->reconciled)
+    ft_recovery_uncount (&scheduler->recovery, machine);
+}
+
+gboolean
+ft_scheduler_heartbeat (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now)
+{
+  scheduler->context.now = now;
+  if (heartbeat->token > scheduler->context.token)
+    return FALSE;
+  /* Before the registry is read, nobody knows what a machine may hold. */
+  if (scheduler->recovery.loaded && !ft_machine_table_is_gone (&scheduler->machine_table, heartbeat->machine)) {
+    FtMachine *machine = ft_worker_heartbeats_machine (&scheduler->worker_heartbeats, heartbeat);
+    apply_status (scheduler, machine, heartbeat, TRUE);
+  }
+  ft_recovery_tick (scheduler);
+  return TRUE;
+}
+
+void
+ft_scheduler_allow (FtScheduler *scheduler, gboolean may_start)
+{
+  scheduler->context.may_start = may_start;
+}
+
+GArray *
+ft_scheduler_answer (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now)
+{
+  scheduler->context.now = now;
+  return ft_heartbeat_answer (&scheduler->machine_table, &scheduler->placement, heartbeat);
+}
+
+FtDirect *
+ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now)
+{
+  scheduler->context.now = now;
+  /* Machines that do not answer probes keep their place for long: commands go first. */
+  FtDirect *direct = ft_direct_commands_next (&scheduler->machine_queues);
+  return direct != NULL ? direct : ft_probes_next (&scheduler->probes, &scheduler->machine_queues);
+}
+
+/* What the result alone says; the worker's status comes after it. */
+static void
+apply_direct_result (FtMachine *machine, const FtDirect *direct, FtDirectResult result)
+{
+  machine->command_in_flight = FALSE;
+  ft_machine_queue_direct (machine); /* what has come up meanwhile */
+  if (result == FT_DIRECT_UNANSWERED)
+    ft_probes_unanswered (machine);
+  ft_direct_commands_settle (machine, direct, result);
+}
+
+gboolean
+ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirect *direct, FtDirectResult result,
+                          const FtWorkerHeartbeat *heartbeat, gint64 now)
+{
+  scheduler->context.now = now;
+  FtMachine *machine = ft_machine_table_find (&scheduler->machine_table, direct->machine);
+  if (direct->commands->len == 0)
+    scheduler->probes.in_flight--;
+  if (heartbeat != NULL && heartbeat->token > scheduler->context.token)
+    return FALSE;
+  if (machine == NULL)
+    return TRUE;
+  apply_direct_result (machine, direct, result);
+  if (heartbeat == NULL || g_strcmp0 (heartbeat->machine, machine->name) != 0)
+    return TRUE;
+  if (machine->state != FT_MACHINE_TERMINATING || !machine->reconciled)
+    apply_status (scheduler, machine, heartbeat, FALSE);
+  if (result == FT_DIRECT_CONFLICT && !machine->reconciled)
+    ft_probes_again (machine);
+  ft_recovery_tick (scheduler);
+  return TRUE;
+}
+
+/* ---- cloud ---- */
+
+void
+ft_scheduler_machine_gone (FtScheduler *scheduler, FtMachine *machine, const char *reason)
+{
+  ft_machine_table_set_gone (&scheduler->machine_table, machine, reason);
+  ft_recovery_uncount (&scheduler->recovery, machine);
+  ft_registry_remove (scheduler, machine);
+}
+
+static void
+machines_returned (FtScheduler *scheduler, const GPtrArray *names)
+{
+  for (guint i = 0; i < names->len; i++) {
+    FtMachine *machine = ft_machine_table_find (&scheduler->machine_table, g_ptr_array_index (names, i));
+    if (machine != NULL && machine->state != FT_MACHINE_GONE)
+      ft_scheduler_machine_gone (scheduler, machine, "returned");
+  }
+}
+
+FtCloudCall *
+ft_scheduler_next_cloud (FtScheduler *scheduler, gint64 now)
+{
+  scheduler->context.now = now;
+  return ft_autoscaler_next_call (&scheduler->autoscaler);
+}
+
+void
+ft_scheduler_cloud_done (FtScheduler *scheduler, const FtCloudCall *call, FtCloudResult result, gint64 now)
+{
+  scheduler->context.now = now;
+  ft_autoscaler_call_done (&scheduler->autoscaler, call, result);
+  if (call->op != FT_CLOUD_SCALE_IN)
+    return;
+  if (result == FT_CLOUD_OK)
+    machines_returned (scheduler, call->names);
+  ft_recovery_tick (scheduler);
+}
+
+void
+ft_scheduler_listed (FtScheduler *scheduler, GArray *list, gint64 now)
+{
+  scheduler->context.now = now;
+  ft_autoscaler_listed (&scheduler->autoscaler, list);
+  if (scheduler->recovery.loaded)
+    ft_recovery_tick (scheduler);
+}
--- /dev/null
+++ b/src/core/worker_commands.c
@@ -0,0 +1,60 @@
+#include "core/worker_commands.h"
+
+#include "core/job.h"
+
+gboolean
+ft_worker_command_wants_start (const FtAttempt *attempt)
+{
+  const FtMachine *machine = attempt->machine;
+  return machine->context->may_start && machine->registered && attempt->bound
+         && attempt->index < attempt->job->spec->dispatch_watermark && !attempt->shown && !attempt->exited
+         && !attempt->stop_wanted && machine->state != FT_MACHINE_TERMINATING && attempt->job->state == FT_JOB_OPEN;
+}
+
+/* A copy of a direct start may come late. While the worker knows the attempt it
+ * does nothing; forgotten, it would start the task anew: beside another attempt,
+ * or, if it is done, beyond the team's limit for a moment. */
+gboolean
+ft_worker_command_may_forget (const FtAttempt *attempt)
+{
+  const FtCoreContext *context = attempt->machine->context;
+  if (!attempt->exited || !attempt->forget_ok || attempt->direct_unanswered || attempt->direct_in_flight)
+    return FALSE;
+  return !attempt->by_direct
+         || context->now - attempt->exited_at > ft_seconds (FT_COPY_LEASES * context->settings->lease_s);
+}
+
+void
+ft_worker_command_add (GArray *commands, FtCommandOp op, const FtAttempt *attempt)
+{
+  FtCommand command = { .op = op,
+                        .job = g_strdup (attempt->job_ref),
+                        .index = attempt->index,
+                        .attempt = attempt->id,
+                        .grace_s = attempt->grace_s };
+  g_array_append_val (commands, command);
+}
+
+FtDirect *
+ft_worker_command_direct (FtMachine *machine, GArray *commands)
+{
+  FtDirect *direct = g_new0 (FtDirect, 1);
+  direct->machine = g_strdup (machine->name);
+  direct->addr = g_strdup (machine->addr);
+  direct->incarnation = machine->incarnation;
+  direct->commands = commands;
+  machine->command_in_flight = TRUE;
+  return direct;
+}
+
+void
+ft_direct_free (FtDirect *direct)
+{
+  if (direct == NULL)
+    return;
+  g_free (direct->machine);
+  g_free (direct->addr);
+  if (direct->commands != NULL)
+    g_array_unref (direct->commands);
+  g_free (direct);
+}
--- a/src/core/write_queue.c
+++ b/src/core/write_queue.c
@@ -246,7 +246,7 @@
     FtAttempt *attempt = task->attempt;
     if (attempt != NULL) {
       attempt->forget_ok = TRUE;
-      ft_attempt_end (scheduler, attempt);
+      ft_attempt_end (attempt);
     }
   }
 }
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -1,7 +1,7 @@
 #include "core/zone.h"
 
 #include "core/constants.h"
-#include "core/scheduler_private.h"
+#include "core/machine.h"
 
 static void
 zone_free (FtZone *zone)
@@ -45,14 +45,14 @@
 }
 
 static void
-count_members (FtScheduler *scheduler)
+count_members (GHashTable *zones, GHashTable *machines)
 {
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->machine_table.zones);
+  g_hash_table_iter_init (&it, zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
     ((FtZone *) value)->members = 0;
-  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
+  g_hash_table_iter_init (&it, machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
     machine->zone_view->members += machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT;
@@ -61,36 +61,36 @@
 
 /* Whether a member must have reported by now, had it been able to. */
 static gboolean
-quiet (const FtScheduler *scheduler, const FtZone *zone)
+quiet (const FtCoreContext *context, const FtZone *zone)
 {
-  gint64 since = MAX (zone->last_heard, MAX (scheduler->context.on_time_since, scheduler->context.answering_since));
+  gint64 since = MAX (zone->last_heard, MAX (context->on_time_since, context->answering_since));
   return zone->members >= FT_ZONE_MEMBERS
-         && scheduler->context.now - MAX (since, scheduler->context.loaded_at) > ft_machine_overdue_us (scheduler);
+         && context->now - MAX (since, context->loaded_at) > ft_machine_overdue_us (context);
 }
 
 static gboolean
-heard_of_late (const FtScheduler *scheduler, const FtZone *zone)
+heard_of_late (const FtCoreContext *context, const FtZone *zone)
 {
   return zone->members > 0 && zone->last_heard > 0
-         && scheduler->context.now - zone->last_heard <= ft_machine_overdue_us (scheduler);
+         && context->now - zone->last_heard <= ft_machine_overdue_us (context);
 }
 
 void
-ft_zones_update (FtScheduler *scheduler)
+ft_zones_update (GHashTable *zones, GHashTable *machines, const FtCoreContext *context)
 {
   GHashTableIter it;
   gpointer value;
   gboolean any_heard = FALSE;
-  count_members (scheduler);
-  g_hash_table_iter_init (&it, scheduler->machine_table.zones);
+  count_members (zones, machines);
+  g_hash_table_iter_init (&it, zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    any_heard |= heard_of_late (scheduler, value);
+    any_heard |= heard_of_late (context, value);
   /* A leader that hears nobody is cut off itself, and can judge no zone. */
   if (!any_heard)
     return;
-  g_hash_table_iter_init (&it, scheduler->machine_table.zones);
+  g_hash_table_iter_init (&it, zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    if (quiet (scheduler, value))
+    if (quiet (context, value))
       set_unreachable (value, TRUE);
 }
 
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -142,14 +142,14 @@
     FtAttempt *a = ft_attempt_new (fleet.at (0), fleet.job ("req-1"), "req-1", task, 80 + task);
     ft_attempt_reserve (a);
     ft_attempt_bind (a, FT_TASK_STARTING);
-    ft_fault_task_failed (fleet.s, a);
-    ft_attempt_end (fleet.s, a);
+    ft_fault_task_failed (&fleet.s->machine_table, a);
+    ft_attempt_end (a);
   }
   ASSERT_TRUE (fleet.at (0)->quarantined);
-  EXPECT_FALSE (ft_machine_usable (fleet.s, fleet.at (0)));
+  EXPECT_FALSE (ft_machine_usable (fleet.at (0)));
   ft_scheduler_tick (fleet.s, fleet.now, FALSE);
   EXPECT_EQ (fleet.at (0)->state, FT_MACHINE_UP) << "a task of it may well complete";
-  ft_attempt_end (fleet.s, running);
+  ft_attempt_end (running);
   ft_scheduler_tick (fleet.s, fleet.now, FALSE);
   EXPECT_EQ (fleet.at (0)->state, FT_MACHINE_TERMINATING);
 }
--- a/tests/test_registry.cpp
+++ b/tests/test_registry.cpp
@@ -29,7 +29,7 @@
   };
   EXPECT_EQ (rows (100 * kS), "");
   auto gone = [&] (const char *name) {
-    ft_machine_gone (b.s, (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, name), "returned");
+    ft_scheduler_machine_gone (b.s, (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, name), "returned");
   };
   gone ("n-2");
   EXPECT_EQ (rows (102 * kS), "put row-1 n-1");
@@ -85,7 +85,7 @@
   void
   lose (guint i)
   {
-    ft_machine_gone (b.s, b.machine (name (i).c_str ()), "test");
+    ft_scheduler_machine_gone (b.s, b.machine (name (i).c_str ()), "test");
   }
   // Commits what is due, as a store would, and looks at it after each batch.
   std::map<std::string, std::set<std::string> > stored;
@@ -208,7 +208,7 @@
   EXPECT_EQ (row->machines->len, 50u);
   for (int i = 0; i < 4; i++)
     ft_scheduler_lower_value_limit (again.s); // 1 KiB at the least
-  ft_machine_gone (again.s, again.machine (name (1).c_str ()), "test");
+  ft_scheduler_machine_gone (again.s, again.machine (name (1).c_str ()), "test");
   for (gint64 at = 110; at < 130; at++)
     again.write (at * kS);
   for (guint i = 2; i < 50; i++)
--- a/tests/test_spot_risk.cpp
+++ b/tests/test_spot_risk.cpp
@@ -70,14 +70,14 @@
 TEST (SpotRisk, ANoticeRaisesTheRate)
 {
   TwoKinds both;
-  double before = ft_spot_risk_rate (&both.s->autoscaler.spot_risk);
+  double before = ft_spot_risk_rate (&both.s->spot_risk);
   for (guint64 sequence : { 2, 3 }) { // one loss, however often it is reported
     g_autoptr (FtWorkerHeartbeat) r = both.heartbeat (1, sequence, 3, "n-2", "a", true);
     r->notice_s = 10;
     ASSERT_TRUE (ft_scheduler_heartbeat (both.s, r, 101 * kS));
   }
-  EXPECT_EQ (both.s->autoscaler.spot_risk.losses, 1u);
-  EXPECT_GT (ft_spot_risk_rate (&both.s->autoscaler.spot_risk), before);
+  EXPECT_EQ (both.s->spot_risk.losses, 1u);
+  EXPECT_GT (ft_spot_risk_rate (&both.s->spot_risk), before);
 }
 
 } // namespace
--- a/tests/test_units.cpp
+++ b/tests/test_units.cpp
@@ -320,7 +320,7 @@
   b.other_up (at); // most others are heard
   FtMachine *m = (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, "n-1");
   EXPECT_TRUE (ft_machine_not_receiving (m));
-  EXPECT_FALSE (ft_machine_usable (b.s, m));
+  EXPECT_FALSE (ft_machine_usable (m));
   b.s->context.on_time_since = at - 5 * kS; // we were late ourselves
   ft_scheduler_tick (b.s, at, TRUE);
   EXPECT_EQ (m->state, FT_MACHINE_UP);
@@ -374,7 +374,7 @@
   ghost->machine = g_strdup ("n-9");
   ft_scheduler_heartbeat (b.s, ghost, 140 * kS);
   b.write (140 * kS);
-  EXPECT_FALSE (ft_machine_usable (b.s, (FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, "n-9")));
+  EXPECT_FALSE (ft_machine_usable ((FtMachine *) g_hash_table_lookup (b.s->machine_table.machines, "n-9")));
   EXPECT_EQ (ft_scheduler_last_heard (b.s), 100 * kS);
 }
 
@@ -704,9 +704,9 @@
   ft_scheduler_load_machine (b.s, "row-1", "n-9", "10.1.0.9:9000", "std", "a", FALSE);
   ft_scheduler_loaded (b.s, 100 * kS);
   g_autoptr (FtJobSpec) wanted = spec ("req-2", 1);
-  FtTeam *red = ft_quota_team (b.s, "red");
+  FtTeam *red = ft_quota_team (&b.s->quota, "red");
   // 48 allowed, the unseen machine may hold 16 of them: 32 are left, 8 tasks.
-  EXPECT_EQ (ft_quota_count (b.s, red, wanted), 8u);
+  EXPECT_EQ (ft_placement_quota_left (&b.s->placement, red, wanted), 8u);
 }
 
 // ---- admission ----
