--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -120,17 +120,117 @@
   ft_task_set_state (job, attempt->index, job->state < FT_JOB_CANCELLING ? FT_TASK_QUEUED : FT_TASK_CANCELLED);
 }
 
+static gboolean
+can_move (FtAttemptState from, FtAttemptState to)
+{
+  switch (from) {
+  case FT_ATTEMPT_PLACED:
+    return to == FT_ATTEMPT_ON_WORKER || to == FT_ATTEMPT_EXITED;
+  case FT_ATTEMPT_ON_WORKER:
+    return to == FT_ATTEMPT_PLACED || to == FT_ATTEMPT_EXITED;
+  case FT_ATTEMPT_EXITED:
+    return to == FT_ATTEMPT_FORGETTABLE;
+  case FT_ATTEMPT_FORGETTABLE:
+    break;
+  }
+  return FALSE;
+}
+
+gboolean
+ft_attempt_set_state (FtAttempt *attempt, FtAttemptState to)
+{
+  static const char *const names[] = { "placed", "on worker", "exited", "forgettable" };
+  if (attempt->state == to)
+    return TRUE;
+  if (!can_move (attempt->state, to)) {
+    g_warning ("task %s/%u: attempt %" G_GUINT64_FORMAT ": refused move %s -> %s", attempt->job_ref, attempt->index,
+               attempt->id, names[attempt->state], names[to]);
+    return FALSE;
+  }
+  attempt->state = to;
+  if (to == FT_ATTEMPT_EXITED)
+    attempt->exited_at = attempt->machine->context->now;
+  return TRUE;
+}
+
 void
 ft_attempt_want_stop (FtAttempt *attempt, double grace_s)
 {
-  if (attempt->stop_wanted && attempt->grace_s <= grace_s)
+  if (ft_attempt_stop_wanted (attempt) && attempt->grace_s <= grace_s)
     return;
-  attempt->stop_wanted = TRUE;
-  attempt->stop_sent = FALSE;
+  attempt->stop = FT_ATTEMPT_STOP_WANTED;
   attempt->grace_s = grace_s;
   ft_machine_queue_direct (attempt->machine);
 }
 
+void
+ft_attempt_withdraw_stop (FtAttempt *attempt)
+{
+  attempt->stop = FT_ATTEMPT_STOP_NONE;
+}
+
+void
+ft_attempt_direct_start_sent (FtAttempt *attempt)
+{
+  attempt->direct_start = FT_DIRECT_START_IN_FLIGHT;
+}
+
+void
+ft_attempt_direct_start_answered (FtAttempt *attempt)
+{
+  if (attempt->direct_start != FT_DIRECT_START_UNANSWERED)
+    attempt->direct_start = FT_DIRECT_START_SETTLED;
+}
+
+void
+ft_attempt_direct_start_unanswered (FtAttempt *attempt)
+{
+  attempt->direct_start = FT_DIRECT_START_UNANSWERED;
+  attempt->machine->in_doubt = TRUE;
+}
+
+void
+ft_attempt_direct_start_unknown (FtAttempt *attempt)
+{
+  attempt->direct_start = FT_DIRECT_START_SETTLED;
+}
+
+/* No copy of its start has left this process, or each that did has been answered. */
+static gboolean
+never_started (const FtAttempt *attempt)
+{
+  return attempt->state == FT_ATTEMPT_PLACED && attempt->sent_sequence == 0
+         && attempt->direct_start != FT_DIRECT_START_IN_FLIGHT && attempt->direct_start != FT_DIRECT_START_UNANSWERED;
+}
+
+void
+ft_attempt_job_cancelled (FtAttempt *attempt)
+{
+  if (ft_attempt_has_exited (attempt))
+    return;
+  ft_attempt_want_stop (attempt, 0);
+  if (never_started (attempt))
+    ft_attempt_end (attempt);
+}
+
+void
+ft_attempt_job_ended (FtAttempt *attempt)
+{
+  attempt->job = NULL;
+  attempt->bound = FALSE;
+  if (ft_attempt_has_exited (attempt))
+    ft_attempt_set_state (attempt, FT_ATTEMPT_FORGETTABLE);
+  else
+    ft_attempt_want_stop (attempt, 0);
+}
+
+void
+ft_attempt_result_committed (FtAttempt *attempt)
+{
+  ft_attempt_set_state (attempt, FT_ATTEMPT_FORGETTABLE);
+  ft_attempt_end (attempt);
+}
+
 void
 ft_attempt_end (FtAttempt *attempt)
 {
@@ -140,6 +240,6 @@
   machine->context->placement_due = TRUE;
   if (ft_machine_idle (machine))
     machine->idle_since = machine->context->now;
-  if (!(attempt->exited && attempt->listed))
+  if (!(ft_attempt_has_exited (attempt) && attempt->listed))
     g_hash_table_remove (machine->attempts, attempt);
 }
--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -25,7 +25,7 @@
     ft_task_set_state (attempt->job, attempt->index, FT_TASK_CANCELLED);
   if (attempt->job->state == FT_JOB_OPEN)
     return; /* the attempt ends when the result is committed */
-  attempt->forget_ok = TRUE;
+  ft_attempt_set_state (attempt, FT_ATTEMPT_FORGETTABLE);
   ft_attempt_end (attempt);
 }
 
@@ -35,7 +35,7 @@
 {
   const FtMachine *machine = attempt->machine;
   /* Its room is somebody else's for the moment: it does not take it back at once. */
-  if (reason == FT_EXIT_STOPPED && attempt->stop_wanted && machine->notice_until == 0)
+  if (reason == FT_EXIT_STOPPED && ft_attempt_stop_wanted (attempt) && machine->notice_until == 0)
     attempt->job->tasks[attempt->index].not_before = table->context->now + ft_seconds (FT_PREEMPTED_PAUSE_S);
   gboolean blameless = reason == FT_EXIT_STOPPED || reason == FT_EXIT_PEERS || reason == FT_EXIT_ALONE;
   if (!blameless && attempt->job->state == FT_JOB_OPEN)
@@ -47,9 +47,8 @@
 static void
 attempt_exited (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
-  attempt->exited = TRUE;
+  ft_attempt_set_state (attempt, FT_ATTEMPT_EXITED);
   attempt->listed = TRUE;
-  attempt->exited_at = table->context->now;
   ft_attempt_release (attempt);
   table->context->placement_due = TRUE;
   if (attempt->bound && reason == FT_EXIT_DONE) {
@@ -58,7 +57,7 @@
   }
   if (attempt->bound)
     task_lost (table, attempt, reason);
-  attempt->forget_ok = TRUE;
+  ft_attempt_set_state (attempt, FT_ATTEMPT_FORGETTABLE);
   ft_attempt_end (attempt);
 }
 
@@ -68,7 +67,7 @@
 attempt_progress (FtAttempt *attempt, FtTaskPhase phase)
 {
   static const FtTaskState states[] = { FT_TASK_FETCHING, FT_TASK_FETCHING, FT_TASK_RUNNING, FT_TASK_CHECKPOINTING };
-  attempt->shown = TRUE;
+  ft_attempt_set_state (attempt, FT_ATTEMPT_ON_WORKER);
   if (phase != FT_TASK_PHASE_FETCHING && !attempt->has_image) {
     attempt->has_image = TRUE;
     if (attempt->job != NULL)
@@ -109,11 +108,11 @@
 {
   FtCoreContext *context = attempt->machine->context;
   gboolean has_result = task_free && reason == FT_EXIT_DONE;
-  attempt->exited = TRUE;
-  attempt->exited_at = context->now;
-  attempt->forget_ok = !has_result;
+  ft_attempt_set_state (attempt, FT_ATTEMPT_EXITED);
   if (has_result)
     ft_attempt_bind (attempt, FT_TASK_FINISHED);
+  else
+    ft_attempt_set_state (attempt, FT_ATTEMPT_FORGETTABLE);
   context->placement_due = TRUE;
 }
 
@@ -142,9 +141,9 @@
     job = NULL;
   gboolean task_free = task_is_free (job, status->index);
   FtAttempt *attempt = ft_attempt_new (machine, job, status->job, status->index, status->attempt);
-  attempt->shown = attempt->listed = TRUE;
+  attempt->listed = TRUE;
   attempt->placed_at = machine->context->now;
-  attempt->by_direct = TRUE; /* for all we know */
+  ft_attempt_direct_start_unknown (attempt);
   if (status->state == FT_TASK_PHASE_EXITED)
     adopt_exited (attempt, task_free, status->exit_reason);
   else
@@ -162,13 +161,12 @@
     return;
   }
   attempt->listed = TRUE;
-  if (attempt->exited)
+  if (ft_attempt_has_exited (attempt))
     return;
   if (status->state != FT_TASK_PHASE_EXITED) {
     attempt_progress (attempt, status->state);
     return;
   }
-  attempt->shown = TRUE;
   attempt_exited (table, attempt, status->exit_reason);
 }
 
@@ -179,22 +177,22 @@
 {
   g_warning ("task %s/%u: vanished from %s (not in its task list)", attempt->job_ref, attempt->index,
              attempt->machine->name);
-  if (attempt->stop_wanted)
+  if (ft_attempt_stop_wanted (attempt))
     ft_attempt_end (attempt);
   else
-    attempt->shown = FALSE;
+    ft_attempt_set_state (attempt, FT_ATTEMPT_PLACED);
 }
 
 /* An attempt that a newer heartbeat of its incarnation does not show. */
 static void
 apply_absence (FtAttempt *attempt, const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat)
 {
-  if (attempt->exited) {
+  if (ft_attempt_has_exited (attempt)) {
     if (!attempt->bound) /* otherwise its result is not committed yet */
       g_hash_table_remove (attempt->machine->attempts, attempt);
     return;
   }
-  if (attempt->shown) {
+  if (attempt->state == FT_ATTEMPT_ON_WORKER) {
     attempt_vanished (attempt);
     return;
   }
@@ -202,12 +200,12 @@
    * never, but a direct start may still be on its way: then only the end of
    * the incarnation proves that it did not happen. */
   gboolean certain = is_heartbeat && attempt->sent_sequence < heartbeat->sequence;
-  if (!attempt->stop_wanted || !certain || attempt->direct_in_flight)
+  if (!ft_attempt_stop_wanted (attempt) || !certain || attempt->direct_start == FT_DIRECT_START_IN_FLIGHT)
     return;
-  if (!attempt->direct_unanswered)
+  if (attempt->direct_start != FT_DIRECT_START_UNANSWERED)
     ft_attempt_end (attempt);
   else if (attempt->bound && attempt->job->state == FT_JOB_OPEN)
-    attempt->stop_wanted = FALSE; /* started after all: waiting for the lost start could last for ever */
+    ft_attempt_withdraw_stop (attempt); /* started after all: waiting for the lost start could last for ever */
 }
 
 void
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -15,7 +15,7 @@
 may_start_directly (const FtAttempt *attempt)
 {
   return ft_machine_usable (attempt->machine) && ft_worker_command_wants_start (attempt) && attempt->sent_sequence == 0
-         && !attempt->direct_unanswered;
+         && attempt->direct_start != FT_DIRECT_START_UNANSWERED;
 }
 
 static FtDirect *
@@ -29,11 +29,11 @@
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtAttempt *attempt = value;
-    if (attempt->stop_wanted && attempt->shown && !attempt->exited && !attempt->stop_sent) {
-      attempt->stop_sent = TRUE;
+    if (attempt->stop == FT_ATTEMPT_STOP_WANTED && attempt->state == FT_ATTEMPT_ON_WORKER) {
+      attempt->stop = FT_ATTEMPT_STOP_SENT;
       ft_worker_command_add (commands, FT_COMMAND_STOP, attempt);
     } else if (may_start_directly (attempt)) {
-      attempt->direct_in_flight = attempt->by_direct = TRUE;
+      ft_attempt_direct_start_sent (attempt);
       ft_worker_command_add (commands, FT_COMMAND_START, attempt);
     }
   }
@@ -62,7 +62,9 @@
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *attempt = value;
-    if (!attempt->exited && (attempt->stop_wanted ? !attempt->stop_sent : !attempt->shown))
+    gboolean wants_start = attempt->state == FT_ATTEMPT_PLACED && attempt->stop == FT_ATTEMPT_STOP_NONE;
+    gboolean wants_stop = !ft_attempt_has_exited (attempt) && attempt->stop == FT_ATTEMPT_STOP_WANTED;
+    if (wants_start || wants_stop)
       return TRUE;
   }
   return FALSE;
@@ -71,12 +73,13 @@
 static void
 settle_start (FtAttempt *attempt, const FtDirect *direct, FtDirectResult result)
 {
-  attempt->direct_in_flight = FALSE;
   if (result == FT_DIRECT_UNANSWERED && attempt->incarnation == direct->incarnation)
-    attempt->direct_unanswered = attempt->machine->in_doubt = TRUE;
+    ft_attempt_direct_start_unanswered (attempt);
+  else
+    ft_attempt_direct_start_answered (attempt);
   /* Refused as a whole: this copy was not executed and never will be. */
-  if (result == FT_DIRECT_CONFLICT && attempt->stop_wanted && !attempt->shown && attempt->sent_sequence == 0
-      && !attempt->exited)
+  if (result == FT_DIRECT_CONFLICT && attempt->state == FT_ATTEMPT_PLACED && ft_attempt_stop_wanted (attempt)
+      && attempt->sent_sequence == 0)
     ft_attempt_end (attempt);
 }
 
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -35,7 +35,8 @@
   g_hash_table_iter_init (&it, job->attempts);
   while (looked++ < FT_FAULT_ATTEMPTS && g_hash_table_iter_next (&it, &key, NULL)) {
     const FtAttempt *other = key;
-    if (other->bound && other->running && !other->exited && other->machine != machine && ran_for (other) > enough)
+    if (other->bound && other->running && !ft_attempt_has_exited (other) && other->machine != machine
+        && ran_for (other) > enough)
       return TRUE;
   }
   return FALSE;
--- a/src/core/interruption_notice.c
+++ b/src/core/interruption_notice.c
@@ -28,7 +28,7 @@
   g_autoptr (GList) all = g_hash_table_get_values (machine->attempts);
   for (GList *link = all; link != NULL; link = link->next) {
     FtAttempt *attempt = link->data;
-    if (attempt->bound && !attempt->exited)
+    if (attempt->bound && !ft_attempt_has_exited (attempt))
       stop_if_useful (attempt, notice_s);
   }
 }
--- a/src/core/job_table.c
+++ b/src/core/job_table.c
@@ -179,12 +179,8 @@
     FtAttempt *a = job->tasks[i].attempt;
     if (job->tasks[i].state == FT_TASK_QUEUED)
       ft_task_set_state (job, i, FT_TASK_CANCELLED);
-    if (a == NULL || a->exited)
-      continue;
-    ft_attempt_want_stop (a, 0);
-    /* A start that never left this process needs no stop. */
-    if (!a->shown && a->sent_sequence == 0 && !a->direct_in_flight && !a->direct_unanswered)
-      ft_attempt_end (a);
+    if (a != NULL)
+      ft_attempt_job_cancelled (a);
   }
   scheduler->context.placement_due = TRUE;
 }
@@ -217,14 +213,8 @@
   g_autoptr (GList) all = g_hash_table_get_keys (job->attempts);
   ft_job_set_state (job, FT_JOB_ENDED);
   ft_recent_map_add (scheduler->job_table.ended_jobs, job->spec->ref, end);
-  for (GList *link = all; link != NULL; link = link->next) {
-    FtAttempt *attempt = link->data;
-    attempt->job = NULL;
-    attempt->bound = FALSE;
-    attempt->forget_ok = attempt->exited;
-    if (!attempt->exited)
-      ft_attempt_want_stop (attempt, 0);
-  }
+  for (GList *link = all; link != NULL; link = link->next)
+    ft_attempt_job_ended (link->data);
   for (guint i = 0; i < job->spec->tasks && job->counts[FT_TASK_UNKNOWN] > 0; i++)
     if (job->tasks[i].state == FT_TASK_UNKNOWN)
       ft_task_set_state (job, i, FT_TASK_CANCELLED);
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -225,7 +225,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *attempt = value;
     /* A finished task whose result is not committed needs its machine too. */
-    if (!attempt->exited || (attempt->job != NULL && attempt->bound))
+    if (!ft_attempt_has_exited (attempt) || (attempt->job != NULL && attempt->bound))
       return FALSE;
   }
   return TRUE;
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -193,11 +193,12 @@
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *attempt = value;
-    gboolean doubt = attempt->direct_unanswered && !attempt->shown && !attempt->exited && attempt->stop_wanted;
+    gboolean doubt = attempt->state == FT_ATTEMPT_PLACED && attempt->direct_start == FT_DIRECT_START_UNANSWERED
+                     && ft_attempt_stop_wanted (attempt);
     if (doubt)
       age_s = MAX (age_s, (double) (machine->context->now - attempt->placed_at) / FT_SECOND);
     else
-      *others |= !attempt->exited || attempt->bound;
+      *others |= !ft_attempt_has_exited (attempt) || attempt->bound;
   }
   return age_s;
 }
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -217,7 +217,7 @@
     return FALSE;
   for (guint i = 0; i < job->spec->tasks; i++) {
     FtAttempt *attempt = job->tasks[i].attempt;
-    if (attempt != NULL && !attempt->exited)
+    if (attempt != NULL && !ft_attempt_has_exited (attempt))
       ft_attempt_want_stop (attempt, job->spec->checkpoint_s > 0 ? job->spec->save_s : 0);
   }
   return FALSE;
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -19,7 +19,8 @@
 static gboolean
 may_stop (const FtJob *job, const FtAttempt *victim, gint64 now)
 {
-  if (!victim->bound || victim->stop_wanted || victim->job == NULL || victim->exited || !cheap_to_stop (victim, now))
+  if (!victim->bound || ft_attempt_stop_wanted (victim) || victim->job == NULL || ft_attempt_has_exited (victim)
+      || !cheap_to_stop (victim, now))
     return FALSE;
   if (job->guaranteed && victim->job->team != job->team && !victim->job->guaranteed)
     return victim->job->team->cpus > victim->job->team->limit->cpus;
@@ -49,9 +50,9 @@
     while (g_hash_table_iter_next (&attempts, NULL, &value)) {
       const FtAttempt *attempt = value;
       preemption->context->looked_at++;
-      preemption->stops_pending += attempt->stop_wanted && !attempt->exited;
-      if (usable && attempt->bound && !attempt->stop_wanted && !attempt->exited && attempt->job != NULL
-          && cheap_to_stop (attempt, preemption->context->now))
+      preemption->stops_pending += ft_attempt_stop_wanted (attempt) && !ft_attempt_has_exited (attempt);
+      if (usable && attempt->bound && !ft_attempt_stop_wanted (attempt) && !ft_attempt_has_exited (attempt)
+          && attempt->job != NULL && cheap_to_stop (attempt, preemption->context->now))
         g_ptr_array_add (preemption->victims, value);
     }
   }
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -7,8 +7,9 @@
 {
   const FtMachine *machine = attempt->machine;
   return machine->context->may_start && machine->registered && attempt->bound
-         && attempt->index < attempt->job->spec->dispatch_watermark && !attempt->shown && !attempt->exited
-         && !attempt->stop_wanted && machine->state != FT_MACHINE_TERMINATING && attempt->job->state == FT_JOB_OPEN;
+         && attempt->index < attempt->job->spec->dispatch_watermark && attempt->state == FT_ATTEMPT_PLACED
+         && !ft_attempt_stop_wanted (attempt) && machine->state != FT_MACHINE_TERMINATING
+         && attempt->job->state == FT_JOB_OPEN;
 }
 
 /* A copy of a direct start may come late. While the worker knows the attempt it
@@ -18,9 +19,10 @@
 ft_worker_command_may_forget (const FtAttempt *attempt)
 {
   const FtCoreContext *context = attempt->machine->context;
-  if (!attempt->exited || !attempt->forget_ok || attempt->direct_unanswered || attempt->direct_in_flight)
+  if (attempt->state != FT_ATTEMPT_FORGETTABLE || attempt->direct_start == FT_DIRECT_START_IN_FLIGHT
+      || attempt->direct_start == FT_DIRECT_START_UNANSWERED)
     return FALSE;
-  return !attempt->by_direct
+  return attempt->direct_start == FT_DIRECT_START_NONE
          || context->now - attempt->exited_at > ft_seconds (FT_COPY_LEASES * context->settings->lease_s);
 }
 
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -75,7 +75,7 @@
     const FtAttempt *attempt = value;
     gboolean sent = attempt->sent_sequence > 0 && attempt->sent_sequence < heartbeat->sequence;
     expected |= sent;
-    missing |= sent && !attempt->shown && !attempt->exited;
+    missing |= sent && attempt->state == FT_ATTEMPT_PLACED;
   }
   if (missing)
     machine->unacknowledged++;
--- a/src/core/write_queue.c
+++ b/src/core/write_queue.c
@@ -244,10 +244,8 @@
       continue;
     ft_task_set_state (job, index, FT_TASK_DONE);
     FtAttempt *attempt = task->attempt;
-    if (attempt != NULL) {
-      attempt->forget_ok = TRUE;
-      ft_attempt_end (attempt);
-    }
+    if (attempt != NULL)
+      ft_attempt_result_committed (attempt);
   }
 }
 
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -135,7 +135,8 @@
   fleet.add_job ("req-1", 10, 5);
   fleet.show ("req-1", 0, 1, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   FtAttempt *running = ft_attempt_new (fleet.at (0), fleet.job ("req-1"), "req-1", 9, 77);
-  running->shown = running->running = TRUE;
+  ft_attempt_set_state (running, FT_ATTEMPT_ON_WORKER);
+  running->running = TRUE;
   ft_attempt_reserve (running);
   ft_attempt_bind (running, FT_TASK_RUNNING);
   for (guint task : { 1, 2 }) {
