--- a/src/core/heartbeat_answer.c
+++ b/src/core/heartbeat_answer.c
@@ -8,18 +8,13 @@
 note_answer (FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
 {
   const FtCoreContext *context = machine->context;
-  machine->last_answer = context->now;
-  /* It shows our token in its next heartbeat, in half a second. */
-  if (!machine->reconciled)
-    machine->probe_at = MAX (machine->probe_at, context->now + ft_seconds (FT_PROBE_FIRST_S));
-  if (heartbeat->incarnation == machine->incarnation && heartbeat->sequence == machine->sequence
-      && heartbeat->token >= context->token && machine->incarnation > machine->expired_incarnation) {
-    machine->answered = heartbeat->sequence;
-    return TRUE;
-  }
-  if (heartbeat->incarnation == machine->incarnation)
-    machine->answered = MAX (machine->answered, heartbeat->sequence);
-  return FALSE;
+  FtReachability *reachability = &machine->reachability;
+  ft_reachability_answer_sent (reachability, machine->reconciled, context->now);
+  if (heartbeat->incarnation != machine->incarnation)
+    return FALSE;
+  ft_reachability_answered (reachability, heartbeat->sequence);
+  return heartbeat->sequence == machine->sequence && heartbeat->token >= context->token
+         && machine->incarnation > machine->expired_incarnation;
 }
 
 static void
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -138,53 +138,23 @@
 gboolean
 ft_machine_usable (const FtMachine *machine)
 {
-  const FtCoreContext *context = machine->context;
-  return machine->state == FT_MACHINE_UP && machine->registered && machine->reconciled && machine->acknowledged_token
-         && !ft_machine_not_receiving (machine) && !ft_machine_not_reporting (machine) && machine->type != NULL
-         && !machine->drained && !machine->quarantined && machine->notice_until == 0
-         && machine->incarnation > machine->expired_incarnation
-         && context->now - machine->last_status_at
-                < (gint64) ((context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_USABLE_MARGIN_S) * FT_SECOND);
+  gboolean known = machine->registered && machine->reconciled && machine->type != NULL;
+  gboolean wanted = !machine->drained && !machine->quarantined && machine->notice_until == 0;
+  return machine->state == FT_MACHINE_UP && known && wanted && machine->incarnation > machine->expired_incarnation
+         && machine->reachability.acknowledged_token && !ft_machine_not_receiving (machine)
+         && !ft_machine_not_reporting (machine) && ft_reachability_recent (&machine->reachability, machine->context);
 }
 
 gboolean
 ft_machine_not_receiving (const FtMachine *machine)
 {
-  return machine->not_receiving_since > 0;
-}
-
-gint64
-ft_machine_lease_us (const FtCoreContext *context)
-{
-  return (gint64) ((context->settings->lease_s * (1 + FT_CLOCK_DRIFT) + FT_WORKER_LEASE_MARGIN_S) * FT_SECOND);
-}
-
-gint64
-ft_machine_silence_us (const FtCoreContext *context)
-{
-  return (gint64) ((context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S + FT_SILENCE_MARGIN_S)
-                   * FT_SECOND);
-}
-
-gint64
-ft_machine_overdue_us (const FtCoreContext *context)
-{
-  return (gint64) ((context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_OVERDUE_MARGIN_S) * FT_SECOND);
-}
-
-gint64
-ft_machine_no_heartbeat_since (const FtMachine *machine)
-{
-  const FtCoreContext *context = machine->context;
-  return MAX (machine->last_heartbeat_at, MAX (context->on_time_since, context->answering_since));
+  return ft_reachability_not_receiving (&machine->reachability);
 }
 
 gboolean
 ft_machine_not_reporting (const FtMachine *machine)
 {
-  const FtCoreContext *context = machine->context;
-  return machine->state == FT_MACHINE_UP
-         && context->now - ft_machine_no_heartbeat_since (machine) > ft_machine_silence_us (context);
+  return machine->state == FT_MACHINE_UP && ft_reachability_not_reporting (&machine->reachability, machine->context);
 }
 
 gboolean
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -15,6 +15,7 @@
 #pragma once
 #include "core/attempt.h"
 #include "core/context.h"
+#include "core/reachability.h"
 #include "core/types.h"
 
 typedef struct _FtZone FtZone;
@@ -49,15 +50,10 @@
   FtMachineState state; /* changed by ft_machine_set_state() only */
   guint64 incarnation, sequence;
   guint64 expired_incarnation; /* incarnations up to here are over */
-  gboolean acknowledged_token; /* it has shown our token: a heartbeat with a lower one is a late copy */
-  guint64 answered;            /* highest sequence of this incarnation that we have answered */
-  guint unacknowledged;        /* newer heartbeats in a row that show nothing of our answers */
-  gint64 not_receiving_since;  /* 0: it receives our answers, for all we know */
-  gint64 launched_at, last_status_at, last_answer, idle_since;
-  gint64 last_heartbeat_at; /* its last heartbeat of its own, not the answer to a command of ours */
-  gint64 notice_until;      /* when its interruption notice ends; 0: none */
-  gint64 probe_at;
-  guint probe_fails;             /* direct requests without answer since the last heartbeat */
+  FtReachability reachability;
+  gint64 launched_at;
+  gint64 idle_since;             /* with ft_machine_idle(): since when */
+  gint64 notice_until;           /* when its interruption notice ends; 0: none */
   gint64 terminate_at;           /* earliest next try of a return */
   gboolean counted_unreconciled; /* counted by the recovery among the unreconciled machines */
   gboolean reconciled;           /* heard under our token, or certainly empty; ft_machine_set_reconciled() sets it */
@@ -128,15 +124,3 @@
 /* Commands reach it, but its heartbeats reach nobody: whatever is started there dies with
  * its lease. Counted from its own heartbeats alone, while we were there to answer them. */
 gboolean ft_machine_not_reporting (const FtMachine *machine);
-
-/* Since when it could have sent a heartbeat to us, and has not. */
-gint64 ft_machine_no_heartbeat_since (const FtMachine *machine);
-
-/* How long a worker keeps its tasks after its last answered heartbeat, at most, in microseconds. */
-gint64 ft_machine_lease_us (const FtCoreContext *context);
-
-/* How long nothing comes from a machine until it counts as silent, in microseconds. */
-gint64 ft_machine_silence_us (const FtCoreContext *context);
-
-/* After how long without one a machine's heartbeat is overdue, in microseconds. */
-gint64 ft_machine_overdue_us (const FtCoreContext *context);
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -127,7 +127,8 @@
   gint64 long_silent = ft_seconds (FT_SILENT_MAJORITY_LEASES * context->settings->lease_s);
   if (context->now - context->cancellations_known_until > ft_seconds (FT_GIVE_UP_STORE_SEEN_S))
     return FALSE;
-  if (count.lost > count.heard && context->now - ft_machine_no_heartbeat_since (machine) <= long_silent)
+  if (count.lost > count.heard
+      && context->now - ft_reachability_no_heartbeat_since (&machine->reachability, context) <= long_silent)
     return FALSE;
   if (machine->zone_view->unreachable)
     return zone_alone_lost (context, machine->zone_view);
@@ -140,7 +141,7 @@
   const FtCoreContext *context = machine->context;
   /* A controller that is late itself answers too late: that is not the machine's. */
   return machine->state == FT_MACHINE_UP && ft_machine_not_receiving (machine)
-         && context->now - MAX (machine->not_receiving_since, context->on_time_since)
+         && context->now - MAX (machine->reachability.not_receiving_since, context->on_time_since)
                 > ft_seconds (FT_NOT_RECEIVING_SCALE_IN_S);
 }
 
@@ -150,7 +151,8 @@
 {
   const FtCoreContext *context = machine->context;
   return ft_machine_not_reporting (machine)
-         && context->now - ft_machine_no_heartbeat_since (machine) > ft_machine_lease_us (context);
+         && context->now - ft_reachability_no_heartbeat_since (&machine->reachability, context)
+                > ft_reachability_lease_us (context);
 }
 
 /* Why a machine is of no use, and may be given up; NULL: it is of use. */
@@ -171,7 +173,7 @@
 {
   gint64 taken_at = machine->notice_until + ft_seconds (FT_NOTICE_MARGIN_S);
   return machine->notice_until > 0 && machine->context->now > taken_at
-         && machine->last_status_at < machine->notice_until;
+         && machine->reachability.last_status_at < machine->notice_until;
 }
 
 static gboolean
--- /dev/null
+++ b/src/core/machine_watch.c
@@ -0,0 +1,41 @@
+#include "core/machine_watch.h"
+
+#include "core/direct_commands.h"
+#include "core/probes.h"
+#include "core/zone.h"
+
+/* A worker that runs has dropped its tasks by now, but one that hangs has
+ * not: what was on the machine is over only when a heartbeat of a later incarnation
+ * comes or the machine is gone. The expired incarnation is not used again. */
+static void
+check_lease (FtMachine *machine)
+{
+  if (machine->incarnation <= machine->expired_incarnation
+      || !ft_reachability_lease_over (&machine->reachability, machine->context))
+    return;
+  g_message ("machine %s: incarnation %" G_GUINT64_FORMAT " expired (its worker lease is over)", machine->name,
+             machine->incarnation);
+  machine->expired_incarnation = machine->incarnation;
+}
+
+static void
+check_silence (FtMachine *machine)
+{
+  if (machine->state == FT_MACHINE_UP
+      && ft_reachability_silent (&machine->reachability, machine->context, machine->zone_view->unreachable,
+                                 machine->reconciled))
+    ft_machine_set_state (machine, FT_MACHINE_SILENT, "no heartbeat");
+}
+
+void
+ft_machine_watch (FtMachine *machine)
+{
+  if (machine->state == FT_MACHINE_GONE)
+    return; /* nothing is sent to it either */
+  check_lease (machine);
+  check_silence (machine);
+  if (ft_direct_commands_wanted (machine))
+    ft_machine_queue_direct (machine);
+  if (ft_machine_wants_probe (machine))
+    ft_machine_queue_probe (machine);
+}
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -2,33 +2,25 @@
 
 #include "core/worker_commands.h"
 
-gint64
-ft_machine_silent_since (const FtMachine *machine)
+/* Whether it is known that the machine is there, and that both ways work. */
+static gboolean
+in_question (const FtMachine *machine)
 {
-  return MAX (machine->last_status_at, machine->context->on_time_since);
-}
-
-gboolean
-ft_machine_heartbeat_overdue (const FtMachine *machine)
-{
-  const FtCoreContext *context = machine->context;
-  return context->now - ft_machine_silent_since (machine) > ft_machine_overdue_us (context);
+  return !machine->reconciled || ft_machine_not_receiving (machine)
+         || (machine->state == FT_MACHINE_UP && ft_reachability_overdue (&machine->reachability, machine->context));
 }
 
 gboolean
 ft_machine_wants_probe (const FtMachine *machine)
 {
-  gboolean in_question = !machine->reconciled || ft_machine_not_receiving (machine)
-                         || (machine->state == FT_MACHINE_UP && ft_machine_heartbeat_overdue (machine));
-  return in_question && machine->context->now >= machine->probe_at && machine->addr != NULL
+  return in_question (machine) && machine->context->now >= machine->reachability.probe_at && machine->addr != NULL
          && !machine->command_in_flight && machine->state != FT_MACHINE_GONE;
 }
 
 static FtDirect *
 probe (FtProbes *probes, FtMachine *machine)
 {
-  guint pause = 1u << MIN (machine->probe_fails, FT_PROBE_DOUBLINGS);
-  machine->probe_at = machine->context->now + ft_seconds (FT_PROBE_EVERY_S * pause);
+  ft_reachability_probe_sent (&machine->reachability, machine->context->now);
   probes->in_flight++;
   return ft_worker_command_direct (machine, ft_commands_new ());
 }
@@ -49,13 +41,14 @@
 void
 ft_probes_unanswered (FtMachine *machine)
 {
-  if (ft_machine_heartbeat_overdue (machine) || !machine->reconciled || ft_machine_not_receiving (machine))
-    machine->probe_fails++;
+  if (!machine->reconciled || ft_machine_not_receiving (machine)
+      || ft_reachability_overdue (&machine->reachability, machine->context))
+    ft_reachability_request_unanswered (&machine->reachability);
 }
 
 void
 ft_probes_again (FtMachine *machine)
 {
-  machine->probe_at = machine->context->now;
+  ft_reachability_probe_now (&machine->reachability, machine->context->now);
   ft_machine_queue_probe (machine);
 }
--- a/src/core/probes.h
+++ b/src/core/probes.h
@@ -11,12 +11,6 @@
   guint in_flight; /* bounded, so that machines that do not answer keep out no others */
 } FtProbes;
 
-/* Since when nothing has come from the machine, for all we can tell. */
-gint64 ft_machine_silent_since (const FtMachine *machine);
-
-/* The ordinary gap between two heartbeats is over. */
-gboolean ft_machine_heartbeat_overdue (const FtMachine *machine);
-
 /* The machine is to be probed now. */
 gboolean ft_machine_wants_probe (const FtMachine *machine);
 
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -1,7 +1,7 @@
 #include "core/scheduler.h"
 
 #include "core/autoscaler.h"
-#include "core/direct_commands.h"
+#include "core/machine_watch.h"
 #include "core/scheduler_private.h"
 
 /* ---- life ---- */
@@ -124,8 +124,8 @@
   FtMachine *machine = ft_machine_table_add (&scheduler->machine_table, name, addr, type, zone, spot);
   ft_registry_loaded (scheduler, row, machine);
   /* A former leader that lost the store may have answered it until then. */
-  machine->last_answer = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
-  machine->last_status_at = scheduler->context.now;
+  gint64 answered_until = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
+  ft_reachability_registered (&machine->reachability, answered_until, scheduler->context.now);
 }
 
 void
@@ -139,9 +139,7 @@
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
-    machine->last_status_at = machine->last_heartbeat_at = now; /* silence counts from here */
-    machine->probe_at = now + ft_seconds (FT_PROBE_FIRST_S);
-    machine->last_answer = MAX (machine->last_answer, now); /* it may have been answered while we read */
+    ft_reachability_loaded (&machine->reachability, now);
     if (machine->state == FT_MACHINE_BOOTING && machine->registered)
       ft_machine_set_state (machine, FT_MACHINE_UP, "in the registry");
   }
@@ -157,30 +155,6 @@
 
 /* ---- time ---- */
 
-static void
-check_machine (FtScheduler *scheduler, FtMachine *machine)
-{
-  if (machine->state == FT_MACHINE_GONE)
-    return;
-  /* A worker that runs has dropped its tasks by now, but one that hangs has
-   * not: what was on the machine is over only when a heartbeat of a later incarnation
-   * comes or the machine is gone. The expired incarnation is not used again. */
-  if (machine->incarnation > machine->expired_incarnation && machine->last_answer > 0
-      && scheduler->context.now > machine->last_answer + ft_machine_lease_us (&scheduler->context)) {
-    g_message ("machine %s: worker lease over, incarnation %" G_GUINT64_FORMAT, machine->name, machine->incarnation);
-    machine->expired_incarnation = machine->incarnation;
-  }
-  /* Probes alone tell nothing while a heartbeat is not due: right after a takeover
-   * this controller is busy, and gives back no healthy fleet for its own lateness. */
-  gboolean silent
-      = scheduler->context.now - ft_machine_silent_since (machine) > ft_machine_silence_us (&scheduler->context)
-        || (ft_machine_heartbeat_overdue (machine)
-            && (machine->zone_view->unreachable
-                || machine->probe_fails >= (machine->reconciled ? FT_PROBES : FT_PROBES_TAKEOVER)));
-  if (machine->state == FT_MACHINE_UP && silent)
-    ft_machine_set_state (machine, FT_MACHINE_SILENT, "no heartbeat");
-}
-
 void
 ft_scheduler_tick (FtScheduler *scheduler, gint64 now, gboolean may_start)
 {
@@ -195,11 +169,7 @@
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
-    check_machine (scheduler, machine);
-    if (ft_direct_commands_wanted (machine))
-      ft_machine_queue_direct (machine);
-    if (ft_machine_wants_probe (machine))
-      ft_machine_queue_probe (machine);
+    ft_machine_watch (machine);
     if (machine->state == FT_MACHINE_GONE && !machine->command_in_flight && !machine->terminate_in_flight)
       g_hash_table_iter_remove (&it);
   }
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -15,7 +15,7 @@
     machine = ft_machine_table_add (heartbeats->machine_table, heartbeat->machine, heartbeat->addr, heartbeat->type,
                                     heartbeat->zone, heartbeat->spot);
     ft_machine_set_reconciled (machine);
-    machine->last_answer = heartbeats->context->now;
+    ft_reachability_first_heard (&machine->reachability, heartbeats->context->now);
     g_message ("machine %s: known (by its first heartbeat)", machine->name);
   }
   ft_machine_set_addr (machine, heartbeat->addr);
@@ -29,7 +29,7 @@
 {
   return heartbeat->incarnation <= machine->expired_incarnation || heartbeat->incarnation < machine->incarnation
          || (heartbeat->incarnation == machine->incarnation && heartbeat->sequence <= machine->sequence)
-         || (machine->acknowledged_token && heartbeat->token < machine->context->token);
+         || (machine->reachability.acknowledged_token && heartbeat->token < machine->context->token);
 }
 
 static void
@@ -40,18 +40,18 @@
     ft_machine_end_incarnation (machine);
   }
   machine->incarnation = incarnation;
-  machine->answered = 0;
+  ft_reachability_new_incarnation (&machine->reachability);
   machine->in_doubt = FALSE;
 }
 
 /* ---- reachability ---- */
 
 static void
-note_contact (FtMachine *machine)
+note_contact (FtMachine *machine, gboolean is_heartbeat)
 {
   FtCoreContext *context = machine->context;
-  machine->last_status_at = context->now;
-  machine->probe_fails = 0;
+  ft_reachability_heard (&machine->reachability, is_heartbeat, context->now);
+  ft_zone_heard (machine->zone_view, context->now);
   if (machine->state != FT_MACHINE_BOOTING && machine->state != FT_MACHINE_SILENT)
     return;
   if (machine->state == FT_MACHINE_BOOTING)
@@ -66,7 +66,7 @@
 update_receiving (FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
 {
   const FtCoreContext *context = machine->context;
-  gboolean missing = machine->answered > 0 && heartbeat->token < context->token;
+  gboolean missing = machine->reachability.answered > 0 && heartbeat->token < context->token;
   gboolean expected = FALSE;
   GHashTableIter it;
   gpointer value;
@@ -77,17 +77,9 @@
     expected |= sent;
     missing |= sent && attempt->state == FT_ATTEMPT_PLACED;
   }
-  if (missing)
-    machine->unacknowledged++;
-  else if (expected || machine->not_receiving_since == 0)
-    machine->unacknowledged = 0;
-  if (machine->unacknowledged >= FT_UNACKNOWLEDGED_MAX && machine->not_receiving_since == 0) {
-    machine->not_receiving_since = context->now;
+  if (ft_reachability_answers_shown (&machine->reachability, missing, expected, context->now))
     g_message ("machine %s: not receiving our answers (%u heartbeats show nothing of them)", machine->name,
-               machine->unacknowledged);
-  } else if (machine->unacknowledged == 0) {
-    machine->not_receiving_since = 0;
-  }
+               machine->reachability.unacknowledged);
 }
 
 /* ---- what a status says ---- */
@@ -99,9 +91,8 @@
                     gboolean is_heartbeat)
 {
   FtCoreContext *context = heartbeats->context;
-  if (!machine->acknowledged_token)
+  if (ft_reachability_token_shown (&machine->reachability))
     context->placement_due = TRUE;
-  machine->acknowledged_token = TRUE;
   context->last_heard = context->now;
   if (!machine->reconciled) {
     ft_machine_set_reconciled (machine);
@@ -120,18 +111,14 @@
   if (heartbeat->incarnation > machine->incarnation)
     begin_incarnation (machine, heartbeat->incarnation);
   machine->sequence = heartbeat->sequence;
-  if (is_heartbeat)
-    machine->last_heartbeat_at = context->now;
-  ft_zone_heard (machine->zone_view, context->now);
-  note_contact (machine);
+  note_contact (machine, is_heartbeat);
   if (heartbeat->token >= context->token)
     token_acknowledged (heartbeats, machine, heartbeat, is_heartbeat);
   if (is_heartbeat) {
     update_receiving (machine, heartbeat);
     ft_interruption_notice_apply (machine, heartbeat->notice_s, heartbeats->spot_risk);
   } else {
-    machine->unacknowledged = 0; /* a command has reached it */
-    machine->not_receiving_since = 0;
+    ft_reachability_command_arrived (&machine->reachability);
   }
   return TRUE;
 }
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -65,14 +65,14 @@
 {
   gint64 since = MAX (zone->last_heard, MAX (context->on_time_since, context->answering_since));
   return zone->members >= FT_ZONE_MEMBERS
-         && context->now - MAX (since, context->loaded_at) > ft_machine_overdue_us (context);
+         && context->now - MAX (since, context->loaded_at) > ft_reachability_overdue_us (context);
 }
 
 static gboolean
 heard_of_late (const FtCoreContext *context, const FtZone *zone)
 {
   return zone->members > 0 && zone->last_heard > 0
-         && context->now - zone->last_heard <= ft_machine_overdue_us (context);
+         && context->now - zone->last_heard <= ft_reachability_overdue_us (context);
 }
 
 void
--- a/tests/test_units.cpp
+++ b/tests/test_units.cpp
@@ -362,12 +362,12 @@
   // From before it knew us, with a higher number than any we saw: tokens only rise.
   g_autoptr (FtWorkerHeartbeat) before = b.heartbeat (1, 9, 2);
   ft_scheduler_heartbeat (b.s, before, 140 * kS);
-  EXPECT_EQ (m->last_status_at, 100 * kS);
+  EXPECT_EQ (m->reachability.last_status_at, 100 * kS);
   EXPECT_EQ (m->sequence, 5u);
   // Of a former incarnation.
   g_autoptr (FtWorkerHeartbeat) incarnation = b.heartbeat (0, 9, 3);
   ft_scheduler_heartbeat (b.s, incarnation, 140 * kS);
-  EXPECT_EQ (m->last_status_at, 100 * kS);
+  EXPECT_EQ (m->reachability.last_status_at, 100 * kS);
   // Of a machine that nobody knows any more: no work before it shows our token.
   g_autoptr (FtWorkerHeartbeat) ghost = b.heartbeat (1, 1, 2);
   g_free (ghost->machine);
--- a/tests/test_zone.cpp
+++ b/tests/test_zone.cpp
@@ -63,7 +63,7 @@
   double
   overdue_s ()
   {
-    return (double) ft_machine_overdue_us (&s->context) / kS;
+    return (double) ft_reachability_overdue_us (&s->context) / kS;
   }
 };
 
