--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -1,5 +1,6 @@
 #include "core/admission.h"
 
+/* Amounts are decimal numbers; this absorbs their rounding. */
 #define EPSILON 1e-9
 
 static gboolean
@@ -13,20 +14,33 @@
          && spec->memory_gb <= type->memory_gb + EPSILON;
 }
 
+static const FtTeamLimit *
+find_team (const FtSettings *settings, const char *name)
+{
+  for (guint i = 0; i < settings->n_teams; i++)
+    if (g_strcmp0 (settings->teams[i].name, name) == 0)
+      return &settings->teams[i];
+  return NULL;
+}
+
+/* An array runs task by task; what runs whole must fit whole. */
+static gboolean
+team_limit_fits (const FtTeamLimit *team, const FtJobSpec *spec)
+{
+  guint together = spec->kind == FT_KIND_ARRAY ? 1 : spec->tasks;
+  return spec->cpus * together <= ft_team_limit (team->cpus_max) + EPSILON
+         && spec->gpus * together <= ft_team_limit (team->gpus_max) + EPSILON;
+}
+
 FtAdmission
 ft_admission_check (const FtSettings *settings, const FtCatalog *catalog, const FtJobSpec *spec, const char **why)
 {
-  const FtTeamLimit *team = NULL;
-  for (guint i = 0; i < settings->n_teams; i++)
-    if (g_strcmp0 (settings->teams[i].name, spec->team) == 0)
-      team = &settings->teams[i];
+  const FtTeamLimit *team = find_team (settings, spec->team);
   *why = "unknown team";
   if (team == NULL)
     return FT_ADMIT_NEVER;
   *why = "it needs more than the team's limit";
-  guint together = spec->kind == FT_KIND_ARRAY ? 1 : spec->tasks;
-  if (spec->cpus * together > ft_team_limit (team->cpus_max) + EPSILON
-      || spec->gpus * together > ft_team_limit (team->gpus_max) + EPSILON)
+  if (!team_limit_fits (team, spec))
     return FT_ADMIT_NEVER;
   *why = "the machine types are not known yet";
   if (catalog == NULL)
--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -164,7 +164,7 @@
 }
 
 void
-ft_attempt_withdraw_stop (FtAttempt *attempt)
+ft_attempt_clear_stop (FtAttempt *attempt)
 {
   attempt->stop = FT_ATTEMPT_STOP_NONE;
 }
--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -89,10 +89,14 @@
 /* The tasks of a gang start under one attempt number, several of them perhaps on one machine: an
  * attempt is identified by its number, its job's ref and its task's index. For GHashTable. */
 guint ft_attempt_hash (gconstpointer key);
+
+/* The same, whether two attempts have one identity. */
 gboolean ft_attempt_equal (gconstpointer first, gconstpointer second);
 
-/* Counts the attempt in what its machine and its team use, and no longer; both may be repeated. */
+/* Counts the attempt in what its machine and its team use; may be repeated. */
 void ft_attempt_reserve (FtAttempt *attempt);
+
+/* Counts it there no longer; may be repeated. */
 void ft_attempt_release (FtAttempt *attempt);
 
 /* Makes it the attempt of its task, which has none, and moves the task to `state`. */
@@ -103,11 +107,15 @@
 void ft_attempt_want_stop (FtAttempt *attempt, double grace_s);
 
 /* It is not to be stopped after all. */
-void ft_attempt_withdraw_stop (FtAttempt *attempt);
+void ft_attempt_clear_stop (FtAttempt *attempt);
 
-/* A direct request carries its start; and what became of that request. */
+/* A direct request carries its start. */
 void ft_attempt_direct_start_sent (FtAttempt *attempt);
+
+/* That request was answered: no copy of it is executed any more but what the worker has shown. */
 void ft_attempt_direct_start_answered (FtAttempt *attempt);
+
+/* That request got no answer: it may still be executed, late. */
 void ft_attempt_direct_start_unanswered (FtAttempt *attempt);
 
 /* An attempt of an earlier leadership: a direct start may have been sent, for all we know. */
--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -205,7 +205,7 @@
   if (attempt->direct_start != FT_DIRECT_START_UNANSWERED)
     ft_attempt_end (attempt);
   else if (attempt->bound && attempt->job->state == FT_JOB_OPEN)
-    ft_attempt_withdraw_stop (attempt); /* started after all: waiting for the lost start could last for ever */
+    ft_attempt_clear_stop (attempt); /* started after all: waiting for the lost start could last for ever */
 }
 
 void
--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -28,7 +28,7 @@
 {
   const FtCoreContext *context = autoscaler->context;
   double heartbeats_s = context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S;
-  return autoscaler->recovery->recovered || context->now - context->took_over_at > ft_seconds (heartbeats_s);
+  return ft_recovery_is_done (autoscaler->recovery) || context->now - context->took_over_at > ft_seconds (heartbeats_s);
 }
 
 /* Counts the time for which spot machines have been up. */
@@ -87,7 +87,7 @@
 {
   FtCoreContext *context = autoscaler->context;
   context->cloud_answered_at = context->now;
-  if (!autoscaler->recovery->loaded)
+  if (!ft_recovery_is_loaded (autoscaler->recovery))
     return; /* the registry is not read: a listed machine may hold tasks */
   ft_cloud_inventory_apply (autoscaler->machine_table, autoscaler->recovery, list);
 }
--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -27,6 +27,8 @@
 
 /* The borrowed fields are set by the caller. */
 void ft_autoscaler_init (FtAutoscaler *autoscaler);
+
+/* Frees what it owns. */
 void ft_autoscaler_clear (FtAutoscaler *autoscaler);
 
 /* Plans launches and marks the machines to return; the rows of the store have been read. */
--- a/src/core/cloud_call.h
+++ b/src/core/cloud_call.h
@@ -13,6 +13,7 @@
   GPtrArray *names; /* of the machines to return, or that were launched */
 } FtCloudCall;
 
+/* Frees the call; NULL is allowed. */
 void ft_cloud_call_free (FtCloudCall *call);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtCloudCall, ft_cloud_call_free)
 
--- a/src/core/cloud_inventory.c
+++ b/src/core/cloud_inventory.c
@@ -21,7 +21,7 @@
       ft_machine_terminate (machine, "failed");
     ft_machine_end_incarnation (machine);
     ft_machine_set_reconciled (machine);
-    ft_recovery_uncount (recovery, machine);
+    ft_recovery_machine_reconciled (recovery, machine);
   }
   /* A machine known from the registry or a heartbeat is older than this leadership. */
   machine->launched_at = MIN (machine->launched_at, machine->context->now - ft_seconds (entry->age_s));
--- a/src/core/cloud_pool.h
+++ b/src/core/cloud_pool.h
@@ -21,7 +21,10 @@
   guint64 next_booking;
 } FtCloudPools;
 
+/* No pools and no requests. */
 void ft_cloud_pools_init (FtCloudPools *pools);
+
+/* Frees the pools. */
 void ft_cloud_pools_clear (FtCloudPools *pools);
 
 /* The pool, made at its first mention; borrowed, lives as long as `pools`. */
@@ -30,6 +33,8 @@
 /* Makes a request for `count` machines; the pool has none under way. `token`: our fencing token. */
 void ft_cloud_pools_request (FtCloudPools *pools, FtCloudPool *pool, guint count, guint64 token, gint64 now);
 
-/* The pool's request has been answered, or refused: in that case it is not asked again for a while. */
+/* The pool's request has been answered: it has none under way. */
 void ft_cloud_pool_answered (FtCloudPool *pool);
+
+/* The cloud has refused all or part of the request: the pool is not asked again for a while. */
 void ft_cloud_pool_refused (FtCloudPool *pool, gint64 now);
--- a/src/core/direct_command.h
+++ b/src/core/direct_command.h
@@ -9,6 +9,7 @@
   GArray *commands;    /* FtCommand; empty: a probe */
 } FtDirect;
 
+/* Frees the request; NULL is allowed. */
 void ft_direct_free (FtDirect *direct);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtDirect, ft_direct_free)
 
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -32,12 +32,15 @@
 /* Machines that wait for something to be done for them. A machine is in each at most once. Owned
  * by the scheduler; filled by the machines. */
 typedef struct {
-  GQueue directs;     /* FtMachine that may want a direct request; emptied by the command queue */
-  GQueue probes;      /* FtMachine that may want a probe; emptied by the command queue */
+  GQueue directs;     /* FtMachine that may want a direct request; emptied by the direct commands */
+  GQueue probes;      /* FtMachine that may want a probe; emptied by the probes */
   GQueue terminating; /* FtMachine in FT_MACHINE_TERMINATING; read by the cloud calls */
 } FtMachineQueues;
 
+/* Empty queues. */
 void ft_machine_queues_init (FtMachineQueues *queues);
+
+/* Empties the queues; the machines are not freed. */
 void ft_machine_queues_clear (FtMachineQueues *queues);
 
 struct _FtMachine {
@@ -47,9 +50,9 @@
   FtZone *zone_view;         /* of the machine table's zones */
   const FtMachineType *type; /* of the context's catalog; NULL if not in it */
   gboolean spot;
-  FtMachineState state; /* changed by ft_machine_set_state() only */
-  guint64 incarnation, sequence;
-  guint64 expired_incarnation; /* incarnations up to here are over */
+  FtMachineState state;          /* changed by ft_machine_set_state() only */
+  guint64 incarnation, sequence; /* of its newest status */
+  guint64 expired_incarnation;   /* incarnations up to here are over */
   FtReachability reachability;
   gint64 launched_at;
   gint64 idle_since;             /* with ft_machine_idle(): since when */
@@ -60,22 +63,25 @@
   FtRegistryRow *row;            /* the registry row that names it; NULL: none yet */
   FtRegistryRow *split_row;      /* a stored row that names it until `row` is stored; NULL: none */
   gboolean registered;           /* that row is committed */
-  gboolean direct_queued, probe_queued;
-  gboolean drained; /* by an operator */
-  gboolean quarantined;
-  gboolean listed_running;
-  gboolean command_in_flight, terminate_in_flight;
-  gboolean in_doubt;            /* a direct start of this incarnation got no answer */
-  guint faults;                 /* failures in a row that count against it; see fault.h */
-  guint64 last_failed;          /* revision of the job that failed here last */
-  double cpus, gpus, memory_gb; /* taken by attempts not known to be over */
-  GHashTable *attempts;         /* set of FtAttempt, owned */
-  GHashTable *images;           /* names known to be cached */
+  gboolean direct_queued, probe_queued; /* is in that queue */
+  gboolean drained;                     /* by an operator: gets no starts */
+  gboolean quarantined;                 /* faulty, or a start is in doubt: gets no starts; never revoked */
+  gboolean listed_running;              /* the cloud's list named it as running before any heartbeat */
+  gboolean command_in_flight;           /* a direct request or a probe is on its way */
+  gboolean terminate_in_flight;         /* a call to return it is on its way */
+  gboolean in_doubt;                    /* a direct start of this incarnation got no answer */
+  guint faults;                         /* failures in a row that count against it; see fault.h */
+  guint64 last_failed;                  /* revision of the job that failed here last */
+  double cpus, gpus, memory_gb;         /* taken by attempts not known to be over */
+  GHashTable *attempts;                 /* set of FtAttempt, owned */
+  GHashTable *images;                   /* names known to be cached */
 };
 
 /* A machine in FT_MACHINE_BOOTING. Called by ft_machine_table_add(). `addr` may be NULL. */
 FtMachine *ft_machine_new (FtCoreContext *context, FtMachineQueues *queues, FtZone *zone, const char *name,
                            const char *addr, const char *type, gboolean spot);
+
+/* Called by the machine table. Ends its attempts without a trace, and takes it out of the queues of requests. */
 void ft_machine_free (FtMachine *machine);
 
 /* The one place where a machine's state changes. `reason` goes to the log. FALSE: a move that the lifecycle does
@@ -94,8 +100,10 @@
 /* All that the machine may run unseen is known. The recovery is told by the caller. */
 void ft_machine_set_reconciled (FtMachine *machine);
 
-/* The machine may want a direct request, or a probe. */
+/* The machine may want a direct request. */
 void ft_machine_queue_direct (FtMachine *machine);
+
+/* The machine may want a probe. */
 void ft_machine_queue_probe (FtMachine *machine);
 
 /* New work may be started on it now. */
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -47,7 +47,7 @@
   gint64 age = 0;
   GHashTableIter it;
   gpointer value;
-  if (eviction->recovery->recovered)
+  if (ft_recovery_is_done (eviction->recovery))
     return 0;
   g_hash_table_iter_init (&it, eviction->job_table->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
--- a/src/core/machine_eviction.h
+++ b/src/core/machine_eviction.h
@@ -22,7 +22,7 @@
   gint64 window_at;              /* when the window began in which terminations for silence are bounded */
   guint window_terminated;       /* machines terminated for silence within it */
   gint64 unseen_cancellation_us; /* age of the oldest cancellation of which tasks may run unseen; 0: none */
-  gboolean store_unreachable;    /* so long without sight of cancellations that silent machines must go */
+  gboolean store_unreachable;    /* the store has not shown cancellations for so long that silent machines must go */
 } FtMachineEviction;
 
 /* Terminates what is to be terminated now. */
--- a/src/core/machine_table.h
+++ b/src/core/machine_table.h
@@ -15,7 +15,10 @@
   GHashTable *drained;     /* names drained by operators */
 } FtMachineTable;
 
+/* An empty table. */
 void ft_machine_table_init (FtMachineTable *table, FtCoreContext *context, FtMachineQueues *queues);
+
+/* Frees the machines and the zones. Attempts leave their jobs, which must still exist. */
 void ft_machine_table_clear (FtMachineTable *table);
 
 /* Makes a machine of a name that is not known; borrowed. `addr` may be NULL. */
@@ -28,8 +31,8 @@
 /* The name was a machine's that has been returned or has failed. */
 gboolean ft_machine_table_is_gone (const FtMachineTable *table, const char *name);
 
-/* The machine has been returned or has failed: all on it is over. It stays in the table until
- * ft_machine_table_forget_gone() drops it. */
+/* The machine has been returned or has failed: all on it is over. It stays in the table while a request
+ * that concerns it is in flight. */
 void ft_machine_table_set_gone (FtMachineTable *table, FtMachine *machine, const char *reason);
 
 /* By an operator. Remembered by name, also for a machine that is not known. */
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -344,7 +344,7 @@
   placement->pass++;
   placement->next_pass = placement->context->now + ft_seconds (FT_PASS_EVERY_S);
   collect (placement);
-  if (!placement->context->may_start || !placement->recovery->loaded || placement->waiting->len == 0)
+  if (!placement->context->may_start || !ft_recovery_is_loaded (placement->recovery) || placement->waiting->len == 0)
     return;
   find_machines (placement, &pass);
   guint placed = 0, preempting = placement->context->now >= placement->next_preempt ? 0 : FT_PREEMPT_JOBS;
@@ -366,7 +366,7 @@
 void
 ft_placement_fill (FtPlacement *placement, FtMachine *machine)
 {
-  if (!placement->context->may_start || !placement->recovery->loaded || !ft_machine_usable (machine))
+  if (!placement->context->may_start || !ft_recovery_is_loaded (placement->recovery) || !ft_machine_usable (machine))
     return;
   for (guint i = 0, looked = 0; i < placement->waiting->len && looked < FT_FILL_JOBS; i++) {
     FtJob *job = g_ptr_array_index (placement->waiting, i);
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -35,6 +35,8 @@
 
 /* The borrowed fields are set by the caller. */
 void ft_placement_init (FtPlacement *placement);
+
+/* Frees what it owns. */
 void ft_placement_clear (FtPlacement *placement);
 
 /* Orders the open jobs anew and places what there is room for. */
--- a/src/core/quota.h
+++ b/src/core/quota.h
@@ -4,16 +4,9 @@
  * tasks by the tasks' states (task.c). The placement asks how much is left. */
 #pragma once
 #include "core/job.h"
+#include "core/team.h"
 #include "core/types.h"
 
-typedef struct _FtTeam FtTeam;
-
-struct _FtTeam {
-  const FtTeamLimit *limit;          /* borrowed from the settings */
-  double cpus, gpus;                 /* bound on machines */
-  double unknown_cpus, unknown_gpus; /* of tasks that may be on machines not heard from since the takeover */
-};
-
 typedef struct {
   FtTeam *teams; /* owned; as many as the settings name */
   guint n_teams;
@@ -24,7 +17,10 @@
   double cpus, gpus;
 } FtUnseenCapacity;
 
+/* A quota of the settings' teams; the settings are borrowed. */
 void ft_quota_init (FtQuota *quota, const FtSettings *settings);
+
+/* Frees the teams. */
 void ft_quota_clear (FtQuota *quota);
 
 /* The team of that name; borrowed, NULL: not in the settings. */
--- a/src/core/recovery.c
+++ b/src/core/recovery.c
@@ -12,7 +12,7 @@
 }
 
 void
-ft_recovery_uncount (FtRecovery *recovery, FtMachine *machine)
+ft_recovery_machine_reconciled (FtRecovery *recovery, FtMachine *machine)
 {
   if (machine->counted_unreconciled)
     count (recovery, machine, -1);
@@ -39,6 +39,18 @@
   }
 }
 
+gboolean
+ft_recovery_is_loaded (const FtRecovery *recovery)
+{
+  return recovery->loaded;
+}
+
+gboolean
+ft_recovery_is_done (const FtRecovery *recovery)
+{
+  return recovery->recovered;
+}
+
 void
 ft_recovery_unreconciled (const FtRecovery *recovery, double *cpus, double *gpus)
 {
--- a/src/core/recovery.h
+++ b/src/core/recovery.h
@@ -13,5 +13,7 @@
 
 void ft_recovery_tick (FtScheduler *scheduler);
 void ft_recovery_recount (FtScheduler *scheduler);
-void ft_recovery_uncount (FtRecovery *recovery, FtMachine *machine);
+void ft_recovery_machine_reconciled (FtRecovery *recovery, FtMachine *machine);
+gboolean ft_recovery_is_loaded (const FtRecovery *recovery);
+gboolean ft_recovery_is_done (const FtRecovery *recovery);
 void ft_recovery_unreconciled (const FtRecovery *recovery, double *cpus, double *gpus);
--- a/src/core/scheduler_workers.c
+++ b/src/core/scheduler_workers.c
@@ -13,7 +13,7 @@
     return;
   ft_registry_add (scheduler, machine);
   if (machine->reconciled)
-    ft_recovery_uncount (&scheduler->recovery, machine);
+    ft_recovery_machine_reconciled (&scheduler->recovery, machine);
 }
 
 gboolean
@@ -23,7 +23,8 @@
   if (heartbeat->token > scheduler->context.token)
     return FALSE;
   /* Before the registry is read, nobody knows what a machine may hold. */
-  if (scheduler->recovery.loaded && !ft_machine_table_is_gone (&scheduler->machine_table, heartbeat->machine)) {
+  if (ft_recovery_is_loaded (&scheduler->recovery)
+      && !ft_machine_table_is_gone (&scheduler->machine_table, heartbeat->machine)) {
     FtMachine *machine = ft_worker_heartbeats_machine (&scheduler->worker_heartbeats, heartbeat);
     apply_status (scheduler, machine, heartbeat, TRUE);
   }
@@ -93,7 +94,7 @@
 ft_scheduler_machine_gone (FtScheduler *scheduler, FtMachine *machine, const char *reason)
 {
   ft_machine_table_set_gone (&scheduler->machine_table, machine, reason);
-  ft_recovery_uncount (&scheduler->recovery, machine);
+  ft_recovery_machine_reconciled (&scheduler->recovery, machine);
   ft_registry_remove (scheduler, machine);
 }
 
@@ -131,6 +132,6 @@
 {
   scheduler->context.now = now;
   ft_autoscaler_listed (&scheduler->autoscaler, list);
-  if (scheduler->recovery.loaded)
+  if (ft_recovery_is_loaded (&scheduler->recovery))
     ft_recovery_tick (scheduler);
 }
--- a/src/core/spot_risk.h
+++ b/src/core/spot_risk.h
@@ -2,7 +2,8 @@
  *
  * The cloud publishes no rate at which it does so. It is estimated from what this leader
  * has seen: machine-hours of spot machines in use, and machines that were given notice.
- * Pure bookkeeping: no clock, no I/O. */
+ * Pure bookkeeping: no clock, no I/O. Owned by the scheduler; fed by the autoscaler and the interruption notices, read
+ * by the placement. */
 #pragma once
 #include <glib.h>
 
--- a/src/core/tuning.c
+++ b/src/core/tuning.c
@@ -4,6 +4,7 @@
 
 static const char *const log_choices[] = FT_LOG_CHOICES;
 
+/* A row of FT_OPERATOR_SETTINGS as an element of the table. */
 #define ROW(name, field, unit, least, most, standard, what)                                                            \
   { name, unit, what, least, most, standard, offsetof (FtTuning, field), NULL },
 
@@ -22,9 +23,9 @@
 const FtTuningInfo *
 ft_tuning_find (const char *name)
 {
-  guint n;
-  const FtTuningInfo *all = ft_tuning_table (&n);
-  for (guint i = 0; i < n; i++)
+  guint count;
+  const FtTuningInfo *all = ft_tuning_table (&count);
+  for (guint i = 0; i < count; i++)
     if (g_strcmp0 (all[i].name, name) == 0)
       return &all[i];
   return NULL;
@@ -52,23 +53,24 @@
 gint64
 ft_tuning_answer_grace (const FtSettings *settings)
 {
-  double hold = settings->cancel_s - settings->lease_s - FT_ANSWER_GRACE_MARGIN_S - settings->cancel_s * FT_CLOCK_DRIFT;
-  return (gint64) (MAX (hold, 0) * FT_SECOND);
+  double grace_s
+      = settings->cancel_s - settings->lease_s - FT_ANSWER_GRACE_MARGIN_S - settings->cancel_s * FT_CLOCK_DRIFT;
+  return (gint64) (MAX (grace_s, 0) * FT_SECOND);
 }
 
 char *
 ft_tuning_check (const FtTuning *tuning, const FtSettings *settings)
 {
-  double hold = (double) ft_tuning_answer_grace (settings) / FT_SECOND;
-  if (tuning->lease_s > MAX (hold, FT_LEASE_S))
+  double grace_s = (double) ft_tuning_answer_grace (settings) / FT_SECOND;
+  if (tuning->lease_s > MAX (grace_s, FT_LEASE_S))
     return g_strdup_printf ("lease_time above %.1f s: a leader without the state service could start tasks of jobs "
                             "whose withdrawal it cannot see in time",
-                            MAX (hold, FT_LEASE_S));
-  double after = tuning->lease_s - tuning->lease_s / tuning->renew_fraction - FT_LEASE_MARGIN_S;
-  if (after < FT_RENEW_SLACK_S)
+                            MAX (grace_s, FT_LEASE_S));
+  double left_s = tuning->lease_s - tuning->lease_s / tuning->renew_fraction - FT_LEASE_MARGIN_S;
+  if (left_s < FT_RENEW_SLACK_S)
     return g_strdup_printf ("lease_time and renewal_fraction leave %.2f s after a renewal that is lost; %.2f s are "
                             "needed, or a healthy leader loses its lease",
-                            after, FT_RENEW_SLACK_S);
+                            left_s, FT_RENEW_SLACK_S);
   if (tuning->sweep_s > tuning->lease_s)
     return g_strdup ("sweep_period is longer than lease_time: a takeover would wait for the sweep");
   return NULL;
