--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -1,4 +1,7 @@
 /* One attempt to run a task on a machine, from its start until its worker has forgotten it.
+ *
+ * The type lies below jobs and machines; attempt.c is implemented on both, since an attempt takes resources of a
+ * machine and holds a task.
  *
  * An attempt is owned by its machine (FtMachine.attempts) and known to its job (FtJob.attempts). It
  * is made by the placement, or when a heartbeat shows an attempt of an earlier leadership; it
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -128,19 +128,19 @@
  * new work, and share of cancel_s after which the machine is terminated as it is. */
 #define FT_DOUBT_S 5.0
 #define FT_DOUBT_MAX 0.5
-/* Machines of a zone that must all be unheard for the zone to count as unreachable: of
+/* Machines of a zone of which none must be heard for the zone to count as unreachable: of
  * fewer, each may have failed for itself. */
 #define FT_ZONE_MEMBERS 3
 /* Seconds between two launches in an unreachable zone, which show whether it is back. */
 #define FT_ZONE_PROBE_EVERY_S 20.0
 /* Seconds since the store was last seen after which a leader gives up no machine for its
  * silence: it may be cut off itself. A watch tells, when it ends, what was known when it was
- * sent: on a quiet site the sight is two watches old before the next one ends. */
+ * sent: on a quiet site what is known is two watches old before the next one ends. */
 #define FT_GIVE_UP_STORE_SEEN_S (2 * FT_WATCH_S + 0.5)
 /* Seconds by which the store must have been seen after a zone was heard last, for the zone
  * to be given up: what cut off the zone has not cut off this leader as well. */
 #define FT_ZONE_STORE_SEEN_S 1.0
-/* Failures in a row that count against a machine, to shun it: one may be chance. */
+/* Failures in a row that count against a machine, to quarantine it: one may be chance. */
 #define FT_FAULTS 2
 /* Machines on which a job must have failed, and done well on none, to count as mistaken. */
 #define FT_MISTAKEN_MACHINES 3
@@ -149,7 +149,7 @@
 #define FT_FAULT_MARGIN_S 2.0
 /* Attempts of a job looked at to see whether one does well: bounds the cost of a failure. */
 #define FT_FAULT_ATTEMPTS 256
-/* Machines that may be shunned at once: at least, and as a share of all. */
+/* Machines that may be quarantined at once: at least, and as a share of all. */
 #define FT_QUARANTINE_MIN 2
 #define FT_QUARANTINE_SHARE 0.25
 /* Bits of an attempt number below the token, so that attempts rise with it. */
@@ -173,7 +173,7 @@
 #define FT_PREEMPT_RAN_SHARE 0.25
 #define FT_PREEMPT_SLACK 1.3
 /* Share of cancel_s after which a machine that cannot be asked, and may hold a cancelled
- * task, is terminated whatever the bound on returns: the rest is for the cloud. */
+ * task, is terminated whatever the bound on terminations: the rest is for the cloud. */
 #define FT_CANCELLED_SCALE_IN_SHARE 0.5
 /* Machines heard for each one that is not, for a leader without the store to conclude
  * that the machine, not itself, is cut off. */
@@ -221,7 +221,7 @@
 #define FT_PASS_TASKS 256
 
 /* ---- fleet ---- */
-/* Seconds between two looks at what to rent and return. */
+/* Seconds between two runs of the scale-out and the scale-in. */
 #define FT_AUTOSCALE_EVERY_S 1.0
 /* Seconds between two reads of the machine list and of the catalog. */
 #define FT_LIST_EVERY_S 4.0
@@ -272,7 +272,7 @@
  * team's limit, so that what it may run unseen counts in full. */
 #define FT_CAPACITY_UNKNOWN 1e9
 
-/* Tasks by which a job's mark is raised at least, once some have been sent. */
+/* Tasks by which a job's dispatch watermark is raised at least, once some have been sent. */
 #define FT_WATERMARK_STEP 16
 
 /* ---- limits of the state service ---- */
--- a/src/core/direct_commands.h
+++ b/src/core/direct_commands.h
@@ -9,7 +9,7 @@
 /* The next request with commands, of the machines in the queue: new; NULL: none. */
 FtDirect *ft_direct_commands_next (FtMachineQueues *queues);
 
-/* The machine has something to be sent that no event told of: a command that could not be sent when it came up. */
+/* The machine has something to be sent that no event queues it for: a command that could not be sent when it arose. */
 gboolean ft_direct_commands_wanted (const FtMachine *machine);
 
 /* A request to the machine has its result: notes what its starts have come to. */
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -1,7 +1,6 @@
 #include "core/machine.h"
 
 #include "core/job.h"
-#include "core/zone.h"
 
 /* As operators see them. */
 static const char *const names[] = { "booting", "up", "silent", "returning", "gone" };
@@ -30,8 +29,8 @@
 }
 
 FtMachine *
-ft_machine_new (FtCoreContext *context, FtMachineQueues *queues, FtZone *zone, const char *name, const char *addr,
-                const char *type, gboolean spot)
+ft_machine_new (FtCoreContext *context, FtMachineQueues *queues, const char *name, const char *addr, const char *type,
+                const char *zone, gboolean spot)
 {
   FtMachine *machine = g_new0 (FtMachine, 1);
   machine->context = context;
@@ -39,8 +38,7 @@
   machine->name = g_strdup (name);
   machine->addr = g_strdup (addr);
   machine->type_name = g_strdup (type);
-  machine->zone = g_strdup (zone->name);
-  machine->zone_view = zone;
+  machine->zone = g_strdup (zone);
   machine->spot = spot;
   machine->type = ft_catalog_find (context->catalog, type);
   machine->launched_at = machine->idle_since = context->now;
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -47,7 +47,7 @@
   FtCoreContext *context;  /* borrowed */
   FtMachineQueues *queues; /* borrowed */
   char *name, *addr, *zone, *type_name;
-  FtZone *zone_view;         /* of the machine table's zones */
+  FtZone *zone_view;         /* its zone, of the machine table */
   const FtMachineType *type; /* of the context's catalog; NULL if not in it */
   gboolean spot;
   FtMachineState state;          /* changed by ft_machine_set_state() only */
@@ -77,9 +77,10 @@
   GHashTable *images;                   /* names known to be cached */
 };
 
-/* A machine in FT_MACHINE_BOOTING. Called by ft_machine_table_add(). `addr` may be NULL. */
-FtMachine *ft_machine_new (FtCoreContext *context, FtMachineQueues *queues, FtZone *zone, const char *name,
-                           const char *addr, const char *type, gboolean spot);
+/* A machine in FT_MACHINE_BOOTING. Called by ft_machine_table_add(), which sets its zone view and whether it is
+ * drained. `addr` may be NULL. */
+FtMachine *ft_machine_new (FtCoreContext *context, FtMachineQueues *queues, const char *name, const char *addr,
+                           const char *type, const char *zone, gboolean spot);
 
 /* Called by the machine table. Ends its attempts without a trace, and takes it out of the queues of requests. */
 void ft_machine_free (FtMachine *machine);
@@ -97,7 +98,7 @@
 /* The cloud may have given it an address, or another one. */
 void ft_machine_set_addr (FtMachine *machine, const char *addr);
 
-/* All that the machine may run unseen is known. The recovery is told by the caller. */
+/* All that the machine may run unseen is known. The caller notifies the recovery. */
 void ft_machine_set_reconciled (FtMachine *machine);
 
 /* The machine may want a direct request. */
--- a/src/core/machine_table.c
+++ b/src/core/machine_table.c
@@ -24,8 +24,8 @@
 ft_machine_table_add (FtMachineTable *table, const char *name, const char *addr, const char *type, const char *zone,
                       gboolean spot)
 {
-  FtZone *zone_view = ft_zone_get (table->zones, zone);
-  FtMachine *machine = ft_machine_new (table->context, table->queues, zone_view, name, addr, type, spot);
+  FtMachine *machine = ft_machine_new (table->context, table->queues, name, addr, type, zone, spot);
+  machine->zone_view = ft_zone_get (table->zones, zone);
   machine->drained = g_hash_table_contains (table->drained, name);
   g_hash_table_insert (table->machines, machine->name, machine);
   return machine;
