--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -121,6 +121,9 @@
 #define FT_PROBES_TAKEOVER 2
 /* Share of the machines that may be terminated for silence within the window. */
 #define FT_SILENT_SCALE_IN_SHARE 0.2
+/* Worker leases for which a machine must have sent no heartbeat to be terminated for silence while
+ * more machines are lost than heard: then the leader itself may be cut off. */
+#define FT_SILENT_MAJORITY_LEASES 2
 /* Machines that may always be terminated for silence within the window. */
 #define FT_SILENT_SCALE_IN_MIN 2
 /* Window in seconds in which the terminations for silence are bounded. */
@@ -129,19 +132,19 @@
  * new work, and share of cancel_s after which the machine is terminated as it is. */
 #define FT_DOUBT_S 5.0
 #define FT_DOUBT_MAX 0.5
-/* Machines of a zone that must all be unheard for the zone to count as unreachable: of
+/* Machines of a zone of which none must be heard for the zone to count as unreachable: of
  * fewer, each may have failed for itself. */
 #define FT_ZONE_MEMBERS 3
 /* Seconds between two launches in an unreachable zone, which show whether it is back. */
 #define FT_ZONE_PROBE_EVERY_S 20.0
 /* Seconds since the store was last seen after which a leader gives up no machine for its
  * silence: it may be cut off itself. A watch tells, when it ends, what was known when it was
- * sent: on a quiet site the sight is two watches old before the next one ends. */
+ * sent: on a quiet site what is known is two watches old before the next one ends. */
 #define FT_GIVE_UP_STORE_SEEN_S (2 * FT_WATCH_S + 0.5)
 /* Seconds by which the store must have been seen after a zone was heard last, for the zone
  * to be given up: what cut off the zone has not cut off this leader as well. */
 #define FT_ZONE_STORE_SEEN_S 1.0
-/* Failures in a row that count against a machine, to shun it: one may be chance. */
+/* Failures in a row that count against a machine, to quarantine it: one may be chance. */
 #define FT_FAULTS 2
 /* Machines on which a job must have failed, and done well on none, to count as mistaken. */
 #define FT_MISTAKEN_MACHINES 3
@@ -150,7 +153,7 @@
 #define FT_FAULT_MARGIN_S 2.0
 /* Attempts of a job looked at to see whether one does well: bounds the cost of a failure. */
 #define FT_FAULT_ATTEMPTS 256
-/* Machines that may be shunned at once: at least, and as a share of all. */
+/* Machines that may be quarantined at once: at least, and as a share of all. */
 #define FT_QUARANTINE_MIN 2
 #define FT_QUARANTINE_SHARE 0.25
 /* Bits of an attempt number below the token, so that attempts rise with it. */
@@ -174,7 +177,7 @@
 #define FT_PREEMPT_RAN_SHARE 0.25
 #define FT_PREEMPT_SLACK 1.3
 /* Share of cancel_s after which a machine that cannot be asked, and may hold a cancelled
- * task, is terminated whatever the bound on returns: the rest is for the cloud. */
+ * task, is terminated whatever the bound on terminations: the rest is for the cloud. */
 #define FT_CANCELLED_SCALE_IN_SHARE 0.5
 /* Machines heard for each one that is not, for a leader without the store to conclude
  * that the machine, not itself, is cut off. */
@@ -182,6 +185,8 @@
 /* Seconds since the cloud last answered after which it may not be reached any more: it is
  * asked every four, and given five to answer. */
 #define FT_CLOUD_SEEN_S 12.0
+/* Least rate in GB per second at which an image is taken to be fetched: a catalog may name none. */
+#define FT_FETCH_RATE_MIN 1e-3
 /* Share of an image's fetch that is still to come, in the mean, if it has begun. */
 #define FT_SCORE_FETCHING 0.8
 /* What a machine left wholly empty and an ordinary machine weigh in the choice of
@@ -220,7 +225,7 @@
 #define FT_PASS_TASKS 256
 
 /* ---- fleet ---- */
-/* Seconds between two looks at what to rent and return. */
+/* Seconds between two runs of the scale-out and the scale-in. */
 #define FT_AUTOSCALE_EVERY_S 1.0
 /* Seconds between two reads of the machine list and of the catalog. */
 #define FT_LIST_EVERY_S 4.0
@@ -243,10 +248,15 @@
 #define FT_SCALE_OUT_FROM 0.2
 /* Nominal boot time in seconds of a type that is not in the catalog. */
 #define FT_BOOT_UNKNOWN_S 60.0
+/* Least CPUs of a task in the count of tasks per machine, so that it stays finite; and what absorbs the
+ * rounding of that count. */
+#define FT_TASK_CPUS_MIN 1e-6
+#define FT_TASK_COUNT_ROUNDING 1e-6
 /* Machines in a pool that weigh as much as a price of one an hour: the price
  * decides, the number of machines only among equal prices. */
 #define FT_POOL_PRICE_WEIGHT 1000.0
-/* Machines asked for in one launch request (protocol: at most 50). */
+/* Machines that stand by idle while there is any open job, beside the reserve. */
+#define FT_STANDBY_MACHINES 1.0
 /* Least seconds charged for a machine (protocol): no earlier return saves. */
 #define FT_LEAST_CHARGED_S 60.0
 /* A task that will have run less than this share of its estimate when its spot
@@ -257,6 +267,9 @@
 #define FT_NOTICE_MARGIN_S 0.5
 /* Seconds before a return that failed is tried again. */
 #define FT_TERMINATE_RETRY_S 1.0
+/* Seconds before a launch request that got no answer is repeated. */
+#define FT_LAUNCH_RETRY_S 1.0
+/* Machines asked for in one launch request (protocol: at most 50). */
 #define FT_SCALE_OUT_MAX 50
 /* Machines named in one return request (protocol: at most 100). */
 #define FT_SCALE_IN_MAX 100
@@ -265,7 +278,7 @@
  * team's limit, so that what it may run unseen counts in full. */
 #define FT_CAPACITY_UNKNOWN 1e9
 
-/* Tasks by which a job's mark is raised at least, once some have been sent. */
+/* Tasks by which a job's dispatch watermark is raised at least, once some have been sent. */
 #define FT_WATERMARK_STEP 16
 
 /* ---- limits of the state service ---- */
--- /dev/null
+++ b/src/core/heartbeat_answer.c
@@ -0,0 +1,63 @@
+#include "core/heartbeat_answer.h"
+
+#include "core/worker_commands.h"
+
+/* Notes that the heartbeat is answered. FALSE: the answer carries no commands, since the heartbeat is not the
+ * newest, or its worker does not know our token yet, or its incarnation is over. */
+static gboolean
+note_answer (FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
+{
+  const FtCoreContext *context = machine->context;
+  FtReachability *reachability = &machine->reachability;
+  ft_reachability_answer_sent (reachability, machine->reconciled, context->now);
+  if (heartbeat->incarnation != machine->incarnation)
+    return FALSE;
+  ft_reachability_answered (reachability, heartbeat->sequence);
+  return heartbeat->sequence == machine->sequence && heartbeat->token >= context->token
+         && machine->incarnation > machine->expired_incarnation;
+}
+
+static void
+add_stops_and_forgets (GArray *commands, const FtMachine *machine)
+{
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, machine->attempts);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    const FtAttempt *attempt = value;
+    if (ft_attempt_stop_wanted (attempt) && attempt->state == FT_ATTEMPT_ON_WORKER)
+      ft_worker_command_add (commands, FT_COMMAND_STOP, attempt);
+    else if (machine->context->may_start && ft_worker_command_may_forget (attempt))
+      ft_worker_command_add (commands, FT_COMMAND_FORGET, attempt);
+  }
+}
+
+static void
+add_starts (GArray *commands, const FtMachine *machine, guint64 sequence)
+{
+  GHashTableIter it;
+  gpointer value;
+  g_hash_table_iter_init (&it, machine->attempts);
+  while (g_hash_table_iter_next (&it, NULL, &value)) {
+    FtAttempt *attempt = value;
+    if (!ft_worker_command_wants_start (attempt))
+      continue;
+    attempt->sent_sequence = sequence;
+    ft_worker_command_add (commands, FT_COMMAND_START, attempt);
+  }
+}
+
+GArray *
+ft_heartbeat_answer (FtMachineTable *table, FtPlacement *placement, const FtWorkerHeartbeat *heartbeat)
+{
+  GArray *commands = ft_commands_new ();
+  FtMachine *machine = ft_machine_table_find (table, heartbeat->machine);
+  if (machine == NULL || !note_answer (machine, heartbeat))
+    return commands;
+  /* What the heartbeat has freed is filled by this very answer. */
+  ft_placement_fill (placement, machine);
+  /* What is stopped or forgotten makes room for what starts. */
+  add_stops_and_forgets (commands, machine);
+  add_starts (commands, machine, heartbeat->sequence);
+  return commands;
+}
--- /dev/null
+++ b/src/core/probes.c
@@ -0,0 +1,54 @@
+#include "core/probes.h"
+
+#include "core/worker_commands.h"
+
+/* Whether it is known that the machine is there, and that both ways work. */
+static gboolean
+in_question (const FtMachine *machine)
+{
+  return !machine->reconciled || ft_machine_not_receiving (machine)
+         || (machine->state == FT_MACHINE_UP && ft_reachability_overdue (&machine->reachability, machine->context));
+}
+
+gboolean
+ft_machine_wants_probe (const FtMachine *machine)
+{
+  return in_question (machine) && machine->context->now >= machine->reachability.probe_at && machine->addr != NULL
+         && !machine->command_in_flight && machine->state != FT_MACHINE_GONE;
+}
+
+static FtDirect *
+probe (FtProbes *probes, FtMachine *machine)
+{
+  ft_reachability_probe_sent (&machine->reachability, machine->context->now);
+  probes->in_flight++;
+  return ft_worker_command_direct (machine, ft_commands_new ());
+}
+
+FtDirect *
+ft_probes_next (FtProbes *probes, FtMachineQueues *queues)
+{
+  FtMachine *machine;
+  while (probes->in_flight < FT_PROBES_MAX && (machine = g_queue_pop_head (&queues->probes)) != NULL) {
+    machine->probe_queued = FALSE;
+    machine->context->looked_at++;
+    if (ft_machine_wants_probe (machine))
+      return probe (probes, machine);
+  }
+  return NULL;
+}
+
+void
+ft_probes_unanswered (FtMachine *machine)
+{
+  if (!machine->reconciled || ft_machine_not_receiving (machine)
+      || ft_reachability_overdue (&machine->reachability, machine->context))
+    ft_reachability_request_unanswered (&machine->reachability);
+}
+
+void
+ft_probes_again (FtMachine *machine)
+{
+  ft_reachability_probe_now (&machine->reachability, machine->context->now);
+  ft_machine_queue_probe (machine);
+}
--- a/tests/scheduler_harness.hpp
+++ b/tests/scheduler_harness.hpp
@@ -157,7 +157,7 @@
   const FtSpotRisk *
   spot_risk ()
   {
-    return &scheduler->autoscaler.spot_risk;
+    return &scheduler->spot_risk;
   }
   // As while the lease is not held; a later tick says anew what holds.
   void
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -135,21 +135,22 @@
   fleet.add_job ("req-1", 10, 5);
   fleet.show ("req-1", 0, 1, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   FtAttempt *running = ft_attempt_new (fleet.at (0), fleet.job ("req-1"), "req-1", 9, 77);
-  running->shown = running->running = TRUE;
+  ft_attempt_set_state (running, FT_ATTEMPT_ON_WORKER);
+  running->running = TRUE;
   ft_attempt_reserve (running);
   ft_attempt_bind (running, FT_TASK_RUNNING);
   for (guint task : { 1, 2 }) {
     FtAttempt *started = ft_attempt_new (fleet.at (0), fleet.job ("req-1"), "req-1", task, 80 + task);
     ft_attempt_reserve (started);
     ft_attempt_bind (started, FT_TASK_STARTING);
-    ft_fault_task_failed (fleet.scheduler, started);
-    ft_attempt_end (fleet.scheduler, started);
+    ft_fault_task_failed (&fleet.scheduler->machine_table, started);
+    ft_attempt_end (started);
   }
   ASSERT_TRUE (fleet.at (0)->quarantined);
-  EXPECT_FALSE (ft_machine_usable (fleet.scheduler, fleet.at (0)));
+  EXPECT_FALSE (ft_machine_usable (fleet.at (0)));
   ft_scheduler_tick (fleet.scheduler, fleet.now, FALSE);
   EXPECT_EQ (fleet.at (0)->state, FT_MACHINE_UP) << "a task of it may well complete";
-  ft_attempt_end (fleet.scheduler, running);
+  ft_attempt_end (running);
   ft_scheduler_tick (fleet.scheduler, fleet.now, FALSE);
   EXPECT_EQ (fleet.at (0)->state, FT_MACHINE_TERMINATING);
 }
--- a/tests/test_registry.cpp
+++ b/tests/test_registry.cpp
@@ -28,7 +28,8 @@
     return text;
   };
   EXPECT_EQ (rows (100 * kS), "");
-  auto gone = [&] (const char *name) { ft_machine_gone (harness.scheduler, harness.machine (name), "returned"); };
+  auto gone
+      = [&] (const char *name) { ft_scheduler_machine_gone (harness.scheduler, harness.machine (name), "returned"); };
   gone ("n-2");
   EXPECT_EQ (rows (102 * kS), "put row-1 n-1");
   EXPECT_EQ (rows (103 * kS), "");
@@ -83,7 +84,7 @@
   void
   lose (guint i)
   {
-    ft_machine_gone (harness.scheduler, harness.machine (name (i).c_str ()), "test");
+    ft_scheduler_machine_gone (harness.scheduler, harness.machine (name (i).c_str ()), "test");
   }
   // Commits what is due, as a store would, and looks at it after each batch.
   std::map<std::string, std::set<std::string> > stored;
@@ -203,7 +204,7 @@
   EXPECT_EQ (row->machines->len, 50u);
   for (int i = 0; i < 4; i++)
     ft_scheduler_lower_value_limit (again.scheduler); // 1 KiB at the least
-  ft_machine_gone (again.scheduler, again.machine (name (1).c_str ()), "test");
+  ft_scheduler_machine_gone (again.scheduler, again.machine (name (1).c_str ()), "test");
   for (gint64 at = 110; at < 130; at++)
     again.commit_writes (at * kS);
   for (guint i = 2; i < 50; i++)
--- a/tests/test_scheduler_heartbeats.cpp
+++ b/tests/test_scheduler_heartbeats.cpp
@@ -16,7 +16,7 @@
   harness.second_machine_up (at); // most others report
   FtMachine *machine = harness.machine ("n-1");
   EXPECT_TRUE (ft_machine_not_receiving (machine));
-  EXPECT_FALSE (ft_machine_usable (harness.scheduler, machine));
+  EXPECT_FALSE (ft_machine_usable (machine));
   harness.set_on_time_since (at - 5 * kS); // this process was late itself
   ft_scheduler_tick (harness.scheduler, at, TRUE);
   EXPECT_EQ (machine->state, FT_MACHINE_UP);
@@ -56,19 +56,19 @@
   // Sent before it knew this leader, with a higher number than any that arrived: tokens only rise.
   g_autoptr (FtWorkerHeartbeat) before = harness.new_heartbeat (1, 9, 2);
   ft_scheduler_heartbeat (harness.scheduler, before, 140 * kS);
-  EXPECT_EQ (machine->last_status_at, 100 * kS);
+  EXPECT_EQ (machine->reachability.last_status_at, 100 * kS);
   EXPECT_EQ (machine->sequence, 5u);
   // Of a former incarnation.
   g_autoptr (FtWorkerHeartbeat) incarnation = harness.new_heartbeat (0, 9, 3);
   ft_scheduler_heartbeat (harness.scheduler, incarnation, 140 * kS);
-  EXPECT_EQ (machine->last_status_at, 100 * kS);
+  EXPECT_EQ (machine->reachability.last_status_at, 100 * kS);
   // Of a machine that is no longer known: no work before it shows this leader's token.
   g_autoptr (FtWorkerHeartbeat) ghost = harness.new_heartbeat (1, 1, 2);
   g_free (ghost->machine);
   ghost->machine = g_strdup ("n-9");
   ft_scheduler_heartbeat (harness.scheduler, ghost, 140 * kS);
   harness.commit_writes (140 * kS);
-  EXPECT_FALSE (ft_machine_usable (harness.scheduler, harness.machine ("n-9")));
+  EXPECT_FALSE (ft_machine_usable (harness.machine ("n-9")));
   EXPECT_EQ (ft_scheduler_last_heard (harness.scheduler), 100 * kS);
 }
 
--- a/tests/test_zone.cpp
+++ b/tests/test_zone.cpp
@@ -58,7 +58,7 @@
   double
   overdue_s ()
   {
-    return (double) ft_machine_overdue_us (scheduler) / kS;
+    return (double) ft_reachability_overdue_us (&scheduler->context) / kS;
   }
 };
 
