--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -434,7 +434,7 @@
   gint64 age = 0;
   GHashTableIter it;
   gpointer value;
-  if (scheduler->recovery.recovered)
+  if (ft_recovery_is_done (&scheduler->recovery))
     return 0;
   g_hash_table_iter_init (&it, scheduler->job_table.jobs);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
@@ -594,7 +594,7 @@
 machines_known (const FtScheduler *scheduler)
 {
   double heartbeats = scheduler->context.settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S;
-  return scheduler->recovery.recovered
+  return ft_recovery_is_done (&scheduler->recovery)
          || scheduler->context.now - scheduler->context.took_over_at > (gint64) (heartbeats * FT_SECOND);
 }
 
@@ -752,7 +752,7 @@
     if (result == FT_CLOUD_OK && machine->state != FT_MACHINE_GONE)
       ft_machine_gone (scheduler, machine, "returned");
   }
-  ft_recovery_tick (scheduler);
+  ft_recovery_tick (&scheduler->recovery);
 }
 
 void
@@ -802,7 +802,7 @@
 ft_scheduler_listed (FtScheduler *scheduler, GArray *list, gint64 now)
 {
   scheduler->context.now = scheduler->context.cloud_answered_at = now;
-  if (!scheduler->recovery.loaded)
+  if (!ft_recovery_is_loaded (&scheduler->recovery))
     return; /* the registry is not read: a listed machine may hold tasks */
   /* The list lags and may go back: it adds machines and tells of failed ones;
    * that a machine is missing from it proves nothing. */
@@ -816,5 +816,5 @@
     else
       listed_known (scheduler, machine, entry);
   }
-  ft_recovery_tick (scheduler);
+  ft_recovery_tick (&scheduler->recovery);
 }
--- a/src/core/command_queue.c
+++ b/src/core/command_queue.c
@@ -231,6 +231,6 @@
     machine->probe_at = now;
     ft_machine_queue_probe (machine);
   }
-  ft_recovery_tick (scheduler);
+  ft_recovery_tick (&scheduler->recovery);
   return TRUE;
 }
--- a/src/core/job_table.c
+++ b/src/core/job_table.c
@@ -73,9 +73,9 @@
 ft_scheduler_next_unread_job (FtScheduler *scheduler, gint64 now)
 {
   scheduler->context.now = now;
-  return scheduler->recovery.loaded ? ft_dependency_graph_next_unread (scheduler->job_table.dependencies, now,
-                                                                       ft_seconds (FT_DEPENDENCY_READ_EVERY_S))
-                                    : NULL;
+  return ft_recovery_is_loaded (&scheduler->recovery) ? ft_dependency_graph_next_unread (
+             scheduler->job_table.dependencies, now, ft_seconds (FT_DEPENDENCY_READ_EVERY_S))
+                                                      : NULL;
 }
 
 void
@@ -162,7 +162,8 @@
 ft_scheduler_job_added (FtScheduler *scheduler, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms)
 {
   scheduler->context.now = now;
-  add_job (scheduler, spec, revision, scheduler->recovery.recovered ? FT_TASK_QUEUED : FT_TASK_UNKNOWN, wall_ms);
+  add_job (scheduler, spec, revision, ft_recovery_is_done (&scheduler->recovery) ? FT_TASK_QUEUED : FT_TASK_UNKNOWN,
+           wall_ms);
 }
 
 /* Nothing of a cancelled job starts any more; what runs is stopped. */
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -62,7 +62,7 @@
     return;
   machine->reconciled = TRUE;
   scheduler->context.placement_due = TRUE;
-  ft_recovery_uncount (machine);
+  ft_recovery_machine_reconciled (&scheduler->recovery, machine);
 }
 
 void
@@ -348,6 +348,6 @@
   g_queue_remove (&scheduler->autoscaler.terminating, machine);
   ft_machine_set_state (machine, FT_MACHINE_GONE);
   g_hash_table_add (scheduler->machine_table.gone, g_strdup (machine->name));
-  ft_registry_remove (scheduler, machine);
+  ft_registry_remove (&scheduler->registry, machine);
   scheduler->context.placement_due = TRUE;
 }
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -385,7 +385,8 @@
   scheduler->placement.pass++;
   scheduler->placement.next_pass = scheduler->context.now + (gint64) (FT_PASS_EVERY_S * FT_SECOND);
   collect (scheduler);
-  if (!scheduler->context.may_start || !scheduler->recovery.loaded || scheduler->placement.waiting->len == 0)
+  if (!scheduler->context.may_start || !ft_recovery_is_loaded (&scheduler->recovery)
+      || scheduler->placement.waiting->len == 0)
     return;
   find_machines (scheduler, &pass);
   guint placed = 0, preempting = scheduler->context.now >= scheduler->placement.next_preempt ? 0 : FT_PREEMPT_JOBS;
@@ -408,7 +409,8 @@
 void
 ft_placement_fill (FtScheduler *scheduler, FtMachine *machine)
 {
-  if (!scheduler->context.may_start || !scheduler->recovery.loaded || !ft_machine_usable (scheduler, machine))
+  if (!scheduler->context.may_start || !ft_recovery_is_loaded (&scheduler->recovery)
+      || !ft_machine_usable (scheduler, machine))
     return;
   for (guint i = 0, looked = 0; i < scheduler->placement.waiting->len && looked < FT_FILL_JOBS; i++) {
     FtJob *job = g_ptr_array_index (scheduler->placement.waiting, i);
--- a/src/core/quota.c
+++ b/src/core/quota.c
@@ -17,7 +17,7 @@
 static void
 unseen (const FtScheduler *scheduler, const FtTeam *team, double *cpus, double *gpus)
 {
-  ft_recovery_unreconciled (scheduler, cpus, gpus);
+  ft_recovery_unreconciled (&scheduler->recovery, cpus, gpus);
   *cpus = MIN (*cpus, team->unknown_cpus);
   *gpus = MIN (*gpus, team->unknown_gpus);
 }
--- a/src/core/recovery.c
+++ b/src/core/recovery.c
@@ -1,50 +1,91 @@
-/* After a takeover: every machine of the registry is reconciled before a task
- * that might be running unseen is placed again. */
-#include "core/scheduler_private.h"
+#include "core/recovery.h"
 
+static const char *const state_names[] = { "loading", "reconciling", "done" };
+
+void
+ft_recovery_init (FtRecovery *recovery, FtCoreContext *context, FtMachineTable *machine_table, FtJobTable *job_table)
+{
+  recovery->context = context;
+  recovery->machine_table = machine_table;
+  recovery->job_table = job_table;
+  recovery->state = FT_RECOVERY_LOADING;
+}
+
+/* The one place where the state changes; it only moves on to the next one. */
 static void
-count (FtMachine *machine, int sign)
+set_state (FtRecovery *recovery, FtRecoveryState to)
+{
+  g_return_if_fail (to == recovery->state + 1);
+  g_message ("recovery: %s -> %s (token %" G_GUINT64_FORMAT ", %u machines not reconciled)",
+             state_names[recovery->state], state_names[to], recovery->context->token, recovery->unreconciled);
+  recovery->state = to;
+  recovery->context->placement_due = TRUE;
+}
+
+gboolean
+ft_recovery_is_loaded (const FtRecovery *recovery)
+{
+  return recovery->state != FT_RECOVERY_LOADING;
+}
+
+gboolean
+ft_recovery_is_done (const FtRecovery *recovery)
+{
+  return recovery->state == FT_RECOVERY_DONE;
+}
+
+/* ---- machines that are not reconciled ---- */
+
+static void
+count_machine (FtRecovery *recovery, FtMachine *machine, int sign)
 {
-  FtScheduler *scheduler = machine->scheduler;
   machine->counted_unreconciled = sign > 0;
-  scheduler->recovery.unreconciled += (guint) sign;
-  scheduler->recovery.unreconciled_cpus += sign * (machine->type != NULL ? machine->type->cpus : FT_CAPACITY_UNKNOWN);
-  scheduler->recovery.unreconciled_gpus += sign * (machine->type != NULL ? machine->type->gpus : FT_CAPACITY_UNKNOWN);
+  recovery->unreconciled += (guint) sign;
+  recovery->unreconciled_cpus += sign * (machine->type != NULL ? machine->type->cpus : FT_CAPACITY_UNKNOWN);
+  recovery->unreconciled_gpus += sign * (machine->type != NULL ? machine->type->gpus : FT_CAPACITY_UNKNOWN);
 }
 
 void
-ft_recovery_uncount (FtMachine *machine)
+ft_recovery_machine_reconciled (FtRecovery *recovery, FtMachine *machine)
 {
   if (machine->counted_unreconciled)
-    count (machine, -1);
+    count_machine (recovery, machine, -1);
 }
 
-/* Counts the machines that may run tasks we do not see, and what they can hold:
- * kept, since each placement asks. Called when the registry is read and when the
- * catalog changes. */
 void
-ft_recovery_recount (FtScheduler *scheduler)
+ft_recovery_recount (FtRecovery *recovery)
 {
   GHashTableIter it;
   gpointer value;
-  scheduler->recovery.unreconciled = 0;
-  scheduler->recovery.unreconciled_cpus = scheduler->recovery.unreconciled_gpus = 0;
-  if (scheduler->recovery.recovered)
+  recovery->unreconciled = 0;
+  recovery->unreconciled_cpus = recovery->unreconciled_gpus = 0;
+  if (recovery->state == FT_RECOVERY_DONE)
     return;
-  g_hash_table_iter_init (&it, scheduler->machine_table.machines);
+  g_hash_table_iter_init (&it, recovery->machine_table->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
     machine->counted_unreconciled = FALSE;
     if (!machine->reconciled)
-      count (machine, 1);
+      count_machine (recovery, machine, 1);
   }
 }
 
 void
-ft_recovery_unreconciled (const FtScheduler *scheduler, double *cpus, double *gpus)
+ft_recovery_unreconciled (const FtRecovery *recovery, double *cpus, double *gpus)
+{
+  gboolean loaded = ft_recovery_is_loaded (recovery);
+  *cpus = loaded ? recovery->unreconciled_cpus : FT_CAPACITY_UNKNOWN;
+  *gpus = loaded ? recovery->unreconciled_gpus : FT_CAPACITY_UNKNOWN;
+}
+
+/* ---- course of the recovery ---- */
+
+void
+ft_recovery_loaded (FtRecovery *recovery)
 {
-  *cpus = scheduler->recovery.loaded ? scheduler->recovery.unreconciled_cpus : FT_CAPACITY_UNKNOWN;
-  *gpus = scheduler->recovery.loaded ? scheduler->recovery.unreconciled_gpus : FT_CAPACITY_UNKNOWN;
+  ft_recovery_recount (recovery);
+  if (recovery->state == FT_RECOVERY_LOADING)
+    set_state (recovery, FT_RECOVERY_RECONCILING);
 }
 
 static void
@@ -57,15 +98,14 @@
 }
 
 void
-ft_recovery_tick (FtScheduler *scheduler)
+ft_recovery_tick (FtRecovery *recovery)
 {
-  if (scheduler->recovery.recovered || !scheduler->recovery.loaded || scheduler->recovery.unreconciled > 0)
+  if (recovery->state != FT_RECOVERY_RECONCILING || recovery->unreconciled > 0)
     return;
   GHashTableIter it;
   gpointer value;
-  g_hash_table_iter_init (&it, scheduler->job_table.jobs);
+  g_hash_table_iter_init (&it, recovery->job_table->jobs);
   while (g_hash_table_iter_next (&it, NULL, &value))
     requeue_unknown_tasks (value);
-  scheduler->recovery.recovered = scheduler->context.placement_due = TRUE;
-  g_message ("recovery: all machines accounted for under token %" G_GUINT64_FORMAT, scheduler->context.token);
+  set_state (recovery, FT_RECOVERY_DONE);
 }
--- a/src/core/registry.c
+++ b/src/core/registry.c
@@ -1,31 +1,110 @@
-/* The registry: a committed superset of the machines that may have been sent a
- * command. Additions are urgent, since starts wait for them; removals are not.
- *
- * A row that was written under a larger limit of the state service stays as it is while
- * nothing of it changes. When it must be written its machines move to new rows; the old row
- * is deleted once all of these are stored, so that each machine is named at any moment. */
-#include "core/scheduler_private.h"
+/* Splitting. A row that was written under a larger value limit of the store stays as it is while
+ * nothing of it changes. When it must be written its machines move to new rows; the old row is
+ * deleted once all of these are committed, so that each machine is named at any moment. */
+#include "core/registry.h"
 
 #include <string.h>
 
-void
-ft_registry_row_free (FtRegistryRow *row)
+/* ---- rows ---- */
+
+static void
+row_free (FtRegistryRow *row)
 {
   g_ptr_array_unref (row->machines);
   g_free (row->id);
   g_free (row);
 }
 
+void
+ft_registry_init (FtRegistry *registry, FtCoreContext *context, FtMachineTable *machine_table)
+{
+  registry->context = context;
+  registry->machine_table = machine_table;
+  registry->rows = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) row_free);
+  registry->value_divisor = 1;
+  g_queue_init (&registry->pending_rows);
+  g_queue_init (&registry->drain_deletions);
+}
+
+void
+ft_registry_clear (FtRegistry *registry)
+{
+  g_hash_table_unref (registry->rows);
+  g_queue_clear (&registry->pending_rows);
+  g_queue_clear_full (&registry->drain_deletions, g_free);
+}
+
+static gboolean
+row_move_allowed (FtRegistryRowState from, FtRegistryRowState to)
+{
+  switch (from) {
+  case FT_REGISTRY_ROW_IDLE:
+    return to == FT_REGISTRY_ROW_QUEUED;
+  case FT_REGISTRY_ROW_QUEUED: /* idle: its machines have moved to other rows */
+    return to == FT_REGISTRY_ROW_WRITING || to == FT_REGISTRY_ROW_IDLE;
+  case FT_REGISTRY_ROW_WRITING:
+    return to == FT_REGISTRY_ROW_WRITING_QUEUED || to == FT_REGISTRY_ROW_IDLE;
+  case FT_REGISTRY_ROW_WRITING_QUEUED:
+    return to == FT_REGISTRY_ROW_QUEUED;
+  }
+  return FALSE;
+}
+
+/* The one place where a row's state changes. */
+static void
+set_row_state (FtRegistryRow *row, FtRegistryRowState to)
+{
+  g_return_if_fail (row_move_allowed (row->state, to));
+  row->state = to;
+}
+
+static gboolean
+row_is_queued (const FtRegistryRow *row)
+{
+  return row->state == FT_REGISTRY_ROW_QUEUED || row->state == FT_REGISTRY_ROW_WRITING_QUEUED;
+}
+
+static gboolean
+row_is_in_flight (const FtRegistryRow *row)
+{
+  return row->state == FT_REGISTRY_ROW_WRITING || row->state == FT_REGISTRY_ROW_WRITING_QUEUED;
+}
+
+static void
+queue_row (FtRegistry *registry, FtRegistryRow *row, gint64 write_at)
+{
+  if (row_is_queued (row)) {
+    row->write_at = MIN (row->write_at, write_at);
+    return;
+  }
+  set_row_state (row, row_is_in_flight (row) ? FT_REGISTRY_ROW_WRITING_QUEUED : FT_REGISTRY_ROW_QUEUED);
+  row->write_at = write_at;
+  g_queue_push_tail (&registry->pending_rows, row);
+}
+
+static void
+queue_row_now (FtRegistry *registry, FtRegistryRow *row)
+{
+  queue_row (registry, row, registry->context->now);
+}
+
+/* For removals: many go in one change. */
+static void
+queue_row_later (FtRegistry *registry, FtRegistryRow *row)
+{
+  queue_row (registry, row, registry->context->now + ft_seconds (FT_REGISTRY_DELETE_AFTER_S));
+}
+
 static FtRegistryRow *
-find_or_add_row (FtScheduler *scheduler, const char *id)
+find_or_add_row (FtRegistry *registry, const char *id)
 {
-  FtRegistryRow *row = g_hash_table_lookup (scheduler->registry.rows, id);
+  FtRegistryRow *row = g_hash_table_lookup (registry->rows, id);
   if (row != NULL)
     return row;
   row = g_new0 (FtRegistryRow, 1);
   row->id = g_strdup (id);
   row->machines = g_ptr_array_new ();
-  g_hash_table_insert (scheduler->registry.rows, row->id, row);
+  g_hash_table_insert (registry->rows, row->id, row);
   return row;
 }
 
@@ -36,42 +115,38 @@
          + FT_REGISTRY_ENTRY_BYTES;
 }
 
-static void
-queue_row (FtScheduler *scheduler, FtRegistryRow *row, gint64 write_at)
+/* The most that the entries of a row may take. */
+static gsize
+max_row_bytes (const FtRegistry *registry)
 {
-  if (row->write_queued) {
-    row->write_at = MIN (row->write_at, write_at);
-    return;
-  }
-  row->write_queued = TRUE;
-  row->write_at = write_at;
-  g_queue_push_tail (&scheduler->registry.pending_rows, row);
+  double value_limit = registry->context->settings->value_kb * 1024.0 / registry->value_divisor;
+  double body_limit = (double) FT_BODY_MAX / FT_REGISTRY_ROWS_AT_ONCE;
+  return (gsize) (MIN (value_limit, body_limit) * FT_REGISTRY_ROW_SHARE);
 }
 
-/* The most that the entries of a row may take. */
-static gsize
-row_bytes_most (const FtScheduler *scheduler)
+void
+ft_registry_lower_value_limit (FtRegistry *registry)
 {
-  double largest = MIN (scheduler->context.settings->value_kb * 1024.0 / scheduler->registry.value_divisor,
-                        (double) FT_BODY_MAX / FT_REGISTRY_ROWS_AT_ONCE);
-  return (gsize) (largest * FT_REGISTRY_ROW_SHARE);
+  if (registry->context->settings->value_kb / (registry->value_divisor * 2) >= FT_VALUE_KB_MIN)
+    registry->value_divisor *= 2;
 }
 
+/* ---- machines join and leave rows ---- */
+
 static FtRegistryRow *
-row_with_room (FtScheduler *scheduler, gsize bytes)
+row_with_room (FtRegistry *registry, gsize bytes)
 {
-  if (scheduler->registry.open_row == NULL
-      || scheduler->registry.open_row->bytes + bytes > row_bytes_most (scheduler)) {
+  if (registry->open_row == NULL || registry->open_row->bytes + bytes > max_row_bytes (registry)) {
     /* The token makes the name unique: no row of an earlier leadership has it. */
-    g_autofree char *id = g_strdup_printf ("%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, scheduler->context.token,
-                                           scheduler->registry.next_row++);
-    scheduler->registry.open_row = find_or_add_row (scheduler, id);
+    g_autofree char *id
+        = g_strdup_printf ("%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, registry->context->token, registry->next_row++);
+    registry->open_row = find_or_add_row (registry, id);
   }
-  return scheduler->registry.open_row;
+  return registry->open_row;
 }
 
 static void
-join (FtRegistryRow *row, FtMachine *machine)
+join_row (FtRegistryRow *row, FtMachine *machine)
 {
   machine->row = row;
   row->bytes += entry_bytes (machine);
@@ -79,86 +154,88 @@
 }
 
 static void
-join_new_row (FtScheduler *scheduler, FtMachine *machine)
+join_open_row (FtRegistry *registry, FtMachine *machine)
 {
-  join (row_with_room (scheduler, entry_bytes (machine)), machine);
-  queue_row (scheduler, machine->row, scheduler->context.now);
+  join_row (row_with_room (registry, entry_bytes (machine)), machine);
+  queue_row_now (registry, machine->row);
 }
 
 void
-ft_registry_add (FtScheduler *scheduler, FtMachine *machine)
+ft_registry_add (FtRegistry *registry, FtMachine *machine)
 {
   if (machine->row != NULL || machine->state == FT_MACHINE_GONE || machine->addr == NULL)
     return;
-  join_new_row (scheduler, machine);
+  join_open_row (registry, machine);
 }
 
 void
-ft_registry_loaded (FtScheduler *scheduler, const char *id, FtMachine *machine)
+ft_registry_loaded (FtRegistry *registry, const char *id, FtMachine *machine)
 {
-  FtRegistryRow *row = find_or_add_row (scheduler, id);
+  FtRegistryRow *row = find_or_add_row (registry, id);
   row->stored = TRUE;
   if (machine == NULL || machine->row != NULL) {
-    /* Named by another row as well, after a split that did not end: one is enough. */
-    queue_row (scheduler, row, scheduler->context.now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
+    /* Another row names it as well, after a split that was not completed: one is enough. */
+    queue_row_later (registry, row);
     return;
   }
-  join (row, machine);
+  join_row (row, machine);
   machine->registered = TRUE;
 }
 
-/* The machine needs the row that it was moved from no more. */
+/* The machine no longer needs the row that a split has moved it from. */
 static void
-leave_split_row (FtScheduler *scheduler, FtMachine *machine)
+leave_split_row (FtRegistry *registry, FtMachine *machine)
 {
   FtRegistryRow *row = machine->split_row;
   machine->split_row = NULL;
   if (row != NULL && --row->moving == 0)
-    queue_row (scheduler, row, scheduler->context.now);
+    queue_row_now (registry, row);
 }
 
 /* Moves the machines of a row that is too large to new rows. */
 static void
-split (FtScheduler *scheduler, FtRegistryRow *row)
+split_row (FtRegistry *registry, FtRegistryRow *row)
 {
-  g_message ("roster row %s: split, %u machines", row->id, row->machines->len);
+  g_message ("registry row %s: split (%u machines, %" G_GSIZE_FORMAT " bytes)", row->id, row->machines->len,
+             row->bytes);
   for (guint i = 0; i < row->machines->len; i++) {
     FtMachine *machine = g_ptr_array_index (row->machines, i);
     if (row->stored) {
-      leave_split_row (scheduler, machine);
+      leave_split_row (registry, machine);
       machine->split_row = row;
       row->moving++;
     }
-    join_new_row (scheduler, machine);
+    join_open_row (registry, machine);
   }
   g_ptr_array_set_size (row->machines, 0);
   row->bytes = 0;
   if (row->moving == 0)
-    queue_row (scheduler, row, scheduler->context.now);
+    queue_row_now (registry, row);
 }
 
-/* A name that stays a while costs the next leader a probe, nothing else. */
 void
-ft_registry_remove (FtScheduler *scheduler, FtMachine *machine)
+ft_registry_remove (FtRegistry *registry, FtMachine *machine)
 {
   FtRegistryRow *row = machine->row;
-  if (g_hash_table_contains (scheduler->machine_table.drained, machine->name))
-    g_queue_push_tail (&scheduler->registry.drain_deletions, g_strdup (machine->name));
+  if (g_hash_table_contains (registry->machine_table->drained, machine->name))
+    g_queue_push_tail (&registry->drain_deletions, g_strdup (machine->name));
   machine->registered = FALSE;
-  leave_split_row (scheduler, machine);
+  leave_split_row (registry, machine);
   if (row == NULL)
     return;
   machine->row = NULL;
   row->bytes -= MIN (row->bytes, entry_bytes (machine));
   g_ptr_array_remove_fast (row->machines, machine);
-  queue_row (scheduler, row, scheduler->context.now + (gint64) (FT_REGISTRY_DELETE_AFTER_S * FT_SECOND));
+  queue_row_later (registry, row);
 }
 
+/* ---- writing ---- */
+
 static FtWrite *
-write_of (FtRegistryRow *row)
+row_write (FtRegistryRow *row)
 {
-  FtWrite *write
-      = ft_write_new (row->machines->len > 0 ? FT_WRITE_REGISTRY_ROW : FT_WRITE_REGISTRY_ROW_DELETE, row->id);
+  FtWriteKind kind = row->machines->len > 0 ? FT_WRITE_REGISTRY_ROW : FT_WRITE_REGISTRY_ROW_DELETE;
+  FtWrite *write = ft_write_new (kind, row->id);
   write->machines = ft_listed_new ();
   for (guint i = 0; i < row->machines->len; i++) {
     const FtMachine *machine = g_ptr_array_index (row->machines, i);
@@ -173,51 +250,56 @@
 }
 
 void
-ft_registry_writes (FtScheduler *scheduler, GPtrArray *writes, guint most)
+ft_registry_writes (FtRegistry *registry, GPtrArray *writes, guint most)
 {
-  guint n = g_queue_get_length (&scheduler->registry.pending_rows);
+  guint n = g_queue_get_length (&registry->pending_rows);
   for (guint i = 0; i < n && most > 0; i++) {
-    FtRegistryRow *row = g_queue_pop_head (&scheduler->registry.pending_rows);
-    if (row->in_flight || row->write_at > scheduler->context.now) {
-      g_queue_push_tail (&scheduler->registry.pending_rows, row);
+    FtRegistryRow *row = g_queue_pop_head (&registry->pending_rows);
+    if (row_is_in_flight (row) || row->write_at > registry->context->now) {
+      g_queue_push_tail (&registry->pending_rows, row);
       continue;
     }
-    row->write_queued = FALSE;
-    if (row->bytes > row_bytes_most (scheduler)) {
-      split (scheduler, row);
-      n = g_queue_get_length (&scheduler->registry.pending_rows);
+    if (row->bytes > max_row_bytes (registry)) {
+      set_row_state (row, FT_REGISTRY_ROW_IDLE);
+      split_row (registry, row);
+      n = g_queue_get_length (&registry->pending_rows);
       i = 0;
       continue;
     }
-    row->in_flight = TRUE;
-    g_ptr_array_add (writes, write_of (row));
+    set_row_state (row, FT_REGISTRY_ROW_WRITING);
+    g_ptr_array_add (writes, row_write (row));
     most--;
   }
 }
 
+/* The committed row names the machine: from now on it may be sent commands. */
+static void
+machine_stored (FtRegistry *registry, FtRegistryRow *row, const char *name)
+{
+  FtMachine *machine = g_hash_table_lookup (registry->machine_table->machines, name);
+  if (machine == NULL || machine->row != row)
+    return;
+  leave_split_row (registry, machine);
+  if (machine->registered)
+    return;
+  machine->registered = TRUE;
+  registry->context->placement_due = TRUE;
+}
+
 void
-ft_registry_written (FtScheduler *scheduler, const FtWrite *write, gboolean applied)
+ft_registry_written (FtRegistry *registry, const FtWrite *write, gboolean applied)
 {
-  FtRegistryRow *row = g_hash_table_lookup (scheduler->registry.rows, write->name);
+  FtRegistryRow *row = g_hash_table_lookup (registry->rows, write->name);
   if (row == NULL)
     return;
-  row->in_flight = FALSE;
+  set_row_state (row, row_is_queued (row) ? FT_REGISTRY_ROW_QUEUED : FT_REGISTRY_ROW_IDLE);
   if (!applied) {
-    queue_row (scheduler, row, scheduler->context.now);
+    queue_row_now (registry, row);
     return;
   }
   row->stored = write->kind == FT_WRITE_REGISTRY_ROW;
-  for (guint i = 0; i < write->machines->len; i++) {
-    const FtListedMachine *entry = &g_array_index (write->machines, FtListedMachine, i);
-    FtMachine *machine = g_hash_table_lookup (scheduler->machine_table.machines, entry->name);
-    if (machine == NULL || machine->row != row)
-      continue;
-    leave_split_row (scheduler, machine);
-    if (machine->registered)
-      continue;
-    machine->registered = TRUE;
-    scheduler->context.placement_due = TRUE;
-  }
-  if (!row->stored && !row->write_queued && row->machines->len == 0 && row != scheduler->registry.open_row)
-    g_hash_table_remove (scheduler->registry.rows, row->id);
+  for (guint i = 0; i < write->machines->len; i++)
+    machine_stored (registry, row, g_array_index (write->machines, FtListedMachine, i).name);
+  if (!row->stored && row->state == FT_REGISTRY_ROW_IDLE && row->machines->len == 0 && row != registry->open_row)
+    g_hash_table_remove (registry->rows, row->id);
 }
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -18,12 +18,13 @@
   scheduler->context.random = g_rand_new_with_seed (seed);
   scheduler->placement.next_attempt = scheduler->autoscaler.next_booking = 1;
   ft_tuning_defaults (&scheduler->context.tuning);
-  scheduler->registry.value_divisor = 1;
   scheduler->machine_table.drained = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   scheduler->quota.teams = g_new0 (FtTeam, settings->n_teams);
   for (guint i = 0; i < settings->n_teams; i++)
     scheduler->quota.teams[i].limit = &settings->teams[i];
   ft_open_jobs_init (scheduler);
+  ft_registry_init (&scheduler->registry, &scheduler->context, &scheduler->machine_table);
+  ft_recovery_init (&scheduler->recovery, &scheduler->context, &scheduler->machine_table, &scheduler->job_table);
   scheduler->machine_table.machines
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_machine_free);
   scheduler->machine_table.zones = ft_zones_new ();
@@ -31,14 +32,10 @@
   scheduler->autoscaler.pools = ft_autoscaler_pools_new ();
   scheduler->placement.order = g_ptr_array_new ();
   scheduler->placement.waiting = g_ptr_array_new ();
-  scheduler->registry.rows
-      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_registry_row_free);
   g_queue_init (&scheduler->write_queue.pending_jobs);
   g_queue_init (&scheduler->command_queue.directs);
   g_queue_init (&scheduler->command_queue.probes);
   g_queue_init (&scheduler->autoscaler.terminating);
-  g_queue_init (&scheduler->registry.pending_rows);
-  g_queue_init (&scheduler->registry.drain_deletions);
   g_queue_init (&scheduler->write_queue.chunk_deletions);
   return scheduler;
 }
@@ -57,13 +54,11 @@
   g_hash_table_unref (scheduler->autoscaler.pools);
   g_ptr_array_unref (scheduler->placement.order);
   g_ptr_array_unref (scheduler->placement.waiting);
-  g_hash_table_unref (scheduler->registry.rows);
+  ft_registry_clear (&scheduler->registry);
   g_queue_clear (&scheduler->write_queue.pending_jobs);
   g_queue_clear (&scheduler->command_queue.directs);
   g_queue_clear (&scheduler->command_queue.probes);
   g_queue_clear (&scheduler->autoscaler.terminating);
-  g_queue_clear (&scheduler->registry.pending_rows);
-  g_queue_clear_full (&scheduler->registry.drain_deletions, g_free);
   g_queue_clear_full (&scheduler->write_queue.chunk_deletions, (GDestroyNotify) ft_write_free);
   g_rand_free (scheduler->context.random);
   ft_catalog_unref (scheduler->context.catalog);
@@ -80,8 +75,7 @@
 void
 ft_scheduler_lower_value_limit (FtScheduler *scheduler)
 {
-  if (scheduler->context.settings->value_kb / (scheduler->registry.value_divisor * 2) >= FT_VALUE_KB_MIN)
-    scheduler->registry.value_divisor *= 2;
+  ft_registry_lower_value_limit (&scheduler->registry);
 }
 
 void
@@ -97,7 +91,7 @@
     FtMachine *machine = value;
     machine->type = ft_catalog_find (catalog, machine->type_name);
   }
-  ft_recovery_recount (scheduler);
+  ft_recovery_recount (&scheduler->recovery);
 }
 
 guint
@@ -122,11 +116,11 @@
 {
   FtMachine *known = g_hash_table_lookup (scheduler->machine_table.machines, name);
   if (known != NULL || g_hash_table_contains (scheduler->machine_table.gone, name)) {
-    ft_registry_loaded (scheduler, row, known);
+    ft_registry_loaded (&scheduler->registry, row, known);
     return;
   }
   FtMachine *machine = ft_machine_new (scheduler, name, addr, type, zone, spot);
-  ft_registry_loaded (scheduler, row, machine);
+  ft_registry_loaded (&scheduler->registry, row, machine);
   /* A former leader that lost the store may have answered it until then. */
   machine->last_answer = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
   machine->last_status_at = scheduler->context.now;
@@ -139,7 +133,7 @@
   GHashTableIter it;
   gpointer value;
   scheduler->context.now = now;
-  scheduler->recovery.loaded = scheduler->context.placement_due = TRUE;
+  scheduler->context.placement_due = TRUE;
   scheduler->context.loaded_at = now;
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
@@ -150,14 +144,14 @@
     if (machine->state == FT_MACHINE_BOOTING && machine->registered)
       ft_machine_set_state (machine, FT_MACHINE_UP);
   }
-  ft_recovery_recount (scheduler);
-  ft_recovery_tick (scheduler);
+  ft_recovery_loaded (&scheduler->recovery);
+  ft_recovery_tick (&scheduler->recovery);
 }
 
 gboolean
 ft_scheduler_is_loaded (const FtScheduler *scheduler)
 {
-  return scheduler->recovery.loaded;
+  return ft_recovery_is_loaded (&scheduler->recovery);
 }
 
 /* ---- time ---- */
@@ -223,9 +217,9 @@
     if (machine->state == FT_MACHINE_GONE && !machine->command_in_flight && !machine->terminate_in_flight)
       g_hash_table_iter_remove (&it);
   }
-  ft_recovery_tick (scheduler);
+  ft_recovery_tick (&scheduler->recovery);
   ft_placement_pass (scheduler); /* pauses end with time alone */
-  if (scheduler->recovery.loaded)
+  if (ft_recovery_is_loaded (&scheduler->recovery))
     ft_autoscaler_tick (scheduler);
 }
 
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -7,6 +7,7 @@
 #pragma once
 #include "core/tuning.h"
 #include "core/types.h"
+#include "core/write.h"
 
 typedef struct _FtScheduler FtScheduler;
 
@@ -89,29 +90,6 @@
 void ft_scheduler_cloud_done (FtScheduler *scheduler, const FtCloudCall *call, FtCloudResult result, gint64 now);
 
 /* ---- store ---- */
-typedef enum {
-  FT_WRITE_REGISTRY_ROW,        /* a row of the registry, with its machines */
-  FT_WRITE_REGISTRY_ROW_DELETE, /* the same, empty */
-  FT_WRITE_DRAIN_DELETE,        /* an operator's mark on a machine that is gone */
-  FT_WRITE_WATERMARK,           /* a job's row with its raised dispatch watermark */
-  FT_WRITE_CHUNK,               /* a chunk of a job's done-set */
-  FT_WRITE_CHUNK_DELETE,
-  FT_WRITE_JOB_DONE,      /* conditional on the job's revision */
-  FT_WRITE_JOB_STOPPED,   /* all tasks of a cancelled job are gone */
-  FT_WRITE_JOB_CANCELLED, /* a job that it needs is cancelled; conditional on its revision */
-} FtWriteKind;
-typedef struct {
-  FtWriteKind kind;
-  char *name;       /* job, registry row or machine */
-  GArray *machines; /* FtListedMachine, of a registry row */
-  guint chunk, tasks;
-  guint watermark;
-  const FtJobSpec *spec; /* of FT_WRITE_WATERMARK; borrowed until the scheduler is called again */
-  guint64 revision;
-  char *bits;
-} FtWrite;
-void ft_write_free (FtWrite *write);
-guint ft_write_ops (const FtWrite *write);
 /* Writes for one transaction of at most `ops` changes; empty if none is due. `spare`: the state
  * service takes more changes than are urgent, so that what can wait may go as well.
  * Each batch ends with one of the two calls below before the next is asked for. */
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -314,7 +314,7 @@
     machine->last_heartbeat_at = scheduler->context.now;
   ft_zone_heard (machine->zone_view, scheduler->context.now);
   now_up (scheduler, machine);
-  ft_registry_add (scheduler, machine);
+  ft_registry_add (&scheduler->registry, machine);
   if (heartbeat->token >= scheduler->context.token)
     token_acknowledged (scheduler, machine, heartbeat, is_heartbeat);
   if (is_heartbeat) {
@@ -333,8 +333,9 @@
   if (heartbeat->token > scheduler->context.token)
     return FALSE;
   /* Before the registry is read, nobody knows what a machine may hold. */
-  if (scheduler->recovery.loaded && !g_hash_table_contains (scheduler->machine_table.gone, heartbeat->machine))
+  if (ft_recovery_is_loaded (&scheduler->recovery)
+      && !g_hash_table_contains (scheduler->machine_table.gone, heartbeat->machine))
     ft_machine_apply_status (scheduler, machine_of_heartbeat (scheduler, heartbeat), heartbeat, TRUE);
-  ft_recovery_tick (scheduler);
+  ft_recovery_tick (&scheduler->recovery);
   return TRUE;
 }
--- a/src/core/write_queue.c
+++ b/src/core/write_queue.c
@@ -2,39 +2,6 @@
  * rows, in batches; and what becomes of them once a batch is committed or refused. */
 #include "core/scheduler_private.h"
 
-void
-ft_write_free (FtWrite *write)
-{
-  g_free (write->name);
-  if (write->machines != NULL)
-    g_array_unref (write->machines);
-  g_free (write->bits);
-  g_free (write);
-}
-
-/* Changes that a write makes in its transaction. */
-guint
-ft_write_ops (const FtWrite *write)
-{
-  switch (write->kind) {
-  case FT_WRITE_JOB_DONE:
-  case FT_WRITE_JOB_STOPPED:
-  case FT_WRITE_JOB_CANCELLED:
-    return 2; /* the job's own row or the dispatch watermark of its cancellation, and the row of an open job */
-  default:
-    return 1;
-  }
-}
-
-FtWrite *
-ft_write_new (FtWriteKind kind, const char *name)
-{
-  FtWrite *write = g_new0 (FtWrite, 1);
-  write->kind = kind;
-  write->name = g_strdup (name);
-  return write;
-}
-
 typedef struct {
   GPtrArray *writes;
   guint left;
@@ -67,7 +34,7 @@
 add_registry_rows (FtScheduler *scheduler, Batch *batch)
 {
   guint before = batch->writes->len;
-  ft_registry_writes (scheduler, batch->writes, max_registry_rows (scheduler, batch));
+  ft_registry_writes (&scheduler->registry, batch->writes, max_registry_rows (scheduler, batch));
   batch->left -= batch->writes->len - before;
   scheduler->write_queue.wrote_registry = batch->writes->len > before;
   while (batch->left > 0 && !g_queue_is_empty (&scheduler->registry.drain_deletions)) {
@@ -203,7 +170,7 @@
 {
   scheduler->context.now = now;
   Batch batch = { g_ptr_array_new_with_free_func ((GDestroyNotify) ft_write_free), ops };
-  if (!scheduler->recovery.loaded)
+  if (!ft_recovery_is_loaded (&scheduler->recovery))
     return batch.writes;
   add_registry_rows (scheduler, &batch);
   /* Ends of jobs first: somebody waits for them. */
@@ -284,7 +251,7 @@
   switch (write->kind) {
   case FT_WRITE_REGISTRY_ROW:
   case FT_WRITE_REGISTRY_ROW_DELETE:
-    ft_registry_written (scheduler, write, TRUE);
+    ft_registry_written (&scheduler->registry, write, TRUE);
     break;
   case FT_WRITE_WATERMARK:
     if (job != NULL)
@@ -319,7 +286,7 @@
   switch (write->kind) {
   case FT_WRITE_REGISTRY_ROW:
   case FT_WRITE_REGISTRY_ROW_DELETE:
-    ft_registry_written (scheduler, write, FALSE);
+    ft_registry_written (&scheduler->registry, write, FALSE);
     break;
   case FT_WRITE_DRAIN_DELETE:
     g_queue_push_tail (&scheduler->registry.drain_deletions, g_strdup (write->name));
--- a/src/core/write_queue.h
+++ b/src/core/write_queue.h
@@ -7,5 +7,3 @@
   GQueue chunk_deletions;  /* FtWrite left over: chunk rows to delete */
   gboolean wrote_registry; /* the last batch had registry rows in it */
 } FtWriteQueue;
-
-FtWrite *ft_write_new (FtWriteKind kind, const char *name);
