--- a/src/core/job.c
+++ b/src/core/job.c
@@ -1,4 +1,4 @@
-#include "core/scheduler_private.h"
+#include "core/job.h"
 
 FtJob *
 ft_job_new (FtJobSpec *spec, FtTeam *team, guint64 revision, FtTaskState initial)
@@ -43,30 +43,67 @@
   return names[state];
 }
 
-/* The one place where a job's state changes. */
 gboolean
-ft_job_set_state (FtJob *job, FtJobState to)
+ft_job_set_state (FtJob *job, FtJobState to, const char *reason)
 {
   if (job->state == to)
     return TRUE;
-  /* States are only left for later ones. */
   if (to < job->state) {
-    g_warning ("job %s: refused move %s -> %s", job->spec->ref, ft_job_state_name (job->state), ft_job_state_name (to));
+    g_warning ("job %s: refused move %s -> %s (%s)", job->spec->ref, ft_job_state_name (job->state),
+               ft_job_state_name (to), reason);
     return FALSE;
   }
-  g_message ("job %s: %s -> %s", job->spec->ref, ft_job_state_name (job->state), ft_job_state_name (to));
+  g_message ("job %s: %s -> %s (%s)", job->spec->ref, ft_job_state_name (job->state), ft_job_state_name (to), reason);
   job->state = to;
   ft_job_queue_write (job);
   return TRUE;
 }
 
-void
-ft_job_queue_write (FtJob *job)
+/* ---- tasks ---- */
+
+/* Takes a task out of what the team may run unseen. */
+static void
+uncount_unknown (FtJob *job)
 {
-  if (job->write_queued || job->scheduler == NULL || job->state == FT_JOB_ENDED)
+  if (job->team == NULL)
     return;
-  job->write_queued = TRUE;
-  g_queue_push_tail (&job->scheduler->write_queue.pending_jobs, job);
+  job->team->unknown_cpus -= job->spec->cpus;
+  job->team->unknown_gpus -= job->spec->gpus;
+}
+
+static void
+mark_chunk_dirty (FtJob *job, guint index)
+{
+  g_hash_table_add (job->dirty_chunks, GUINT_TO_POINTER (index / FT_DONE_CHUNK));
+}
+
+gboolean
+ft_task_set_state (FtJob *job, guint index, FtTaskState to)
+{
+  FtTask *task = &job->tasks[index];
+  FtTaskState from = task->state;
+  if (from == to)
+    return TRUE;
+  if (!ft_task_move_allowed (from, to)) {
+    g_warning ("task %s/%u: refused move %s -> %s", job->spec->ref, index, ft_task_state_name (from),
+               ft_task_state_name (to));
+    return FALSE;
+  }
+  g_debug ("task %s/%u: %s -> %s", job->spec->ref, index, ft_task_state_name (from), ft_task_state_name (to));
+  if (from == FT_TASK_UNKNOWN)
+    uncount_unknown (job);
+  job->counts[from]--;
+  job->counts[to]++;
+  task->state = to;
+  if (to != FT_TASK_QUEUED && to != FT_TASK_CANCELLED)
+    job->begun = TRUE;
+  if (to >= FT_TASK_FINISHED)
+    ft_job_queue_write (job);
+  if (to == FT_TASK_QUEUED)
+    job->scan_from = MIN (job->scan_from, index);
+  if (to == FT_TASK_FINISHED)
+    mark_chunk_dirty (job, index);
+  return TRUE;
 }
 
 guint
@@ -82,10 +119,23 @@
   return job->counts[FT_TASK_FINISHED] + job->counts[FT_TASK_DONE];
 }
 
+/* ---- what is to be written ---- */
+
 void
-ft_job_mark_chunk_dirty (FtJob *job, guint index)
+ft_job_queue_write (FtJob *job)
 {
-  g_hash_table_add (job->dirty_chunks, GUINT_TO_POINTER (index / FT_DONE_CHUNK));
+  if (job->write_queued || job->pending_writes == NULL || job->state == FT_JOB_ENDED)
+    return;
+  job->write_queued = TRUE;
+  g_queue_push_tail (job->pending_writes, job);
+}
+
+void
+ft_job_set_end_write (FtJob *job, FtJobEndWrite to)
+{
+  /* A conflict is found by a batch that has failed: nothing of the job is in flight by then. */
+  g_return_if_fail (job->end_write == to || job->end_write == FT_JOB_END_WRITE_IDLE || to == FT_JOB_END_WRITE_IDLE);
+  job->end_write = to;
 }
 
 guint
@@ -109,7 +159,6 @@
   return tasks;
 }
 
-/* The finished tasks of a chunk as a bitmap in base64. */
 char *
 ft_job_chunk_bits (const FtJob *job, guint chunk)
 {
--- a/src/core/job_table.c
+++ b/src/core/job_table.c
@@ -1,224 +1,231 @@
-/* The jobs that a leader knows to be open: how they come, wait for others, are cancelled and end. */
-#include "core/scheduler_private.h"
+#include "core/job_table.h"
 
-/* ---- jobs that wait for others ---- */
+#include "core/attempt.h"
+#include "core/machine.h"
+
+FtJob *
+ft_job_table_find (const FtJobTable *table, const char *ref)
+{
+  return g_hash_table_lookup (table->jobs, ref);
+}
+
+/* ---- jobs that wait for their dependencies ---- */
 
 static void
-open_job (FtScheduler *scheduler, FtJob *job)
+open_job (FtJobTable *table, FtJob *job)
 {
-  ft_job_set_state (job, FT_JOB_OPEN);
-  job->ready_at
-      = MAX (job->accepted_at, ft_dependency_graph_met_at (scheduler->job_table.dependencies, job->spec->ref));
-  scheduler->context.placement_due = TRUE;
+  ft_job_set_state (job, FT_JOB_OPEN, "all dependencies done");
+  job->ready_at = MAX (job->accepted_at, ft_dependency_graph_met_at (table->dependencies, job->spec->ref));
+  table->context->placement_due = TRUE;
 }
 
-/* What it needs has ended, or those that need it have changed. */
+/* One of its dependencies has ended, or its dependents have changed. */
 static void
 on_dependency_changed (const char *ref, gpointer data)
 {
-  FtScheduler *scheduler = data;
-  FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, ref);
-  const FtUrgency *urgency = ft_dependency_graph_urgency (scheduler->job_table.dependencies, ref);
+  FtJobTable *table = data;
+  FtJob *job = ft_job_table_find (table, ref);
+  const FtUrgency *urgency = ft_dependency_graph_urgency (table->dependencies, ref);
   if (job == NULL || urgency == NULL)
     return;
   job->priority = urgency->priority;
   job->deadline_at = urgency->deadline_at;
-  FtWait wait = ft_dependency_graph_wait (scheduler->job_table.dependencies, ref);
+  FtWait wait = ft_dependency_graph_wait (table->dependencies, ref);
   if (wait == FT_WAIT_NONE && job->state == FT_JOB_WAITING)
-    open_job (scheduler, job);
+    open_job (table, job);
   if (wait == FT_WAIT_CANCELLED && !job->dependency_cancelled) {
     job->dependency_cancelled = TRUE;
     ft_job_queue_write (job);
   }
 }
 
-/* TRUE if its end is known to be committed. */
+/* TRUE if the job's end is known to be committed. */
 static gboolean
-known_end (const FtScheduler *scheduler, const char *ref, FtJobEnd *end)
+known_end (const FtJobTable *table, const char *ref, FtJobEnd *end)
 {
-  const FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, ref);
+  const FtJob *job = ft_job_table_find (table, ref);
   guint value;
   if (job != NULL) {
     *end = FT_JOB_END_CANCELLED;
     return job->state == FT_JOB_CANCELLING && job->cancellation_read;
   }
-  if (!ft_recent_map_find (scheduler->job_table.ended_jobs, ref, &value))
+  if (!ft_recent_map_find (table->ended_jobs, ref, &value))
     return FALSE;
   *end = (FtJobEnd) value;
   return TRUE;
 }
 
 static void
-add_dependencies (FtScheduler *scheduler, FtJob *job)
+add_dependencies (FtJobTable *table, FtJob *job)
 {
   const FtJobSpec *spec = job->spec;
   g_autoptr (GPtrArray) unsettled = g_ptr_array_new ();
   gboolean cancelled = FALSE;
-  /* Marks are only raised for jobs whose needs were done: then there is nothing to read. */
+  /* A dispatch watermark is only raised once all dependencies are done: then there is nothing to read. */
   GStrv dependencies = spec->dispatch_watermark > 0 ? NULL : spec->dependencies;
   for (guint i = 0; dependencies != NULL && dependencies[i] != NULL; i++) {
     FtJobEnd end;
-    if (!known_end (scheduler, dependencies[i], &end))
+    if (!known_end (table, dependencies[i], &end))
       g_ptr_array_add (unsettled, dependencies[i]);
     else
       cancelled |= end == FT_JOB_END_CANCELLED;
   }
   g_ptr_array_add (unsettled, NULL);
   FtUrgency own = { spec->priority, job->deadline_at };
-  ft_dependency_graph_add (scheduler->job_table.dependencies, spec->ref, (const char *const *) unsettled->pdata,
-                           cancelled, &own);
+  ft_dependency_graph_add (table->dependencies, spec->ref, (const char *const *) unsettled->pdata, cancelled, &own);
 }
 
 const char *
-ft_scheduler_next_unread_job (FtScheduler *scheduler, gint64 now)
+ft_job_table_next_unread (FtJobTable *table)
 {
-  scheduler->context.now = now;
-  return ft_recovery_is_loaded (&scheduler->recovery) ? ft_dependency_graph_next_unread (
-             scheduler->job_table.dependencies, now, ft_seconds (FT_DEPENDENCY_READ_EVERY_S))
-                                                      : NULL;
+  return ft_dependency_graph_next_unread (table->dependencies, table->context->now,
+                                          ft_seconds (FT_DEPENDENCY_READ_EVERY_S));
 }
 
 void
-ft_scheduler_job_end_read (FtScheduler *scheduler, const char *ref, FtJobEnd end, gint64 age_us, gint64 now)
+ft_job_table_end_read (FtJobTable *table, const char *ref, FtJobEnd end, gint64 at)
 {
-  scheduler->context.now = now;
   /* An open job's end comes by its own write, or with its cancellation. */
-  if (g_hash_table_contains (scheduler->job_table.jobs, ref))
+  if (g_hash_table_contains (table->jobs, ref))
     return;
-  ft_recent_map_add (scheduler->job_table.ended_jobs, ref, end);
-  ft_dependency_graph_settle (scheduler->job_table.dependencies, ref, end, age_us >= 0 ? now - age_us : 0);
+  ft_recent_map_add (table->ended_jobs, ref, end);
+  ft_dependency_graph_settle (table->dependencies, ref, end, at);
 }
 
-/* ---- life of a job ---- */
+/* ---- adding jobs ---- */
 
 void
-ft_open_jobs_init (FtScheduler *scheduler)
+ft_job_table_init (FtJobTable *table, FtCoreContext *context, const FtQuota *quota, FtJobRemoved removed,
+                   gpointer removed_data)
 {
-  scheduler->job_table.jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_job_free);
-  scheduler->job_table.ended_jobs = ft_recent_map_new (FT_JOB_CACHE_ENDED_MAX);
-  scheduler->job_table.dependencies = ft_dependency_graph_new (on_dependency_changed, scheduler);
+  table->context = context;
+  table->quota = quota;
+  table->removed = removed;
+  table->removed_data = removed_data;
+  table->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_job_free);
+  table->ended_jobs = ft_recent_map_new (FT_JOB_CACHE_ENDED_MAX);
+  table->dependencies = ft_dependency_graph_new (on_dependency_changed, table);
+  g_queue_init (&table->pending_writes);
 }
 
 void
-ft_open_jobs_clear (FtScheduler *scheduler)
+ft_job_table_clear (FtJobTable *table)
 {
-  g_hash_table_unref (scheduler->job_table.jobs);
-  ft_recent_map_free (scheduler->job_table.ended_jobs);
-  ft_dependency_graph_free (scheduler->job_table.dependencies);
+  g_hash_table_unref (table->jobs);
+  ft_recent_map_free (table->ended_jobs);
+  ft_dependency_graph_free (table->dependencies);
+  g_queue_clear (&table->pending_writes);
 }
 
 static FtJob *
-add_job (FtScheduler *scheduler, FtJobSpec *spec, guint64 revision, FtTaskState initial, gint64 wall_ms)
+new_job (FtJobTable *table, FtJobSpec *spec, guint64 revision, FtTaskState initial, gint64 age_us)
 {
-  /* An event of the watch may be older than the job's end: a job ends once. */
-  if (g_hash_table_contains (scheduler->job_table.jobs, spec->ref)
-      || ft_recent_map_find (scheduler->job_table.ended_jobs, spec->ref, NULL)) {
-    ft_job_spec_free (spec);
-    return NULL;
-  }
-  FtJob *job = ft_job_new (spec, ft_quota_team (scheduler, spec->team), revision, initial);
-  job->scheduler = scheduler;
-  /* Each leader's starts are bounded by marks that it commits first, and the
-   * fence lets no former one raise a dispatch watermark: what lies beyond was never sent. */
+  FtJob *job = ft_job_new (spec, ft_quota_team (table->quota, spec->team), revision, initial);
+  job->pending_writes = &table->pending_writes;
+  /* Each leader's starts are bounded by dispatch watermarks that it commits first, and the
+   * fence lets no former one raise a watermark: what lies beyond was never sent. */
   for (guint i = spec->dispatch_watermark; initial == FT_TASK_UNKNOWN && i < spec->tasks; i++)
     ft_task_set_state (job, i, FT_TASK_QUEUED);
-  gint64 age_us = MAX (0, wall_ms - spec->submitted_wall_ms) * 1000;
-  job->accepted_at = job->ready_at = scheduler->context.now - age_us;
-  job->deadline_at = spec->deadline_s > 0 ? job->accepted_at + (gint64) (spec->deadline_s * FT_SECOND) : 0;
-  scheduler->job_table.open_tasks += spec->tasks;
-  scheduler->context.placement_due = TRUE;
-  g_hash_table_insert (scheduler->job_table.jobs, spec->ref, job);
-  add_dependencies (scheduler, job);
-  g_message ("job %s: %s of %s, %u tasks, %.1f s ago, estimate %.1f s, due within %.1f s", spec->ref, spec->job_class,
-             spec->team, spec->tasks, (double) age_us / FT_SECOND, spec->estimate_s, spec->deadline_s);
+  job->accepted_at = job->ready_at = table->context->now - age_us;
+  job->deadline_at = spec->deadline_s > 0 ? job->accepted_at + ft_seconds (spec->deadline_s) : 0;
   return job;
 }
 
 void
-ft_scheduler_load_job (FtScheduler *scheduler, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms)
+ft_job_table_add (FtJobTable *table, FtJobSpec *spec, guint64 revision, FtTaskState initial, gint64 wall_ms)
 {
-  scheduler->context.now = now;
-  add_job (scheduler, spec, revision, FT_TASK_UNKNOWN, wall_ms);
+  if (g_hash_table_contains (table->jobs, spec->ref) || ft_recent_map_find (table->ended_jobs, spec->ref, NULL)) {
+    ft_job_spec_free (spec);
+    return;
+  }
+  gint64 age_us = MAX (0, wall_ms - spec->submitted_wall_ms) * 1000;
+  FtJob *job = new_job (table, spec, revision, initial, age_us);
+  table->open_tasks += spec->tasks;
+  table->context->placement_due = TRUE;
+  g_hash_table_insert (table->jobs, spec->ref, job);
+  add_dependencies (table, job);
+  g_message ("job %s: %s (class %s, team %s, %u tasks, submitted %.1f s ago, estimate %.1f s, deadline %.1f s)",
+             spec->ref, ft_job_state_name (job->state), spec->job_class, spec->team, spec->tasks,
+             (double) age_us / FT_SECOND, spec->estimate_s, spec->deadline_s);
 }
 
-void
-ft_scheduler_load_done (FtScheduler *scheduler, const char *ref, guint chunk, const char *bits)
+gboolean
+ft_job_table_load_done (FtJobTable *table, const char *ref, guint chunk, const char *bits)
 {
-  FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, ref);
-  if (job == NULL) {
-    /* Left over from a job that was finished in two transactions. */
-    FtWrite *drop = ft_write_new (FT_WRITE_CHUNK_DELETE, ref);
-    drop->chunk = chunk;
-    g_queue_push_tail (&scheduler->write_queue.chunk_deletions, drop);
-    return;
-  }
+  FtJob *job = ft_job_table_find (table, ref);
+  if (job == NULL)
+    return FALSE;
   g_autoptr (GArray) tasks = ft_job_chunk_tasks (job, chunk, bits);
   for (guint i = 0; i < tasks->len; i++)
     ft_task_set_state (job, g_array_index (tasks, guint, i), FT_TASK_DONE);
   g_hash_table_add (job->written, GUINT_TO_POINTER (chunk));
+  return TRUE;
 }
 
-void
-ft_scheduler_job_added (FtScheduler *scheduler, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms)
+/* ---- cancelling jobs ---- */
+
+/* A start that never left this process needs no stop. */
+static gboolean
+never_sent (const FtAttempt *attempt)
 {
-  scheduler->context.now = now;
-  add_job (scheduler, spec, revision, ft_recovery_is_done (&scheduler->recovery) ? FT_TASK_QUEUED : FT_TASK_UNKNOWN,
-           wall_ms);
+  return !attempt->shown && attempt->sent_sequence == 0 && !attempt->direct_in_flight && !attempt->direct_unanswered;
+}
+
+static void
+cancel_task (FtJob *job, guint index)
+{
+  FtAttempt *attempt = job->tasks[index].attempt;
+  if (job->tasks[index].state == FT_TASK_QUEUED)
+    ft_task_set_state (job, index, FT_TASK_CANCELLED);
+  if (attempt == NULL || attempt->exited)
+    return;
+  ft_attempt_want_stop (attempt, 0);
+  if (never_sent (attempt))
+    ft_attempt_end (attempt->machine->scheduler, attempt);
 }
 
-/* Nothing of a cancelled job starts any more; what runs is stopped. */
 void
-ft_job_cancel (FtScheduler *scheduler, FtJob *job, gint64 at)
+ft_job_table_cancel (FtJobTable *table, FtJob *job, gint64 at)
 {
   if (job->state >= FT_JOB_CANCELLING) {
     job->cancelled_at = MIN (job->cancelled_at, at);
     return;
   }
   job->cancelled_at = at;
-  ft_job_set_state (job, FT_JOB_CANCELLING);
-  for (guint i = 0; i < job->spec->tasks; i++) {
-    FtAttempt *a = job->tasks[i].attempt;
-    if (job->tasks[i].state == FT_TASK_QUEUED)
-      ft_task_set_state (job, i, FT_TASK_CANCELLED);
-    if (a == NULL || a->exited)
-      continue;
-    ft_attempt_want_stop (a, 0);
-    /* A start that never left this process needs no stop. */
-    if (!a->shown && a->sent_sequence == 0 && !a->direct_in_flight && !a->direct_unanswered)
-      ft_attempt_end (scheduler, a);
-  }
-  scheduler->context.placement_due = TRUE;
+  ft_job_set_state (job, FT_JOB_CANCELLING, "cancelled");
+  for (guint i = 0; i < job->spec->tasks; i++)
+    cancel_task (job, i);
+  table->context->placement_due = TRUE;
 }
 
 void
-ft_scheduler_job_cancelled (FtScheduler *scheduler, const char *ref, gint64 age_us, gint64 now)
+ft_job_table_cancellation_read (FtJobTable *table, const char *ref, gint64 at)
 {
-  scheduler->context.now = now;
-  FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, ref);
+  FtJob *job = ft_job_table_find (table, ref);
   if (job == NULL)
     return;
-  ft_job_cancel (scheduler, job, now - age_us);
+  ft_job_table_cancel (table, job, at);
   job->cancellation_read = TRUE;
   ft_job_queue_write (job);
-  ft_dependency_graph_settle (scheduler->job_table.dependencies, ref, FT_JOB_END_CANCELLED, now);
+  ft_dependency_graph_settle (table->dependencies, ref, FT_JOB_END_CANCELLED, table->context->now);
 }
 
 void
-ft_scheduler_cancellation_advised (FtScheduler *scheduler, const char *ref, gint64 now)
+ft_job_table_cancellation_advised (FtJobTable *table, const char *ref)
 {
-  scheduler->context.now = now;
-  FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, ref);
+  FtJob *job = ft_job_table_find (table, ref);
   if (job != NULL)
-    ft_job_cancel (scheduler, job, now);
+    ft_job_table_cancel (table, job, table->context->now);
 }
 
-void
-ft_job_end (FtScheduler *scheduler, FtJob *job, FtJobEnd end)
+/* ---- ends of jobs ---- */
+
+/* Its attempts live on with their machines until they have exited. */
+static void
+detach_attempts (FtJob *job)
 {
-  g_autoptr (GList) all = g_hash_table_get_keys (job->attempts);
-  ft_job_set_state (job, FT_JOB_ENDED);
-  ft_recent_map_add (scheduler->job_table.ended_jobs, job->spec->ref, end);
-  for (GList *link = all; link != NULL; link = link->next) {
+  g_autoptr (GList) attempts = g_hash_table_get_keys (job->attempts);
+  for (GList *link = attempts; link != NULL; link = link->next) {
     FtAttempt *attempt = link->data;
     attempt->job = NULL;
     attempt->bound = FALSE;
@@ -226,35 +233,30 @@
     if (!attempt->exited)
       ft_attempt_want_stop (attempt, 0);
   }
-  for (guint i = 0; i < job->spec->tasks && job->counts[FT_TASK_UNKNOWN] > 0; i++)
-    if (job->tasks[i].state == FT_TASK_UNKNOWN)
-      ft_task_set_state (job, i, FT_TASK_CANCELLED);
-  scheduler->job_table.open_tasks -= job->spec->tasks;
-  scheduler->context.placement_due = TRUE;
-  ft_placement_forget (scheduler, job);
-  if (job->write_queued)
-    g_queue_remove (&scheduler->write_queue.pending_jobs, job);
-  g_autofree char *ref = g_strdup (job->spec->ref);
-  g_hash_table_remove (scheduler->job_table.jobs, ref);
-  ft_dependency_graph_settle (scheduler->job_table.dependencies, ref, end, scheduler->context.now);
 }
 
-FtJobProgress
-ft_scheduler_view (const FtScheduler *scheduler, const char *ref)
+/* Takes them out of what the team may run unseen. */
+static void
+cancel_unknown_tasks (FtJob *job)
 {
-  FtJobProgress view = { 0 };
-  const FtJob *job = g_hash_table_lookup (scheduler->job_table.jobs, ref);
-  if (job == NULL)
-    return view;
-  view.known = TRUE;
-  view.cancelled = job->state == FT_JOB_CANCELLING;
-  view.done = ft_job_finished (job);
-  view.running = ft_job_live (job) - job->counts[FT_TASK_STARTING];
-  return view;
+  for (guint i = 0; i < job->spec->tasks && job->counts[FT_TASK_UNKNOWN] > 0; i++)
+    if (job->tasks[i].state == FT_TASK_UNKNOWN)
+      ft_task_set_state (job, i, FT_TASK_CANCELLED);
 }
 
-guint
-ft_scheduler_open_tasks (const FtScheduler *scheduler)
+void
+ft_job_table_end (FtJobTable *table, FtJob *job, FtJobEnd end)
 {
-  return scheduler->job_table.open_tasks;
+  g_autofree char *ref = g_strdup (job->spec->ref);
+  ft_job_set_state (job, FT_JOB_ENDED, end == FT_JOB_END_DONE ? "done" : "cancelled");
+  ft_recent_map_add (table->ended_jobs, ref, end);
+  detach_attempts (job);
+  cancel_unknown_tasks (job);
+  table->open_tasks -= job->spec->tasks;
+  table->context->placement_due = TRUE;
+  table->removed (job, table->removed_data);
+  if (job->write_queued)
+    g_queue_remove (&table->pending_writes, job);
+  g_hash_table_remove (table->jobs, ref);
+  ft_dependency_graph_settle (table->dependencies, ref, end, table->context->now);
 }
--- a/src/core/quota.c
+++ b/src/core/quota.c
@@ -4,11 +4,11 @@
 #define EPSILON 1e-6
 
 FtTeam *
-ft_quota_team (FtScheduler *scheduler, const char *name)
+ft_quota_team (const FtQuota *quota, const char *name)
 {
-  for (guint i = 0; i < scheduler->context.settings->n_teams; i++)
-    if (g_strcmp0 (scheduler->quota.teams[i].limit->name, name) == 0)
-      return &scheduler->quota.teams[i];
+  for (guint i = 0; i < quota->n_teams; i++)
+    if (g_strcmp0 (quota->teams[i].limit->name, name) == 0)
+      return &quota->teams[i];
   return NULL;
 }
 
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -5,6 +5,13 @@
 
 /* ---- life ---- */
 
+static void
+on_job_removed (FtJob *job, gpointer data)
+{
+  FtScheduler *scheduler = data;
+  ft_placement_forget (scheduler, job);
+}
+
 FtScheduler *
 ft_scheduler_new (const FtSettings *settings, FtCatalog *catalog, guint64 token, gint64 answer_grace_us, gint64 now,
                   guint32 seed)
@@ -19,11 +26,13 @@
   scheduler->placement.next_attempt = scheduler->autoscaler.next_booking = 1;
   ft_tuning_defaults (&scheduler->context.tuning);
   scheduler->machine_table.drained = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  scheduler->quota.n_teams = settings->n_teams;
   scheduler->quota.teams = g_new0 (FtTeam, settings->n_teams);
   for (guint i = 0; i < settings->n_teams; i++)
     scheduler->quota.teams[i].limit = &settings->teams[i];
-  ft_open_jobs_init (scheduler);
+  ft_job_table_init (&scheduler->job_table, &scheduler->context, &scheduler->quota, on_job_removed, scheduler);
   ft_registry_init (&scheduler->registry, &scheduler->context, &scheduler->machine_table);
+  ft_write_queue_init (&scheduler->write_queue, &scheduler->context, &scheduler->job_table, &scheduler->registry);
   ft_recovery_init (&scheduler->recovery, &scheduler->context, &scheduler->machine_table, &scheduler->job_table);
   scheduler->machine_table.machines
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_machine_free);
@@ -32,11 +41,9 @@
   scheduler->autoscaler.pools = ft_autoscaler_pools_new ();
   scheduler->placement.order = g_ptr_array_new ();
   scheduler->placement.waiting = g_ptr_array_new ();
-  g_queue_init (&scheduler->write_queue.pending_jobs);
   g_queue_init (&scheduler->command_queue.directs);
   g_queue_init (&scheduler->command_queue.probes);
   g_queue_init (&scheduler->autoscaler.terminating);
-  g_queue_init (&scheduler->write_queue.chunk_deletions);
   return scheduler;
 }
 
@@ -47,7 +54,7 @@
     return;
   /* Attempts know their jobs: machines go first. */
   g_hash_table_unref (scheduler->machine_table.machines);
-  ft_open_jobs_clear (scheduler);
+  ft_job_table_clear (&scheduler->job_table);
   g_hash_table_unref (scheduler->machine_table.zones);
   g_hash_table_unref (scheduler->machine_table.gone);
   g_hash_table_unref (scheduler->machine_table.drained);
@@ -55,11 +62,10 @@
   g_ptr_array_unref (scheduler->placement.order);
   g_ptr_array_unref (scheduler->placement.waiting);
   ft_registry_clear (&scheduler->registry);
-  g_queue_clear (&scheduler->write_queue.pending_jobs);
   g_queue_clear (&scheduler->command_queue.directs);
   g_queue_clear (&scheduler->command_queue.probes);
   g_queue_clear (&scheduler->autoscaler.terminating);
-  g_queue_clear_full (&scheduler->write_queue.chunk_deletions, (GDestroyNotify) ft_write_free);
+  ft_write_queue_clear (&scheduler->write_queue);
   g_rand_free (scheduler->context.random);
   ft_catalog_unref (scheduler->context.catalog);
   g_free (scheduler->quota.teams);
@@ -72,12 +78,6 @@
   scheduler->context.tuning = *tuning;
 }
 
-void
-ft_scheduler_lower_value_limit (FtScheduler *scheduler)
-{
-  ft_registry_lower_value_limit (&scheduler->registry);
-}
-
 void
 ft_scheduler_set_catalog (FtScheduler *scheduler, FtCatalog *catalog)
 {
--- a/src/core/task.h
+++ b/src/core/task.h
@@ -1,4 +1,6 @@
-/* A task of a job and its state. */
+/* A task of a job: its state, and the moves that a state machine allows between states.
+ *
+ * Tasks are owned by their job, which alone moves them, by ft_task_set_state() in job.h. */
 #pragma once
 #include <glib.h>
 
@@ -7,7 +9,7 @@
 typedef struct _FtAttempt FtAttempt;
 
 typedef enum {
-  FT_TASK_UNKNOWN,  /* after a takeover: may be on a machine not yet heard from */
+  FT_TASK_UNKNOWN,  /* after a takeover: may be on a machine that is not reconciled */
   FT_TASK_QUEUED,   /* on no machine */
   FT_TASK_STARTING, /* bound; the start is decided, no heartbeat shows it yet */
   FT_TASK_FETCHING,
@@ -26,4 +28,8 @@
   FtMachine *avoid;   /* where it failed last; compared only */
 } FtTask;
 
-gboolean ft_task_set_state (FtJob *job, guint index, FtTaskState to);
+/* The state's name in log lines. */
+const char *ft_task_state_name (FtTaskState state);
+
+/* Whether a task may go from one state to the other. */
+gboolean ft_task_move_allowed (FtTaskState from, FtTaskState to);
--- a/tests/test_units.cpp
+++ b/tests/test_units.cpp
@@ -269,8 +269,8 @@
     EXPECT_FALSE (ft_task_set_state (job, 0, to));
   EXPECT_EQ (job->counts[FT_TASK_DONE], 1u);
   EXPECT_EQ (job->counts[FT_TASK_QUEUED], 1u);
-  EXPECT_TRUE (ft_job_set_state (job, FT_JOB_CANCELLING));
-  EXPECT_FALSE (ft_job_set_state (job, FT_JOB_OPEN));
+  EXPECT_TRUE (ft_job_set_state (job, FT_JOB_CANCELLING, "test"));
+  EXPECT_FALSE (ft_job_set_state (job, FT_JOB_OPEN, "test"));
   ft_job_free (job);
 }
 
@@ -704,7 +704,7 @@
   ft_scheduler_load_machine (b.s, "row-1", "n-9", "10.1.0.9:9000", "std", "a", FALSE);
   ft_scheduler_loaded (b.s, 100 * kS);
   g_autoptr (FtJobSpec) wanted = spec ("req-2", 1);
-  FtTeam *red = ft_quota_team (b.s, "red");
+  FtTeam *red = ft_quota_team (&b.s->quota, "red");
   // 48 allowed, the unseen machine may hold 16 of them: 32 are left, 8 tasks.
   EXPECT_EQ (ft_quota_count (b.s, red, wanted), 8u);
 }
