--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -2,6 +2,16 @@
 
 #include "core/constants.h"
 
+/* Whether peers find the holder gone, and what the rows have said since. Confirmed: another peer
+ * answers us, and the fence is not new. */
+typedef enum {
+  SUSPICION_NONE,
+  SUSPICION_REPORTED,           /* the rows are to be read */
+  SUSPICION_REPORTED_CONFIRMED, /* the same */
+  SUSPICION_STANDING,           /* the rows were read and have not changed: claim once a renewal is overdue */
+  SUSPICION_STANDING_CONFIRMED, /* the same: claim now */
+} Suspicion;
+
 struct _FtLease {
   char *member;
   guint64 incarnation;
@@ -14,15 +24,14 @@
   FtLeaseRows seen;
   gint64 unrenewed_since; /* when the present rows were first seen */
   gboolean rows_known;
-  gint64 next_sweep;
-  gint64 abstain_until;
-  gint64 fence_since;                    /* when the present fence was first seen */
-  gboolean suspected, suspicion_checked; /* the rows were read after the hint */
-  gboolean suspicion_confirmed;
-
-  guint64 token;          /* ours, while acquiring or holding */
-  guint64 fence_revision; /* of our acquisition */
-  gint64 valid_until;
+  gint64 next_sweep;    /* when the rows are to be read next */
+  gint64 abstain_until; /* we have given the lease up: no claim before */
+  gint64 fence_since;   /* when the present fence was first seen */
+  Suspicion suspicion;  /* changed by set_suspicion() only */
+
+  guint64 token;                /* ours, while acquiring or holding */
+  guint64 fence_revision;       /* of our acquisition */
+  gint64 valid_until;           /* the holder may start tasks until then */
   gint64 last_contact;          /* when the last renewal that succeeded was sent */
   gboolean cancellations_known; /* all cancellations before `cancellations_known_until` are known */
   gint64 cancellations_known_until;
@@ -107,22 +116,62 @@
   return FALSE;
 }
 
-/* The one place where the state changes. */
+/* The one place where the state changes. `reason` goes to the log. */
 static gboolean
-set_state (FtLease *lease, FtLeaseState to)
+set_state (FtLease *lease, FtLeaseState to, const char *reason)
 {
   if (lease->state == to)
     return TRUE;
   if (!move_allowed (lease->state, to)) {
-    g_warning ("lease %s: refused move %s -> %s", lease->member, state_names[lease->state], state_names[to]);
+    g_warning ("lease %s: refused move %s -> %s (%s)", lease->member, state_names[lease->state], state_names[to],
+               reason);
     return FALSE;
   }
-  g_message ("lease %s: %s -> %s token %" G_GUINT64_FORMAT, lease->member, state_names[lease->state], state_names[to],
-             lease->token);
+  g_message ("lease %s: %s -> %s (%s, token %" G_GUINT64_FORMAT ")", lease->member, state_names[lease->state],
+             state_names[to], reason, lease->token);
   lease->state = to;
   return TRUE;
 }
 
+/* ---- suspicion ---- */
+
+static gboolean
+suspicion_move_allowed (Suspicion from, Suspicion to)
+{
+  switch (to) {
+  case SUSPICION_NONE:
+    return TRUE;
+  case SUSPICION_REPORTED:
+  case SUSPICION_REPORTED_CONFIRMED:
+    return from == SUSPICION_NONE;
+  case SUSPICION_STANDING:
+    return from == SUSPICION_REPORTED;
+  case SUSPICION_STANDING_CONFIRMED:
+    return from == SUSPICION_REPORTED_CONFIRMED;
+  }
+  return FALSE;
+}
+
+/* The one place where the suspicion changes. */
+static void
+set_suspicion (FtLease *lease, Suspicion to)
+{
+  g_return_if_fail (suspicion_move_allowed (lease->suspicion, to));
+  lease->suspicion = to;
+}
+
+/* The rows were read, and are the same as before. */
+static void
+suspicion_stands (FtLease *lease)
+{
+  if (lease->suspicion == SUSPICION_REPORTED)
+    set_suspicion (lease, SUSPICION_STANDING);
+  else if (lease->suspicion == SUSPICION_REPORTED_CONFIRMED)
+    set_suspicion (lease, SUSPICION_STANDING_CONFIRMED);
+}
+
+/* ---- the rows ---- */
+
 static void
 plan_sweep (FtLease *lease, gint64 now)
 {
@@ -130,30 +179,37 @@
   lease->next_sweep = now + (gint64) (lease->sweep_us * jitter);
 }
 
+/* The next read comes within FT_SWEEP_RETRY_S. */
 static void
 sweep_again_soon (FtLease *lease, gint64 now)
 {
   lease->next_sweep = now + MIN (lease->next_sweep - now, (gint64) (FT_SWEEP_RETRY_S * FT_SECOND));
 }
 
+static void
+take_rows (FtLease *lease, gint64 now, const FtLeaseRows *rows)
+{
+  lease->unrenewed_since = now;
+  ft_lease_rows_clear (&lease->seen);
+  lease->seen = *rows;
+  lease->seen.holder = g_strdup (rows->holder);
+  lease->rows_known = TRUE;
+}
+
 void
 ft_lease_observe (FtLease *lease, gint64 now, const FtLeaseRows *rows)
 {
-  gboolean same = lease->rows_known && rows->fence_revision == lease->seen.fence_revision
-                  && rows->renewal_revision == lease->seen.renewal_revision;
-  lease->suspicion_checked = lease->suspected && same;
-  if (!lease->rows_known || rows->fence_revision != lease->seen.fence_revision)
+  gboolean same_fence = lease->rows_known && rows->fence_revision == lease->seen.fence_revision;
+  if (!same_fence)
     lease->fence_since = now;
-  if (!same) {
-    lease->suspected = FALSE; /* it has renewed, or another leads */
-    lease->unrenewed_since = now;
-    ft_lease_rows_clear (&lease->seen);
-    lease->seen = *rows;
-    lease->seen.holder = g_strdup (rows->holder);
+  if (same_fence && rows->renewal_revision == lease->seen.renewal_revision) {
+    suspicion_stands (lease);
+  } else {
+    set_suspicion (lease, SUSPICION_NONE); /* the holder has renewed, or another leads */
+    take_rows (lease, now, rows);
   }
-  lease->rows_known = TRUE;
   plan_sweep (lease, now);
-  if (lease->suspected)
+  if (lease->suspicion != SUSPICION_NONE)
     sweep_again_soon (lease, now);
   gboolean leading = lease->state == FT_LEASE_HOLDING || lease->state == FT_LEASE_EXPIRED;
   if (leading && rows->fence_revision != lease->fence_revision && rows->token > lease->token)
@@ -172,17 +228,18 @@
 
 /* Where connections between controllers are refused, a live leader looks like a dead
  * one from all sides, and claims at first sight made a new leader twice a second:
- * only a witness for the peers, and a leader that is not new, allow that. */
+ * only another peer that answers us, and a fence that is not new, allow that. */
 void
 ft_lease_suspect (FtLease *lease, const char *holder, gboolean confirmed, gint64 now)
 {
-  if (lease->state != FT_LEASE_FOLLOWING || lease->suspected || !lease->rows_known
+  if (lease->state != FT_LEASE_FOLLOWING || lease->suspicion != SUSPICION_NONE || !lease->rows_known
       || g_strcmp0 (lease->seen.holder, holder) != 0)
     return;
-  g_message ("lease %s: holder %s is suspected to be gone", lease->member, holder);
-  lease->suspected = TRUE;
-  lease->suspicion_confirmed = confirmed && now - lease->fence_since > (gint64) (FT_SUSPECT_STABLE_S * FT_SECOND);
-  lease->suspicion_checked = FALSE;
+  gboolean fence_stable = now - lease->fence_since > (gint64) (FT_SUSPECT_STABLE_S * FT_SECOND);
+  gboolean claim_at_sight = confirmed && fence_stable;
+  g_message ("lease %s: holder %s suspected to be gone (%s)", lease->member, holder,
+             claim_at_sight ? "confirmed" : "not confirmed");
+  set_suspicion (lease, claim_at_sight ? SUSPICION_REPORTED_CONFIRMED : SUSPICION_REPORTED);
   lease->next_sweep = now;
 }
 
@@ -201,11 +258,11 @@
   return g_strcmp0 (lease->seen.holder, lease->member) == 0;
 }
 
-/* A live holder renews within this time. */
+/* A live holder renews within this time, if it counts with that lease time. */
 static gint64
-renewal_overdue (const FtLease *lease, gint64 longest)
+renewal_overdue_us (const FtLease *lease, gint64 lease_us)
 {
-  return (gint64) ((double) longest / lease->renew_fraction * (1 + FT_CLOCK_DRIFT) + FT_SUSPECT_MARGIN_S * FT_SECOND);
+  return (gint64) ((double) lease_us / lease->renew_fraction * (1 + FT_CLOCK_DRIFT) + FT_SUSPECT_MARGIN_S * FT_SECOND);
 }
 
 gboolean
@@ -217,10 +274,13 @@
     return FALSE;
   if (lease->seen.fence_revision == 0 || holder_is_self (lease) || lease->seen.released)
     return TRUE;
-  gint64 longest = MAX (lease->lease_us, lease->seen.lease_us), quiet = now - lease->unrenewed_since;
-  if (lease->suspected && lease->suspicion_checked)
-    return lease->suspicion_confirmed || quiet > renewal_overdue (lease, longest);
-  return quiet > (gint64) (longest * (1 + FT_CLOCK_DRIFT));
+  gint64 lease_us = MAX (lease->lease_us, lease->seen.lease_us);
+  gint64 unrenewed_us = now - lease->unrenewed_since;
+  if (lease->suspicion == SUSPICION_STANDING_CONFIRMED)
+    return TRUE;
+  if (lease->suspicion == SUSPICION_STANDING)
+    return unrenewed_us > renewal_overdue_us (lease, lease_us);
+  return unrenewed_us > (gint64) (lease_us * (1 + FT_CLOCK_DRIFT));
 }
 
 FtLeaseClaim
@@ -230,14 +290,17 @@
                          .fence_revision = lease->seen.fence_revision,
                          .renewal_revision = lease->seen.renewal_revision,
                          .check_renewal = !holder_is_self (lease) };
-  lease->suspected = lease->suspicion_checked = FALSE;
+  set_suspicion (lease, SUSPICION_NONE);
   lease->token = claim.token;
   lease->sent_lease_us = lease->lease_us;
   lease->valid_until = now;
-  set_state (lease, FT_LEASE_ACQUIRING);
+  set_state (lease, FT_LEASE_ACQUIRING, "claim sent");
   return claim;
 }
 
+/* ---- the holder ---- */
+
+/* A claim or renewal that was sent at that time has succeeded. */
 static void
 extend (FtLease *lease, gint64 sent_at)
 {
@@ -251,7 +314,7 @@
 void
 ft_lease_acquired (FtLease *lease, gint64 sent_at, guint64 revision)
 {
-  if (!set_state (lease, FT_LEASE_HOLDING))
+  if (!set_state (lease, FT_LEASE_HOLDING, "acquired"))
     return;
   lease->fence_revision = revision;
   lease->last_contact = 0;
@@ -265,7 +328,7 @@
   lease->rows_known = FALSE;
   lease->next_sweep = now;
   lease->token = 0;
-  set_state (lease, FT_LEASE_FOLLOWING);
+  set_state (lease, FT_LEASE_FOLLOWING, "claim failed");
 }
 
 gboolean
@@ -287,10 +350,10 @@
   if (lease->state != FT_LEASE_HOLDING && lease->state != FT_LEASE_EXPIRED)
     return;
   /* The renewal was conditional on our fence: nobody acquired in between, so a
-   * expired holder may go on where it stopped. */
+   * holder whose lease has expired may go on where it stopped. */
   extend (lease, sent_at);
   if (lease->state == FT_LEASE_EXPIRED)
-    set_state (lease, FT_LEASE_HOLDING);
+    set_state (lease, FT_LEASE_HOLDING, "renewed");
 }
 
 void
@@ -300,29 +363,35 @@
       = now + (gint64) (g_rand_double_range (lease->random, FT_RENEW_AGAIN_MIN_S, FT_RENEW_AGAIN_MAX_S) * FT_SECOND);
 }
 
-void
-ft_lease_lost (FtLease *lease, gint64 now)
+static void
+follow (FtLease *lease, gint64 now, const char *reason)
 {
   lease->token = 0;
   lease->fence_revision = 0;
   lease->valid_until = 0;
   lease->rows_known = FALSE;
   lease->next_sweep = now;
-  set_state (lease, FT_LEASE_FOLLOWING);
+  set_state (lease, FT_LEASE_FOLLOWING, reason);
+}
+
+void
+ft_lease_lost (FtLease *lease, gint64 now)
+{
+  follow (lease, now, "lost");
 }
 
 void
 ft_lease_released (FtLease *lease, gint64 now)
 {
   lease->abstain_until = now + (gint64) (FT_ABSTAIN_S * FT_SECOND);
-  ft_lease_lost (lease, now);
+  follow (lease, now, "released");
 }
 
 void
 ft_lease_tick (FtLease *lease, gint64 now)
 {
   if (lease->state == FT_LEASE_HOLDING && now >= lease->valid_until)
-    set_state (lease, FT_LEASE_EXPIRED);
+    set_state (lease, FT_LEASE_EXPIRED, "lease expired");
 }
 
 void
@@ -339,8 +408,10 @@
   ft_lease_tick (lease, now);
 }
 
+/* ---- what the holder may do ---- */
+
 /* A renewal that succeeds after an outage says nothing of what was cancelled
- * meanwhile: no start before that has been seen too. */
+ * meanwhile: no start before the cancellations have been read too. */
 gboolean
 ft_lease_may_start (const FtLease *lease, gint64 now)
 {
@@ -348,10 +419,10 @@
          && now < lease->cancellations_known_until + (gint64) (FT_CANCELLATIONS_FRESH_S * FT_SECOND);
 }
 
-/* An answer prolongs the lease of a worker, and with it whatever runs there: also what
- * was cancelled after the last sight of cancellations, or, of a new holder, before its
- * first one, however long ago that was. Hence no answer before the rows are read, and
- * the hold counts from the older of the last renewal and that sight. */
+/* An answer prolongs the lease of a worker, and with it whatever runs there: also what was
+ * cancelled after the cancellations were last read, or, under a new holder, before it first
+ * read them, however long ago that was. Hence no answer before the rows are read, and the
+ * answer grace period counts from the older of the last renewal and that reading. */
 gboolean
 ft_lease_may_answer (const FtLease *lease, gint64 now)
 {
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -1,9 +1,16 @@
-/* Leadership: the fenced lease, as an explicit state machine.
+/* Leader election: the fenced lease, as an explicit state machine.
  *
- * Two rows in the state service: the fence (token, holder, incarnation), which
- * changes only at an acquisition, and the renewal row. This module decides when
- * to look, acquire, renew, and what the holder may do; it does no I/O. All
- * times are microseconds of this process's steady clock. */
+ *     FOLLOWING --> ACQUIRING --> HOLDING <--> EXPIRED        any state --> FOLLOWING
+ *
+ * The lease is two rows in the key-value store: the fence (fencing token, holder, incarnation), which
+ * changes only when the lease is acquired, and the renewal row, which the holder rewrites. Every
+ * write of a leader is conditional on the fence, so a leader that was succeeded can commit nothing.
+ * The lease bounds for how long it may go on starting tasks without asking the store.
+ *
+ * This module decides when to read the rows, acquire and renew, and what the holder may do. It does
+ * no I/O: the node's leader code (src/net) sends the requests and reports their results here. All
+ * times are microseconds of this process's steady clock; clocks of different processes are assumed
+ * to differ in rate by FT_CLOCK_DRIFT at most. */
 #pragma once
 #include <glib.h>
 
@@ -11,7 +18,7 @@
   FT_LEASE_FOLLOWING, /* somebody else may hold the lease, or nobody */
   FT_LEASE_ACQUIRING, /* our acquisition is in flight or unanswered */
   FT_LEASE_HOLDING,   /* we hold it and may place until it expires */
-  FT_LEASE_EXPIRED,   /* not renewed in time: no starts, answers only (hold) */
+  FT_LEASE_EXPIRED,   /* not renewed in time: no starts; heartbeats are answered for the answer grace period */
 } FtLeaseState;
 
 typedef struct _FtLease FtLease;
@@ -29,70 +36,93 @@
 
 void ft_lease_rows_clear (FtLeaseRows *rows);
 
-/* `answer_grace_us` is the longest time after the last contact with the state service
- * during which a expired holder may still answer reports. */
+/* `sweep_us`: time between two reads of the rows by a follower. `answer_grace_us`: the longest time
+ * after the last contact with the store during which a holder whose lease has expired may still
+ * answer heartbeats. `seed`: for jitter. */
 FtLease *ft_lease_new (const char *member, guint64 incarnation, gint64 lease_us, gint64 sweep_us,
                        gint64 answer_grace_us, guint32 seed);
 void ft_lease_free (FtLease *lease);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtLease, ft_lease_free)
 
 FtLeaseState ft_lease_state (const FtLease *lease);
+
+/* The state's name as operators see it. */
 const char *ft_lease_state_name (FtLeaseState state);
 
-/* Changes the times, at any moment: a holder counts with what its last renewal
- * wrote, and an observer with the longer of its own and what the row says. */
+/* Changes the times, at any moment: a holder counts with what its last renewal wrote, and a follower
+ * with the longer of its own lease time and what the row says. `jitter`: share by which reads of the
+ * rows are jittered. `renew_fraction`: a lease is renewed that many times within its lease time. */
 void ft_lease_set_times (FtLease *lease, gint64 lease_us, gint64 sweep_us, double jitter, double renew_fraction);
 /* The lease time to write into a claim or a renewal sent now. */
 gint64 ft_lease_time (const FtLease *lease);
 
-/* The rows as read by an answer that came at `now`. */
+/* ---- reading the rows (a sweep) ---- */
+
+/* A follower should read the rows now. */
+gboolean ft_lease_sweep_due (const FtLease *lease, gint64 now);
+
+/* The rows as read by an answer that came at `now`; copied. A holder loses the lease if they show that
+ * somebody acquired it. */
 void ft_lease_observe (FtLease *lease, gint64 now, const FtLeaseRows *rows);
-/* A sweep failed: time without sight of the rows does not count against the holder. */
+
+/* A sweep failed: time during which the rows cannot be read does not count against the holder. */
 void ft_lease_sweep_failed (FtLease *lease, gint64 now);
 
-/* Peers find this holder gone. A hint only: it makes us look at the rows at once
- * and claim before the lease time is over: if `confirmed` (another peer answers us) and the
- * fence is not new, when they stand still, else when a renewal is overdue. The claim is
+/* Peers find this holder gone. Advisory: the rows are read at once, and the lease may be claimed before
+ * its time is over. If `confirmed` (another peer answers us) and the fence is not new, that is as soon
+ * as the rows are seen not to have changed, else when a renewal is overdue. The claim is
  * fenced like any other, but the holder may live: it can start nothing beyond the
- * jobs' committed dispatch watermark, and what lies below them waits for the machines. */
+ * jobs' committed dispatch watermarks, and what lies below them waits until the machines are reconciled. */
 void ft_lease_suspect (FtLease *lease, const char *holder, gboolean confirmed, gint64 now);
 
-gboolean ft_lease_sweep_due (const FtLease *lease, gint64 now);
+/* ---- acquiring and renewing ---- */
+
+/* A follower should claim the lease, a holder renew it, now. */
 gboolean ft_lease_acquire_due (const FtLease *lease, gint64 now);
 gboolean ft_lease_renew_due (const FtLease *lease, gint64 now);
 
-/* Starts an acquisition; fills what it must be conditional on and write. */
+/* What an acquisition must be conditional on and write. */
 typedef struct {
-  guint64 token;
-  guint64 fence_revision;
+  guint64 token;          /* to be written */
+  guint64 fence_revision; /* conditions */
   guint64 renewal_revision;
   gboolean check_renewal; /* the holder may live: conditional on its renewal row too */
 } FtLeaseClaim;
+/* Starts an acquisition, which ends with one of the two calls below. */
 FtLeaseClaim ft_lease_claim (FtLease *lease, gint64 now);
+/* The claim that was sent at `sent_at` is committed; `revision` is that of the fence. */
 void ft_lease_acquired (FtLease *lease, gint64 sent_at, guint64 revision);
+/* The claim was refused or got no answer: the rows are to be read again. */
 void ft_lease_claim_failed (FtLease *lease, gint64 now);
 
 void ft_lease_renew_sent (FtLease *lease, gint64 now);
+/* The renewal that was sent at `sent_at` is committed. */
 void ft_lease_renewed (FtLease *lease, gint64 sent_at);
-/* The renewal got no or a passing refusal: try again soon. */
+/* The renewal got no answer or was refused for the moment: it is repeated soon. */
 void ft_lease_renew_failed (FtLease *lease, gint64 now);
 /* The fence moved on, or a higher token was seen: we are no longer leader. */
 void ft_lease_lost (FtLease *lease, gint64 now);
-/* The holder has written that it gives the lease up: it stays off for a while. */
+/* The holder has written that it gives the lease up: it does not claim again for FT_ABSTAIN_S. */
 void ft_lease_released (FtLease *lease, gint64 now);
-/* Moves HOLDING to LAPSED when its time is over. */
+/* Moves HOLDING to EXPIRED when its time is over. */
 void ft_lease_tick (FtLease *lease, gint64 now);
+/* Yields leadership: the holder starts nothing more, and goes on answering heartbeats
+ * until it is succeeded, its answer grace period is over or a renewal succeeds after all. */
+void ft_lease_yield (FtLease *lease, gint64 now);
+
+/* ---- what the holder may do ---- */
 
 /* The holder knows every cancellation that was committed before `at`: the time at which
  * the request was sent whose answer completes its knowledge. Never known right after an
  * acquisition, until the rows have been read. */
 void ft_lease_cancellations_known (FtLease *lease, gint64 at);
-/* Somebody else should lead: the holder starts nothing more, and goes on answering
- * until it is succeeded, its hold is over or a renewal succeeds after all. */
-void ft_lease_yield (FtLease *lease, gint64 now);
 
+/* Tasks may be started: the lease is valid and the cancellations are fresh. */
 gboolean ft_lease_may_start (const FtLease *lease, gint64 now);
+/* Heartbeats may be answered, which prolongs what runs. */
 gboolean ft_lease_may_answer (const FtLease *lease, gint64 now);
+
+/* Our fencing token, and the revision of our fence, while acquiring or holding; else 0. */
 guint64 ft_lease_token (const FtLease *lease);
 guint64 ft_lease_fence_revision (const FtLease *lease);
 /* The holder last seen, or NULL; borrowed. */
