--- a/src/core/context.h
+++ b/src/core/context.h
@@ -1,5 +1,7 @@
-/* What all modules of the core share: the settings, the time of the present event and what the
- * leader knows of its own standing. Written by scheduler.c only, unless a field says otherwise. */
+/* What all modules of the core share: the settings, the time of the event being handled and what the
+ * leader knows of its own standing. Owned by the scheduler, which alone writes it unless a field says
+ * otherwise; the other modules borrow it. Times are microseconds of the steady clock, set to those of
+ * the event: no module of the core asks a clock. */
 #pragma once
 #include "core/constants.h"
 #include "core/tuning.h"
@@ -11,22 +13,22 @@
   guint64 token;          /* our fencing token */
   gint64 now;             /* time of the event being handled */
   gint64 took_over_at;    /* when this leadership began */
-  gint64 loaded_at;       /* when the rows were read */
-  gint64 answer_grace_us; /* how long an expired leader may go on answering heartbeats */
-  GRand *random;          /* seeded */
+  gint64 loaded_at;       /* when the rows of the store had been read */
+  gint64 answer_grace_us; /* how long a leader whose lease has expired may go on answering heartbeats */
+  GRand *random;          /* seeded, so that a run can be repeated */
   FtTuning tuning;        /* operators' settings */
   gboolean may_start;     /* the lease is valid now */
   gboolean placement_due; /* a placement pass may find something to do; set by any module */
-  guint looked_at;        /* machines and jobs looked at so far: what bounds of work are tested on */
-  gint64 last_heard;      /* heartbeat under our token: proof that workers hear us */
+  guint looked_at;        /* machines and jobs looked at so far, by any module: tests bound the work by it */
+  gint64 last_heard;      /* last heartbeat under our token: proof that workers receive our answers */
   gint64 last_tick;
-  gint64 on_time_since;             /* silence before it proves nothing: we were late ourselves */
-  gint64 answering_since;           /* until then heartbeats went unanswered */
-  gint64 cloud_answered_at;         /* 0: never */
-  gint64 cancellations_known_until; /* all cancellations before that time are known */
+  gint64 on_time_since;             /* we were late ourselves before: silence until then proves nothing */
+  gint64 answering_since;           /* heartbeats were not answered until then */
+  gint64 cloud_answered_at;         /* when the cloud last answered; 0: never */
+  gint64 cancellations_known_until; /* all cancellations committed before that time are known */
 } FtCoreContext;
 
-/* Seconds as microseconds. */
+/* Seconds as microseconds, rounded towards zero. */
 static inline gint64
 ft_seconds (double seconds)
 {
--- a/src/core/dependency.c
+++ b/src/core/dependency.c
@@ -2,19 +2,20 @@
 
 typedef struct {
   char *ref;
-  gboolean known;     /* an open job; else only named by others, and to be read */
-  gboolean cancelled; /* something that it needs is */
-  gboolean listed;    /* in `unread` */
-  gint64 read_at;     /* earliest next reading */
-  gint64 met_at;
-  FtUrgency own, urgency;
-  GPtrArray *dependencies; /* Node, not settled */
-  GPtrArray *dependents;   /* Node */
+  gboolean known;          /* an open job; else only named by others, and its row is to be read */
+  gboolean cancelled;      /* a dependency is, direct or indirect */
+  gboolean listed;         /* in `unread` */
+  gint64 read_at;          /* earliest next read of its row */
+  gint64 met_at;           /* when the last dependency was done */
+  FtUrgency own;           /* as submitted */
+  FtUrgency urgency;       /* raised to that of the dependents */
+  GPtrArray *dependencies; /* Node, not settled; borrowed from `nodes` */
+  GPtrArray *dependents;   /* Node, borrowed from `nodes` */
 } Node;
 
 struct _FtDependencyGraph {
   GHashTable *nodes; /* ref -> Node, owned */
-  GQueue unread;     /* refs, owned, oldest reading first */
+  GQueue unread;     /* refs, owned, by their `read_at` */
   FtDependencyChanged changed;
   gpointer data;
 };
@@ -87,7 +88,7 @@
   return urgency;
 }
 
-/* The urgency of these jobs may have changed, and then that of what they need. Frees the
+/* The urgency of these jobs may have changed, and with it that of their dependencies. Takes the
  * array. */
 static void
 update_urgencies (FtDependencyGraph *graph, GPtrArray *nodes)
@@ -129,12 +130,12 @@
   }
 }
 
-/* Marks what needs the job as cancelled, however indirectly. */
+/* Marks all dependents of the job as cancelled, direct and indirect ones. */
 static void
-cancel_dependents (FtDependencyGraph *graph, Node *first)
+cancel_dependents (FtDependencyGraph *graph, Node *cancelled)
 {
   g_autoptr (GPtrArray) nodes = g_ptr_array_new ();
-  g_ptr_array_add (nodes, first);
+  g_ptr_array_add (nodes, cancelled);
   while (nodes->len > 0) {
     Node *node = g_ptr_array_steal_index_fast (nodes, nodes->len - 1);
     for (guint i = 0; i < node->dependents->len; i++) {
@@ -168,7 +169,8 @@
   update_urgencies (graph, g_ptr_array_copy (node->dependencies, NULL, NULL));
 }
 
-/* Takes the node out of what it needs; what nobody else needs and nobody knows goes. */
+/* Takes the node from its dependencies. Those that are not known to be open and that no other job
+ * depends on leave the graph. */
 static void
 unlink_dependencies (FtDependencyGraph *graph, Node *node)
 {
@@ -185,8 +187,9 @@
   update_urgencies (graph, kept);
 }
 
+/* The job is no longer waited for. */
 static void
-meet (FtDependencyGraph *graph, Node *node, gint64 at)
+release_dependents (FtDependencyGraph *graph, Node *node, gint64 at)
 {
   for (guint i = 0; i < node->dependents->len; i++) {
     Node *dependent = g_ptr_array_index (node->dependents, i);
@@ -206,7 +209,7 @@
   if (end == FT_JOB_END_CANCELLED)
     cancel_dependents (graph, node);
   unlink_dependencies (graph, node);
-  meet (graph, node, at); /* those of a cancelled one stay cancelled */
+  release_dependents (graph, node, at); /* those of a cancelled job stay cancelled */
   g_hash_table_remove (graph->nodes, ref);
 }
 
@@ -244,7 +247,7 @@
   while ((ref = g_queue_peek_head (&graph->unread)) != NULL) {
     Node *node = find (graph, ref);
     if (node != NULL && !node->known && node->read_at > now)
-      return NULL; /* those behind it are due later still */
+      return NULL; /* those behind it are due later */
     g_queue_pop_head (&graph->unread);
     if (node != NULL && !node->known) {
       node->read_at = now + retry_us;
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -71,6 +71,7 @@
 /* Open, or waiting if it names dependencies; ft_job_set_state() opens it then. Takes the spec. All
  * tasks begin in the state `initial`. `team` may be NULL. */
 FtJob *ft_job_new (FtJobSpec *spec, FtTeam *team, guint64 revision, FtTaskState initial);
+/* Frees the job with its spec; NULL is ignored. Its attempts must have been detached. */
 void ft_job_free (FtJob *job);
 
 /* The one place where a job's state changes. `reason` goes to the log. FALSE: refused, since states
--- a/src/core/job_table.h
+++ b/src/core/job_table.h
@@ -29,8 +29,10 @@
   gpointer removed_data;
 } FtJobTable;
 
+/* An empty table. The pointers are borrowed and must outlive it. `removed` is called with `removed_data`. */
 void ft_job_table_init (FtJobTable *table, FtCoreContext *context, const FtQuota *quota, FtJobRemoved removed,
                         gpointer removed_data);
+/* Frees all jobs. Machines must have been freed before: their attempts point to jobs. */
 void ft_job_table_clear (FtJobTable *table);
 
 /* The open job of that ref; borrowed, NULL: not known to be open. */
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -227,7 +227,7 @@
 }
 
 /* Where connections between controllers are refused, a live leader looks like a dead
- * one from all sides, and claims at first sight made a new leader twice a second:
+ * one from all sides, and claims made at once led to a new leader twice a second:
  * only another peer that answers us, and a fence that is not new, allow that. */
 void
 ft_lease_suspect (FtLease *lease, const char *holder, gboolean confirmed, gint64 now)
@@ -236,10 +236,10 @@
       || g_strcmp0 (lease->seen.holder, holder) != 0)
     return;
   gboolean fence_stable = now - lease->fence_since > (gint64) (FT_SUSPECT_STABLE_S * FT_SECOND);
-  gboolean claim_at_sight = confirmed && fence_stable;
+  gboolean claim_at_once = confirmed && fence_stable;
   g_message ("lease %s: holder %s suspected to be gone (%s)", lease->member, holder,
-             claim_at_sight ? "confirmed" : "not confirmed");
-  set_suspicion (lease, claim_at_sight ? SUSPICION_REPORTED_CONFIRMED : SUSPICION_REPORTED);
+             claim_at_once ? "confirmed" : "not confirmed");
+  set_suspicion (lease, claim_at_once ? SUSPICION_REPORTED_CONFIRMED : SUSPICION_REPORTED);
   lease->next_sweep = now;
 }
 
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -34,6 +34,7 @@
   gboolean released; /* the holder has given the lease up */
 } FtLeaseRows;
 
+/* Frees what the rows own, not the struct. */
 void ft_lease_rows_clear (FtLeaseRows *rows);
 
 /* `sweep_us`: time between two reads of the rows by a follower. `answer_grace_us`: the longest time
@@ -41,9 +42,11 @@
  * answer heartbeats. `seed`: for jitter. */
 FtLease *ft_lease_new (const char *member, guint64 incarnation, gint64 lease_us, gint64 sweep_us,
                        gint64 answer_grace_us, guint32 seed);
+/* NULL is ignored. */
 void ft_lease_free (FtLease *lease);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtLease, ft_lease_free)
 
+/* The present state; a lease that has run out is in FT_LEASE_EXPIRED only after ft_lease_tick(). */
 FtLeaseState ft_lease_state (const FtLease *lease);
 
 /* The state's name as operators see it. */
@@ -77,8 +80,9 @@
 
 /* ---- acquiring and renewing ---- */
 
-/* A follower should claim the lease, a holder renew it, now. */
+/* A follower should claim the lease now. */
 gboolean ft_lease_acquire_due (const FtLease *lease, gint64 now);
+/* A holder should renew the lease now. */
 gboolean ft_lease_renew_due (const FtLease *lease, gint64 now);
 
 /* What an acquisition must be conditional on and write. */
@@ -95,6 +99,7 @@
 /* The claim was refused or got no answer: the rows are to be read again. */
 void ft_lease_claim_failed (FtLease *lease, gint64 now);
 
+/* A renewal is being sent now, with ft_lease_time(). */
 void ft_lease_renew_sent (FtLease *lease, gint64 now);
 /* The renewal that was sent at `sent_at` is committed. */
 void ft_lease_renewed (FtLease *lease, gint64 sent_at);
@@ -122,8 +127,9 @@
 /* Heartbeats may be answered, which prolongs what runs. */
 gboolean ft_lease_may_answer (const FtLease *lease, gint64 now);
 
-/* Our fencing token, and the revision of our fence, while acquiring or holding; else 0. */
+/* Our fencing token while acquiring or holding; else 0. */
 guint64 ft_lease_token (const FtLease *lease);
+/* The revision of the fence that we acquired; 0: we hold none. Writes of the leader are conditional on it. */
 guint64 ft_lease_fence_revision (const FtLease *lease);
 /* The holder last seen, or NULL; borrowed. */
 const char *ft_lease_holder (const FtLease *lease);
--- a/src/core/recovery.h
+++ b/src/core/recovery.h
@@ -29,11 +29,13 @@
   double unreconciled_cpus, unreconciled_gpus;
 } FtRecovery;
 
+/* In FT_RECOVERY_LOADING. The pointers are borrowed and must outlive it. */
 void ft_recovery_init (FtRecovery *recovery, FtCoreContext *context, FtMachineTable *machine_table,
                        FtJobTable *job_table);
 
 /* All rows have been read: counts the machines and waits for them to be reconciled. */
 void ft_recovery_loaded (FtRecovery *recovery);
+/* TRUE once all rows have been read: the machines of the registry are known. */
 gboolean ft_recovery_is_loaded (const FtRecovery *recovery);
 
 /* TRUE once all machines were reconciled: no task can run unseen any more. */
--- a/src/core/registry.h
+++ b/src/core/registry.h
@@ -42,7 +42,9 @@
   GQueue drain_deletions; /* names of machines that are gone and whose drain rows are to be deleted; owned */
 } FtRegistry;
 
+/* An empty registry. The pointers are borrowed and must outlive it. */
 void ft_registry_init (FtRegistry *registry, FtCoreContext *context, FtMachineTable *machine_table);
+/* Frees the rows. Machines that point to them must not be used any more. */
 void ft_registry_clear (FtRegistry *registry);
 
 /* Names the machine in a row, if it is in none and has an address. It may be sent commands once that
--- a/src/core/scheduler_private.h
+++ b/src/core/scheduler_private.h
@@ -1,5 +1,6 @@
-/* A scheduler is composed of the core's modules. Everything here belongs to one leadership and
- * dies with it. For the core's modules only. */
+/* What a scheduler is composed of: one of each of the core's modules, which borrow from each other what
+ * they are given at creation. All of it belongs to one leadership and is freed with it. For the
+ * scheduler's own sources and for tests that look inside. */
 #pragma once
 #include "core/autoscaler.h"
 #include "core/command_queue.h"
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,5 +1,6 @@
-/* Types shared by the modules of the core and by the layers round it.
- * Standard terms only: machine, token, incarnation, sequence, team, attempt. */
+/* Types shared by the modules of the core and by the layers around it (wire formats, node, tests):
+ * settings, the cloud's catalog, submitted jobs, worker heartbeats and commands. Plain records without
+ * behaviour; whoever holds one owns it, unless a comment says otherwise. */
 #pragma once
 #include <glib.h>
 
@@ -18,7 +19,7 @@
   double gpus, gpus_max;
 } FtTeamLimit;
 
-/* The most that a team may use; 0 in the settings means that there is no limit. */
+/* The most that a team may use, of a limit in the settings: there 0 means that there is none. */
 double ft_team_limit (double most);
 
 /* What the core needs of the settings file. Owned by the configuration. */
@@ -28,7 +29,7 @@
   guint n_teams;
   double heartbeat_s, lease_s, cancel_s; /* workers */
   double list_lag_s, cloud_rps;          /* cloud */
-  /* Limits of the state service: the lower of those in force and of those announced for later. */
+  /* Limits of the key-value store: the lower of those in force and of those announced for later. */
   double store_rps, store_write_rps;
   double value_kb; /* largest value of a row */
   guint txn_ops;   /* most changes of a transaction */
@@ -45,16 +46,21 @@
   GStrv zones;
 } FtMachineType;
 
-/* The catalog: reference counted, immutable. */
+/* The cloud's machine types: reference counted, immutable once it is filled. */
 typedef struct {
   GPtrArray *types; /* FtMachineType, owned */
   int refs;
 } FtCatalog;
 
+/* An empty catalog, with one reference. */
 FtCatalog *ft_catalog_new (void);
+/* Adds a reference; returns the catalog. */
 FtCatalog *ft_catalog_ref (FtCatalog *catalog);
+/* Drops a reference, with the last one the catalog; NULL is ignored. */
 void ft_catalog_unref (FtCatalog *catalog);
+/* The type of that name; borrowed. NULL: not in the catalog, which may itself be NULL. */
 const FtMachineType *ft_catalog_find (const FtCatalog *catalog, const char *name);
+/* Frees a machine type; called by its catalog. */
 void ft_machine_type_free (FtMachineType *type);
 
 /* A job as it was submitted. Owned by whoever holds the pointer. */
@@ -75,23 +81,26 @@
   double deadline_s;        /* from the submission; 0: none */
   gint64 submitted_wall_ms; /* wall time of the acceptance */
   GStrv dependencies;       /* refs of the jobs that must be done before it; NULL: none */
-  /* The mark: no task from here on has ever been sent to a machine. Raised by the
-   * leader, and committed before it sends one. */
+  /* No task index from here on was ever sent to a machine. Raised by the leader, which commits the
+   * raised watermark before it sends such a task. */
   guint dispatch_watermark;
 } FtJobSpec;
 
+/* Frees a spec. */
 void ft_job_spec_free (FtJobSpec *spec);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtJobSpec, ft_job_spec_free)
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtCatalog, ft_catalog_unref)
 
+/* How far a worker is with a task. */
 typedef enum {
   FT_TASK_PHASE_FETCHING,
-  FT_TASK_PHASE_WAITING, /* has its image, waits for the rest of its gang */
+  FT_TASK_PHASE_WAITING, /* has fetched its image, waits for the rest of its gang */
   FT_TASK_PHASE_RUNNING,
   FT_TASK_PHASE_CHECKPOINTING,
   FT_TASK_PHASE_EXITED,
 } FtTaskPhase;
 
+/* Why a task exited. */
 typedef enum {
   FT_EXIT_NONE,
   FT_EXIT_DONE,
@@ -101,11 +110,12 @@
   FT_EXIT_BUSY,
   FT_EXIT_UNKNOWN,
   FT_EXIT_PEERS, /* another task of its gang ended */
-  FT_EXIT_ALONE, /* its gang did not come together in time */
+  FT_EXIT_ALONE, /* its gang did not assemble in time */
 } FtExitReason;
 
+/* One attempt in a worker heartbeat. */
 typedef struct {
-  char *job; /* job's ref */
+  char *job; /* the job's ref */
   guint index;
   guint64 attempt;
   FtTaskPhase state;
@@ -113,20 +123,26 @@
   gboolean saved;
 } FtTaskStatus;
 
+/* What a worker reports of its machine, by itself or in answer to a direct request. */
 typedef struct {
   char *machine, *addr, *type, *zone;
   gboolean spot;
-  guint64 incarnation, sequence, token;
-  double notice_s; /* negative: none */
-  GArray *tasks;   /* FtTaskStatus */
+  guint64 incarnation; /* of the agent; only rises */
+  guint64 sequence;    /* within the incarnation */
+  guint64 token;       /* the highest fencing token that the worker has seen */
+  double notice_s;     /* until the spot instance is taken away; negative: no notice */
+  GArray *tasks;       /* FtTaskStatus */
 } FtWorkerHeartbeat;
 
+/* An empty heartbeat without a notice. */
 FtWorkerHeartbeat *ft_worker_heartbeat_new (void);
+/* Frees a heartbeat with its tasks. */
 void ft_worker_heartbeat_free (FtWorkerHeartbeat *heartbeat);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtWorkerHeartbeat, ft_worker_heartbeat_free)
 
 typedef enum { FT_COMMAND_START, FT_COMMAND_STOP, FT_COMMAND_FORGET } FtCommandOp;
 
+/* What a worker is to do with an attempt. */
 typedef struct {
   FtCommandOp op;
   char *job;
@@ -140,6 +156,7 @@
 
 typedef enum { FT_LISTED_BOOTING, FT_LISTED_RUNNING, FT_LISTED_FAILED } FtListedState;
 
+/* A machine in the cloud's list, or in a row of the machine registry (then without state and age). */
 typedef struct {
   char *name, *addr, *type, *zone;
   gboolean spot;
@@ -147,4 +164,5 @@
   double age_s;
 } FtListedMachine;
 
+/* A new array of FtListedMachine that frees its elements. */
 GArray *ft_listed_new (void);
--- a/src/core/write.h
+++ b/src/core/write.h
@@ -29,7 +29,9 @@
   char *bits;            /* of a chunk: its done tasks, a bitmap in base64 */
 } FtWrite;
 
+/* A write of that kind; copies the name. The rest is filled in by the caller. */
 FtWrite *ft_write_new (FtWriteKind kind, const char *name);
+/* Frees a write, not the spec that it borrows. */
 void ft_write_free (FtWrite *write);
 
 /* How many changes the write makes in its transaction. */
--- a/src/core/write_queue.h
+++ b/src/core/write_queue.h
@@ -20,7 +20,9 @@
   gboolean wrote_registry; /* the last batch had registry rows in it */
 } FtWriteQueue;
 
+/* An empty queue. The pointers are borrowed and must outlive it. */
 void ft_write_queue_init (FtWriteQueue *queue, FtCoreContext *context, FtJobTable *job_table, FtRegistry *registry);
+/* Frees what is queued here. */
 void ft_write_queue_clear (FtWriteQueue *queue);
 
 /* A chunk of a done-set whose job is gone: it is deleted when the store has capacity to spare. */
