--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -32,6 +32,14 @@
   ft_autoscaler_init (&scheduler->autoscaler);
 }
 
+/* Whoever keeps a pointer to a job that is about to be freed drops it. */
+static void
+on_job_removed (FtJob *job, gpointer data)
+{
+  FtScheduler *scheduler = data;
+  ft_placement_forget (&scheduler->placement, job);
+}
+
 FtScheduler *
 ft_scheduler_new (const FtSettings *settings, FtCatalog *catalog, guint64 token, gint64 answer_grace_us, gint64 now,
                   guint32 seed)
@@ -44,18 +52,14 @@
   scheduler->context.now = scheduler->context.took_over_at = scheduler->context.cancellations_known_until = now;
   scheduler->context.random = g_rand_new_with_seed (seed);
   ft_tuning_defaults (&scheduler->context.tuning);
-  scheduler->registry.value_divisor = 1;
   ft_quota_init (&scheduler->quota, settings);
-  ft_open_jobs_init (scheduler);
+  ft_job_table_init (&scheduler->job_table, &scheduler->context, &scheduler->quota, on_job_removed, scheduler);
   ft_machine_queues_init (&scheduler->machine_queues);
   ft_machine_table_init (&scheduler->machine_table, &scheduler->context, &scheduler->machine_queues);
   init_workers (scheduler);
-  scheduler->registry.rows
-      = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_registry_row_free);
-  g_queue_init (&scheduler->write_queue.pending_jobs);
-  g_queue_init (&scheduler->registry.pending_rows);
-  g_queue_init (&scheduler->registry.drain_deletions);
-  g_queue_init (&scheduler->write_queue.chunk_deletions);
+  ft_registry_init (&scheduler->registry, &scheduler->context, &scheduler->machine_table);
+  ft_write_queue_init (&scheduler->write_queue, &scheduler->context, &scheduler->job_table, &scheduler->registry);
+  ft_recovery_init (&scheduler->recovery, &scheduler->context, &scheduler->machine_table, &scheduler->job_table);
   return scheduler;
 }
 
@@ -66,15 +70,12 @@
     return;
   /* Attempts know their jobs: machines go first. */
   ft_machine_table_clear (&scheduler->machine_table);
-  ft_open_jobs_clear (scheduler);
+  ft_job_table_clear (&scheduler->job_table);
   ft_autoscaler_clear (&scheduler->autoscaler);
   ft_placement_clear (&scheduler->placement);
-  g_hash_table_unref (scheduler->registry.rows);
-  g_queue_clear (&scheduler->write_queue.pending_jobs);
+  ft_registry_clear (&scheduler->registry);
   ft_machine_queues_clear (&scheduler->machine_queues);
-  g_queue_clear (&scheduler->registry.pending_rows);
-  g_queue_clear_full (&scheduler->registry.drain_deletions, g_free);
-  g_queue_clear_full (&scheduler->write_queue.chunk_deletions, (GDestroyNotify) ft_write_free);
+  ft_write_queue_clear (&scheduler->write_queue);
   g_rand_free (scheduler->context.random);
   ft_catalog_unref (scheduler->context.catalog);
   ft_quota_clear (&scheduler->quota);
@@ -87,13 +88,6 @@
   scheduler->context.tuning = *tuning;
 }
 
-void
-ft_scheduler_lower_value_limit (FtScheduler *scheduler)
-{
-  if (scheduler->context.settings->value_kb / (scheduler->registry.value_divisor * 2) >= FT_VALUE_KB_MIN)
-    scheduler->registry.value_divisor *= 2;
-}
-
 void
 ft_scheduler_set_catalog (FtScheduler *scheduler, FtCatalog *catalog)
 {
@@ -101,7 +95,7 @@
   ft_catalog_unref (scheduler->context.catalog);
   scheduler->context.catalog = catalog;
   ft_machine_table_catalog_changed (&scheduler->machine_table);
-  ft_recovery_recount (scheduler);
+  ft_recovery_recount (&scheduler->recovery);
 }
 
 guint
@@ -118,11 +112,11 @@
 {
   FtMachine *known = g_hash_table_lookup (scheduler->machine_table.machines, name);
   if (known != NULL || g_hash_table_contains (scheduler->machine_table.gone, name)) {
-    ft_registry_loaded (scheduler, row, known);
+    ft_registry_loaded (&scheduler->registry, row, known);
     return;
   }
   FtMachine *machine = ft_machine_table_add (&scheduler->machine_table, name, addr, type, zone, spot);
-  ft_registry_loaded (scheduler, row, machine);
+  ft_registry_loaded (&scheduler->registry, row, machine);
   /* A former leader that lost the store may have answered it until then. */
   gint64 answered_until = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
   ft_reachability_registered (&machine->reachability, answered_until, scheduler->context.now);
@@ -134,7 +128,7 @@
   GHashTableIter it;
   gpointer value;
   scheduler->context.now = now;
-  scheduler->recovery.loaded = scheduler->context.placement_due = TRUE;
+  scheduler->context.placement_due = TRUE;
   scheduler->context.loaded_at = now;
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
@@ -143,14 +137,14 @@
     if (machine->state == FT_MACHINE_BOOTING && machine->registered)
       ft_machine_set_state (machine, FT_MACHINE_UP, "in the registry");
   }
-  ft_recovery_recount (scheduler);
-  ft_recovery_tick (scheduler);
+  ft_recovery_loaded (&scheduler->recovery);
+  ft_recovery_tick (&scheduler->recovery);
 }
 
 gboolean
 ft_scheduler_is_loaded (const FtScheduler *scheduler)
 {
-  return scheduler->recovery.loaded;
+  return ft_recovery_is_loaded (&scheduler->recovery);
 }
 
 /* ---- time ---- */
@@ -173,9 +167,9 @@
     if (machine->state == FT_MACHINE_GONE && !machine->command_in_flight && !machine->terminate_in_flight)
       g_hash_table_iter_remove (&it);
   }
-  ft_recovery_tick (scheduler);
+  ft_recovery_tick (&scheduler->recovery);
   ft_placement_pass (&scheduler->placement); /* pauses end with time alone */
-  if (scheduler->recovery.loaded)
+  if (ft_recovery_is_loaded (&scheduler->recovery))
     ft_autoscaler_tick (&scheduler->autoscaler);
 }
 
--- a/src/core/scheduler_workers.c
+++ b/src/core/scheduler_workers.c
@@ -11,7 +11,7 @@
 {
   if (!ft_worker_heartbeats_apply (&scheduler->worker_heartbeats, machine, heartbeat, is_heartbeat))
     return;
-  ft_registry_add (scheduler, machine);
+  ft_registry_add (&scheduler->registry, machine);
   if (machine->reconciled)
     ft_recovery_machine_reconciled (&scheduler->recovery, machine);
 }
@@ -28,7 +28,7 @@
     FtMachine *machine = ft_worker_heartbeats_machine (&scheduler->worker_heartbeats, heartbeat);
     apply_status (scheduler, machine, heartbeat, TRUE);
   }
-  ft_recovery_tick (scheduler);
+  ft_recovery_tick (&scheduler->recovery);
   return TRUE;
 }
 
@@ -84,7 +84,7 @@
     apply_status (scheduler, machine, heartbeat, FALSE);
   if (result == FT_DIRECT_CONFLICT && !machine->reconciled)
     ft_probes_again (machine);
-  ft_recovery_tick (scheduler);
+  ft_recovery_tick (&scheduler->recovery);
   return TRUE;
 }
 
@@ -95,7 +95,7 @@
 {
   ft_machine_table_set_gone (&scheduler->machine_table, machine, reason);
   ft_recovery_machine_reconciled (&scheduler->recovery, machine);
-  ft_registry_remove (scheduler, machine);
+  ft_registry_remove (&scheduler->registry, machine);
 }
 
 static void
@@ -124,7 +124,7 @@
     return;
   if (result == FT_CLOUD_OK)
     machines_returned (scheduler, call->names);
-  ft_recovery_tick (scheduler);
+  ft_recovery_tick (&scheduler->recovery);
 }
 
 void
@@ -133,5 +133,5 @@
   scheduler->context.now = now;
   ft_autoscaler_listed (&scheduler->autoscaler, list);
   if (ft_recovery_is_loaded (&scheduler->recovery))
-    ft_recovery_tick (scheduler);
+    ft_recovery_tick (&scheduler->recovery);
 }
--- a/tests/test_job.cpp
+++ b/tests/test_job.cpp
@@ -14,8 +14,8 @@
     EXPECT_FALSE (ft_task_set_state (job, 0, to));
   EXPECT_EQ (job->counts[FT_TASK_DONE], 1u);
   EXPECT_EQ (job->counts[FT_TASK_QUEUED], 1u);
-  EXPECT_TRUE (ft_job_set_state (job, FT_JOB_CANCELLING));
-  EXPECT_FALSE (ft_job_set_state (job, FT_JOB_OPEN));
+  EXPECT_TRUE (ft_job_set_state (job, FT_JOB_CANCELLING, "test"));
+  EXPECT_FALSE (ft_job_set_state (job, FT_JOB_OPEN, "test"));
   ft_job_free (job);
 }
 
