--- a/.ci/check_docs.py
+++ b/.ci/check_docs.py
@@ -4,6 +4,8 @@
 Functions and types: each `ft_name()` or `FtName` in the pages below is defined in src.
 Log lines: each line quoted in the first column of a table headed "log line" in
 docs/operations.md stands in a string of src; "..." matches what a format inserts.
+The same holds for the tables headed "reason" and "metric". Each counter and latency of
+src/net/metrics.c stands in a table headed "metric".
 """
 import re
 import subprocess
@@ -11,6 +13,8 @@
 
 PAGES = ["README.md", "docs/architecture.md", "docs/design.md", "docs/operations.md", "docs/fault-interactions.md"]
 
+TABLES = ["log line", "reason", "metric"]
+
 
 def source_files():
     out = subprocess.run(["git", "ls-files", "src/*.[ch]"], capture_output=True, text=True, check=True)
@@ -31,15 +35,16 @@
 
 def string_texts(code):
     """The texts of all strings, with adjacent ones joined and formats as "..."."""
-    joined = re.sub(r'"\s*(?:G_GU?INT64_FORMAT\s*)?"', "", code)
+    formats = re.sub(r'"\s*G_\w+_FORMAT\s*"', "u", code)
+    joined = re.sub(r'"\s*"', "", formats)
     for match in re.finditer(r'"((?:\\.|[^"\\\n])*)"', joined):
         yield re.sub(r"%[-.0-9]*l?[a-z]?", "...", match.group(1))
 
 
-def log_lines(text):
+def quoted_lines(text, heads):
     in_table = False
     for line in text.split("\n"):
-        if line.startswith("| log line"):
+        if any(line.startswith(f"| {head} |") for head in heads):
             in_table = True
         elif not line.startswith("|"):
             in_table = False
@@ -47,12 +52,20 @@
             yield from re.findall(r"`([^`]+)`", line.split("|")[1])
 
 
-def unknown_log_lines(page, text, code):
+def unknown_lines(page, text, code):
     texts = list(string_texts(code))
-    for line in log_lines(text):
+    for line in quoted_lines(text, TABLES):
         pattern = re.compile(".*".join(re.escape(part) for part in line.split("...")))
         if not any(pattern.search(candidate) for candidate in texts):
-            yield f"{page}: no string of src is like the log line: {line}"
+            yield f"{page}: no string of src is like the line: {line}"
+
+
+def undocumented_metrics(page, text, metrics_code):
+    documented = set(quoted_lines(text, ["metric"]))
+    for array in re.finditer(r"_names\[\w+\]\s*=\s*\{(.*?)\}", metrics_code, re.DOTALL):
+        for name in re.findall(r'"(\w+)"', array.group(1)):
+            if name not in documented:
+                yield f"{page}: the metric {name} is not explained"
 
 
 def main():
@@ -63,11 +76,13 @@
         names += len(re.findall(r"`ft_\w+ ?\(\)`|`Ft[A-Z]\w+`", text))
         errors += unknown_names(page, text, code)
     operations = read("docs/operations.md")
-    lines = len(list(log_lines(operations)))
-    errors += unknown_log_lines("docs/operations.md", operations, code)
-    if names == 0 or lines == 0:
-        errors.append(f"nothing to check: {names} names, {lines} log lines")
-    print("\n".join(errors) if errors else f"{names} names and {lines} log lines of the pages are in src")
+    counts = {head: len(list(quoted_lines(operations, [head]))) for head in TABLES}
+    errors += unknown_lines("docs/operations.md", operations, code)
+    errors += undocumented_metrics("docs/operations.md", operations, read("src/net/metrics.c"))
+    if names == 0 or 0 in counts.values():
+        errors.append(f"nothing to check: {names} names, {counts}")
+    found = ", ".join(f"{count} {head}s" for head, count in counts.items())
+    print("\n".join(errors) if errors else f"{names} names, {found} of the pages are in src")
     return 1 if errors else 0
 
 
