--- a/.ci/check_docs.py
+++ b/.ci/check_docs.py
@@ -5,7 +5,8 @@
 Log lines: each line quoted in the first column of a table headed "log line" in
 docs/operations.md stands in a string of src; "..." matches what a format inserts.
 The same holds for the tables headed "reason" and "metric". Each counter and latency of
-src/net/metrics.c stands in a table headed "metric".
+src/net/metrics.c stands in a table headed "metric", and each warning of src in one headed
+"log line".
 """
 import re
 import subprocess
@@ -52,14 +53,25 @@
             yield from re.findall(r"`([^`]+)`", line.split("|")[1])
 
 
+def pattern_of(line):
+    return re.compile(".*".join(re.escape(part) for part in line.split("...")))
+
+
 def unknown_lines(page, text, code):
     texts = list(string_texts(code))
     for line in quoted_lines(text, TABLES):
-        pattern = re.compile(".*".join(re.escape(part) for part in line.split("...")))
-        if not any(pattern.search(candidate) for candidate in texts):
+        if not any(pattern_of(line).search(candidate) for candidate in texts):
             yield f"{page}: no string of src is like the line: {line}"
 
 
+def undocumented_warnings(page, text, code):
+    patterns = [pattern_of(line) for line in quoted_lines(text, ["log line"])]
+    for match in re.finditer(r"\bg_(?:warning|critical) \((.*?)\);", code, re.DOTALL):
+        warning = next(string_texts(match.group(1)), match.group(1))
+        if not any(pattern.search(warning) for pattern in patterns):
+            yield f"{page}: the warning is not explained: {warning}"
+
+
 def undocumented_metrics(page, text, metrics_code):
     documented = set(quoted_lines(text, ["metric"]))
     for array in re.finditer(r"_names\[\w+\]\s*=\s*\{(.*?)\}", metrics_code, re.DOTALL):
@@ -78,6 +90,7 @@
     operations = read("docs/operations.md")
     counts = {head: len(list(quoted_lines(operations, [head]))) for head in TABLES}
     errors += unknown_lines("docs/operations.md", operations, code)
+    errors += undocumented_warnings("docs/operations.md", operations, code)
     errors += undocumented_metrics("docs/operations.md", operations, read("src/net/metrics.c"))
     if names == 0 or 0 in counts.values():
         errors.append(f"nothing to check: {names} names, {counts}")
