--- /dev/null
+++ b/tests/job_specs.hpp
@@ -0,0 +1,39 @@
+// Specs of jobs for tests of the core.
+#pragma once
+#include <vector>
+
+extern "C" {
+#include "core/constants.h"
+#include "core/types.h"
+}
+
+constexpr gint64 kS = FT_SECOND;
+
+// A job of tasks of 4 CPUs each. Its dispatch watermark covers all of them.
+inline FtJobSpec *
+new_job_spec (const char *ref, guint tasks)
+{
+  FtJobSpec *spec = g_new0 (FtJobSpec, 1);
+  spec->ref = g_strdup (ref);
+  spec->job_class = g_strdup ("c");
+  spec->team = g_strdup ("red");
+  spec->image = g_strdup ("img");
+  spec->tasks = tasks;
+  spec->cpus = 4;
+  spec->memory_gb = 1;
+  spec->spot = TRUE;
+  spec->dispatch_watermark = tasks;
+  return spec;
+}
+
+// A job that was never started, with DAG dependencies.
+inline FtJobSpec *
+new_dependent_spec (const char *ref, std::vector<const char *> dependencies, guint tasks = 1)
+{
+  FtJobSpec *spec = new_job_spec (ref, tasks);
+  dependencies.push_back (nullptr);
+  spec->dependencies = g_strdupv ((char **) dependencies.data ());
+  spec->dispatch_watermark = 0;
+  spec->estimate_s = 10;
+  return spec;
+}
--- a/tests/scheduler_harness.hpp
+++ b/tests/scheduler_harness.hpp
@@ -5,6 +5,7 @@
 #include <string>
 #include <vector>
 
+#include "job_specs.hpp"
 #include "world.hpp"
 
 extern "C" {
@@ -12,37 +13,6 @@
 #include "core/scheduler_private.h"
 }
 
-constexpr gint64 kS = FT_SECOND;
-
-// A job of tasks of 4 CPUs each. Its dispatch watermark covers all of them.
-inline FtJobSpec *
-new_job_spec (const char *ref, guint tasks)
-{
-  FtJobSpec *spec = g_new0 (FtJobSpec, 1);
-  spec->ref = g_strdup (ref);
-  spec->job_class = g_strdup ("c");
-  spec->team = g_strdup ("red");
-  spec->image = g_strdup ("img");
-  spec->tasks = tasks;
-  spec->cpus = 4;
-  spec->memory_gb = 1;
-  spec->spot = TRUE;
-  spec->dispatch_watermark = tasks;
-  return spec;
-}
-
-// A job that was never started, with DAG dependencies.
-inline FtJobSpec *
-new_dependent_spec (const char *ref, std::vector<const char *> dependencies, guint tasks = 1)
-{
-  FtJobSpec *spec = new_job_spec (ref, tasks);
-  dependencies.push_back (nullptr);
-  spec->dependencies = g_strdupv ((char **) dependencies.data ());
-  spec->dispatch_watermark = 0;
-  spec->estimate_s = 10;
-  return spec;
-}
-
 // What a worker reports of one task. The name is not copied.
 inline FtTaskStatus
 task_status (const char *job, guint index, guint64 attempt, FtTaskPhase phase, FtExitReason reason = FT_EXIT_NONE)
@@ -92,6 +62,17 @@
     g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (scheduler, 11, TRUE, now);
     ft_scheduler_writes_committed (scheduler, writes, now);
   }
+  // The same; how many of them were of that kind.
+  guint
+  commit_counted (FtWriteKind kind, gint64 now, gboolean spare = TRUE)
+  {
+    g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (scheduler, 11, spare, now);
+    guint n = 0;
+    for (guint i = 0; i < writes->len; i++)
+      n += ((const FtWrite *) g_ptr_array_index (writes, i))->kind == kind;
+    ft_scheduler_writes_committed (scheduler, writes, now);
+    return n;
+  }
   // A machine that is up, has a committed row in the registry and knows the leader's token.
   void
   machine_up (gint64 now, guint64 sequence = 1, const char *name = "n-1", const char *zone = "a", bool spot = false)
--- a/tests/test_scheduler_recovery.cpp
+++ b/tests/test_scheduler_recovery.cpp
@@ -9,14 +9,7 @@
   SchedulerHarness harness;
   ft_scheduler_loaded (harness.scheduler, 100 * kS);
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 2), 5, 100 * kS, 0);
-  auto ends = [&] (gint64 at) {
-    g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (harness.scheduler, 11, TRUE, at);
-    guint n = 0;
-    for (guint i = 0; i < writes->len; i++)
-      n += ((FtWrite *) g_ptr_array_index (writes, i))->kind == FT_WRITE_JOB_STOPPED;
-    ft_scheduler_writes_committed (harness.scheduler, writes, at);
-    return n;
-  };
+  auto ends = [&] (gint64 at) { return harness.commit_counted (FT_WRITE_JOB_STOPPED, at); };
   ft_scheduler_cancellation_advised (harness.scheduler, "req-1", 101 * kS);
   EXPECT_TRUE (ft_scheduler_view (harness.scheduler, "req-1").cancelled);
   EXPECT_EQ (ends (101 * kS), 0u);
--- a/tests/test_write_queue.cpp
+++ b/tests/test_write_queue.cpp
@@ -23,12 +23,7 @@
   guint
   chunks (gboolean spare)
   {
-    g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (scheduler, 11, spare, 110 * kS);
-    guint n = 0;
-    for (guint i = 0; i < writes->len; i++)
-      n += ((const FtWrite *) g_ptr_array_index (writes, i))->kind == FT_WRITE_CHUNK;
-    ft_scheduler_writes_committed (scheduler, writes, 110 * kS);
-    return n;
+    return commit_counted (FT_WRITE_CHUNK, 110 * kS, spare);
   }
 };
 
