--- /dev/null
+++ b/tests/test_module_attempt.cpp
@@ -0,0 +1,121 @@
+// An attempt alone: its states, what it takes, and when it may be ended.
+#include "core_state.hpp"
+
+namespace {
+
+class AttemptModule : public testing::Test, protected CoreState {
+protected:
+  FtMachine *machine = add_machine ("n-1");
+  FtJob *its_job = add_job (new_job_spec ("req-1", 2));
+  FtAttempt *attempt = place (machine, its_job, 0, 1);
+  bool
+  exists ()
+  {
+    return ft_machine_attempt (machine, "req-1", 0, 1) != nullptr;
+  }
+};
+
+constexpr FtAttemptState kStates[]
+    = { FT_ATTEMPT_PLACED, FT_ATTEMPT_ON_WORKER, FT_ATTEMPT_EXITED, FT_ATTEMPT_FORGETTABLE };
+
+TEST_F (AttemptModule, HasTheseMovesAndNoOthers)
+{
+  const bool allowed[4][4] = {
+    // to PLACED, ON_WORKER, EXITED, FORGETTABLE
+    { true, true, true, false },   // from PLACED
+    { true, true, true, false },   // from ON_WORKER
+    { false, false, true, true },  // from EXITED
+    { false, false, false, true }, // from FORGETTABLE
+  };
+  for (FtAttemptState from : kStates)
+    for (FtAttemptState to : kStates) {
+      attempt->state = from;
+      EXPECT_EQ (ft_attempt_set_state (attempt, to), allowed[from][to]) << from << " to " << to;
+      EXPECT_EQ (attempt->state, allowed[from][to] ? to : from);
+    }
+}
+
+TEST_F (AttemptModule, ItsResourcesAreCountedOnceHoweverOftenTheyAreTakenOrGivenBack)
+{
+  ft_attempt_reserve (attempt);
+  EXPECT_EQ (machine->cpus, 4);
+  EXPECT_EQ (quota.teams[0].cpus, 4);
+  ft_attempt_release (attempt);
+  ft_attempt_release (attempt);
+  EXPECT_EQ (machine->cpus, 0);
+  EXPECT_EQ (machine->memory_gb, 0);
+  EXPECT_EQ (quota.teams[0].cpus, 0);
+}
+
+TEST_F (AttemptModule, AStopKeepsTheShortestGraceAndAsksForADirectRequest)
+{
+  for (auto [grace_s, expected] : { std::pair (10, 10), std::pair (20, 10), std::pair (0, 0) }) {
+    ft_attempt_want_stop (attempt, grace_s);
+    EXPECT_TRUE (ft_attempt_stop_wanted (attempt));
+    EXPECT_EQ (attempt->grace_s, expected);
+  }
+  EXPECT_TRUE (machine->direct_queued);
+  ft_attempt_clear_stop (attempt);
+  EXPECT_FALSE (ft_attempt_stop_wanted (attempt));
+}
+
+TEST_F (AttemptModule, ADirectStartWithoutAnswerStaysInDoubt)
+{
+  ft_attempt_direct_start_sent (attempt);
+  EXPECT_EQ (attempt->direct_start, FT_DIRECT_START_IN_FLIGHT);
+  ft_attempt_direct_start_answered (attempt);
+  EXPECT_EQ (attempt->direct_start, FT_DIRECT_START_SETTLED);
+  EXPECT_FALSE (machine->in_doubt);
+  ft_attempt_direct_start_unanswered (attempt);
+  ft_attempt_direct_start_answered (attempt);
+  EXPECT_EQ (attempt->direct_start, FT_DIRECT_START_UNANSWERED);
+  EXPECT_TRUE (machine->in_doubt);
+}
+
+// ---- how it ends ----
+
+TEST_F (AttemptModule, ACancellationEndsItAtOnceOnlyIfNoCopyOfItsStartMayArrive)
+{
+  for (FtDirectStart start : { FT_DIRECT_START_IN_FLIGHT, FT_DIRECT_START_UNANSWERED, FT_DIRECT_START_SETTLED }) {
+    attempt->direct_start = start;
+    attempt->sent_sequence = start == FT_DIRECT_START_SETTLED ? 4 : 0; // the answer to a heartbeat carried it
+    ft_attempt_job_cancelled (attempt);
+    ASSERT_TRUE (exists ()) << start;
+  }
+  EXPECT_TRUE (ft_attempt_stop_wanted (attempt));
+  attempt->sent_sequence = 0;
+  ft_attempt_job_cancelled (attempt);
+  EXPECT_FALSE (exists ());
+  EXPECT_EQ (machine->cpus, 0);
+}
+
+TEST_F (AttemptModule, ItsEndAfterItsExitFreesItsTaskAndNotesSinceWhenTheMachineIsIdle)
+{
+  EXPECT_FALSE (ft_machine_idle (machine));
+  ft_attempt_set_state (attempt, FT_ATTEMPT_EXITED);
+  context.now = 130 * kS;
+  context.placement_due = FALSE;
+  ft_attempt_end (attempt);
+  EXPECT_EQ (its_job->tasks[0].state, FT_TASK_QUEUED);
+  EXPECT_EQ (its_job->tasks[0].attempt, nullptr);
+  EXPECT_TRUE (ft_machine_idle (machine));
+  EXPECT_EQ (machine->idle_since, 130 * kS);
+  EXPECT_TRUE (context.placement_due);
+}
+
+TEST_F (AttemptModule, ACommittedResultStaysWhileItsWorkerListsIt)
+{
+  ft_task_set_state (its_job, 0, FT_TASK_FINISHED);
+  ft_attempt_set_state (attempt, FT_ATTEMPT_EXITED);
+  attempt->listed = TRUE;
+  EXPECT_FALSE (ft_machine_idle (machine)) << "its result is needed";
+  ft_attempt_result_committed (attempt);
+  ASSERT_TRUE (exists ());
+  EXPECT_EQ (attempt->state, FT_ATTEMPT_FORGETTABLE);
+  EXPECT_EQ (its_job->tasks[0].state, FT_TASK_FINISHED) << "the task is not queued again";
+  EXPECT_TRUE (ft_machine_idle (machine));
+  ft_machine_end_incarnation (machine);
+  EXPECT_FALSE (exists ());
+}
+
+} // namespace
