--- /dev/null
+++ b/tests/program_run.hpp
@@ -0,0 +1,76 @@
+// Runs flintctl or flintrack, the real programs, to their end and keeps what they print.
+#pragma once
+#include <gtest/gtest.h>
+
+#include "loopback.hpp"
+
+namespace loopback {
+
+enum { kDone = 0, kRefused = 1, kUsage = 2, kNoAnswer = 3 }; // flintctl(1)
+enum { kSettingsWrong = 3, kCannotListen = 4 };              // flintrack(8)
+
+struct Result {
+  int code = -1;
+  std::string out, err;
+};
+
+using Words = std::vector<std::string>;
+
+// Runs a program to its end, with FLINTCTL_NODES as given (nullptr: not set), and serves the stand-ins meanwhile.
+inline Result
+run (const char *program, const Words &words, const char *nodes = nullptr)
+{
+  std::vector<const char *> argv = { program };
+  for (const std::string &word : words)
+    argv.push_back (word.c_str ());
+  argv.push_back (nullptr);
+  auto flags = (GSubprocessFlags) (G_SUBPROCESS_FLAGS_STDOUT_PIPE | G_SUBPROCESS_FLAGS_STDERR_PIPE);
+  g_autoptr (GSubprocessLauncher) launcher = g_subprocess_launcher_new (flags);
+  g_subprocess_launcher_unsetenv (launcher, "FLINTCTL_NODES");
+  if (nodes != nullptr)
+    g_subprocess_launcher_setenv (launcher, "FLINTCTL_NODES", nodes, TRUE);
+  g_subprocess_launcher_setenv (launcher, "LC_ALL", "C", TRUE);
+  g_autoptr (GSubprocess) process = g_subprocess_launcher_spawnv (launcher, argv.data (), nullptr);
+  struct Output {
+    bool done = false;
+    char *out = nullptr, *err = nullptr;
+    ~Output ()
+    {
+      g_free (out);
+      g_free (err);
+    }
+  } output;
+  auto on_end = [] (GObject *source, GAsyncResult *result, gpointer data) {
+    auto self = (Output *) data;
+    g_subprocess_communicate_utf8_finish (G_SUBPROCESS (source), result, &self->out, &self->err, nullptr);
+    self->done = true;
+  };
+  g_subprocess_communicate_utf8_async (process, nullptr, nullptr, on_end, &output);
+  if (!wait_for ([&] { return output.done; })) {
+    ADD_FAILURE () << program << " did not end";
+    g_subprocess_force_exit (process);
+    wait_for ([&] { return output.done; });
+  }
+  Result result;
+  result.code = g_subprocess_get_if_exited (process) ? g_subprocess_get_exit_status (process) : -1;
+  result.out = output.out ? output.out : "";
+  result.err = output.err ? output.err : "";
+  return result;
+}
+
+inline Result
+flintctl (const Words &words, const char *nodes = nullptr)
+{
+  return run (FLINTCTL_PROGRAM, words, nodes);
+}
+
+// An error is one line on stderr, nothing on stdout, and the exit code.
+inline void
+expect_error (const Result &result, int code, const std::string &line)
+{
+  EXPECT_EQ (result.code, code) << line;
+  EXPECT_EQ (result.err, line + "\n");
+  EXPECT_EQ (result.out, "") << line;
+}
+
+} // namespace loopback
