--- a/tests/loopback/services.hpp
+++ b/tests/loopback/services.hpp
@@ -5,24 +5,37 @@
 
 namespace loopback {
 
-// Stand-ins for the key-value store and the cloud, served over HTTP from the test's own main context.
-struct Services {
-  sim::Store store;
+// The servers of both services, each at an address of its own, run by the test's own main context.
+struct ServiceServers {
   std::string state_addr = free_address (), cloud_addr = free_address ();
   FtHttpServer *state, *cloud;
-  bool down = false;
-  bool garbled = false;       // answers are valid CBOR that no message of the protocol allows
-  bool refuse_claims = false; // no controller can become the leader
-  Services ()
+  ServiceServers (FtHttpHandler on_state, FtHttpHandler on_cloud, gpointer data)
+      : state (ft_http_server_new (state_addr.c_str (), FT_BODY_CBOR, 500, on_state, data, nullptr)),
+        cloud (ft_http_server_new (cloud_addr.c_str (), FT_BODY_CBOR, 500, on_cloud, data, nullptr))
   {
-    state = ft_http_server_new (state_addr.c_str (), FT_BODY_CBOR, 500, on_state, this, nullptr);
-    cloud = ft_http_server_new (cloud_addr.c_str (), FT_BODY_CBOR, 500, on_cloud, this, nullptr);
   }
-  ~Services ()
+  ~ServiceServers ()
   {
     ft_http_server_free (state);
     ft_http_server_free (cloud);
   }
+  static json_t *
+  catalog ()
+  {
+    return json_loads ("{\"builds\":[{\"name\":\"std\",\"cores\":16,\"cards\":0,\"mem_gb\":64,"
+                       "\"local_gb\":50,\"fetch_gb_per_s\":1,\"price\":1,\"market_price\":0.4,"
+                       "\"ready_s\":30,\"yards\":[\"a\"]}]}",
+                       0, nullptr);
+  }
+};
+
+// Stand-ins for the key-value store and the cloud.
+struct Services : ServiceServers {
+  sim::Store store;
+  bool down = false;
+  bool garbled = false;       // answers are valid CBOR that no message of the protocol allows
+  bool refuse_claims = false; // no controller can become the leader
+  Services () : ServiceServers (on_state, on_cloud, this) {}
   static std::string
   argument (FtHttpRequest *request, const char *name)
   {
@@ -96,11 +109,7 @@
     if (((Services *) data)->garbled)
       ft_http_respond (request, 200, json_pack ("{s:s}", "hearths", "many"));
     else if (path == "/catalog")
-      ft_http_respond (request, 200,
-                       json_loads ("{\"builds\":[{\"name\":\"std\",\"cores\":16,\"cards\":0,\"mem_gb\":64,"
-                                   "\"local_gb\":50,\"fetch_gb_per_s\":1,\"price\":1,\"market_price\":0.4,"
-                                   "\"ready_s\":30,\"yards\":[\"a\"]}]}",
-                                   0, nullptr));
+      ft_http_respond (request, 200, catalog ());
     else if (path == "/rentals" && g_str_equal (ft_http_method (request), "GET"))
       ft_http_respond (request, 200, json_pack ("{s:[], s:b}", "hearths", "more", 0));
     else if (path == "/rentals")
--- a/tests/test_user_request.cpp
+++ b/tests/test_user_request.cpp
@@ -83,22 +83,14 @@
 enum class Script { kExecute, kFail, kConflict, kMalformed, kNotFound, kSilent, kExecuteSilently };
 
 // A state service whose answers to the endpoint's own requests are scripted, and a cloud.
-struct ScriptedServices {
+struct ScriptedServices : ServiceServers {
   sim::Store store;
-  std::string state_addr = free_address (), cloud_addr = free_address ();
-  FtHttpServer *state, *cloud;
   std::deque<Script> scripts;
   std::vector<FtHttpRequest *> unanswered;
   bool down = false, has_catalog = true;
-  ScriptedServices ()
-  {
-    state = ft_http_server_new (state_addr.c_str (), FT_BODY_CBOR, 500, on_state, this, nullptr);
-    cloud = ft_http_server_new (cloud_addr.c_str (), FT_BODY_CBOR, 500, on_cloud, this, nullptr);
-  }
+  ScriptedServices () : ServiceServers (on_state, on_cloud, this) {}
   ~ScriptedServices ()
   {
-    ft_http_server_free (state);
-    ft_http_server_free (cloud);
     for (FtHttpRequest *request : unanswered)
       ft_http_respond (request, 503, nullptr);
   }
@@ -182,11 +174,7 @@
       ft_http_respond (request, 503, nullptr);
       return;
     }
-    ft_http_respond (request, 200,
-                     json_loads ("{\"builds\":[{\"name\":\"std\",\"cores\":16,\"cards\":0,\"mem_gb\":64,"
-                                 "\"local_gb\":50,\"fetch_gb_per_s\":1,\"price\":1,\"market_price\":0.4,"
-                                 "\"ready_s\":30,\"yards\":[\"a\"]}]}",
-                                 0, nullptr));
+    ft_http_respond (request, 200, catalog ());
   }
 };
 
