--- a/src/net/cancellation.c
+++ b/src/net/cancellation.c
@@ -24,13 +24,7 @@
 void
 ft_cancellation_commit (FtUserRequest *request, guint64 revision, guint tasks)
 {
-  g_autofree char *job_key = ft_key_job (request->ref);
-  g_autofree char *notice_key = ft_key_cancellation (request->ref);
-  gint64 wall_ms = g_get_real_time () / 1000;
-  json_auto_t *txn = ft_txn_new ();
-  ft_txn_if (txn, job_key, revision);
-  ft_txn_put (txn, job_key, ft_row_job_ended (FT_JOB_END_CANCELLED, tasks, wall_ms));
-  ft_txn_put (txn, notice_key, ft_row_cancellation (wall_ms));
+  json_auto_t *txn = ft_txn_cancel (request->ref, revision, tasks, g_get_real_time () / 1000);
   ft_store_client_commit (request->node->store, txn, FT_STORE_PRIORITY_CANCEL, on_cancellation_committed, request);
 }
 
--- a/src/net/leader_batches.c
+++ b/src/net/leader_batches.c
@@ -55,15 +55,13 @@
   FtRow row;
   if (ft_store_read_row (result, body, &row) != FT_STORE_OK)
     return FT_LEADER_OUTCOME_RETRY;
-  guint64 token, number;
-  ft_row_journal_parse (row.value, &token, &number);
-  if (token != ft_lease_token (node->lease)) {
+  FtBatchOutcome outcome = ft_batch_outcome (&row, ft_lease_token (node->lease), batch->number);
+  if (outcome == FT_BATCH_OUTCOME_SUPERSEDED) {
     request->superseded_reason = "the journal row carries another leader's fencing token";
     return FT_LEADER_OUTCOME_SUPERSEDED;
   }
-  gboolean applied = number == batch->number;
   node->leader.batches.journal_revision = row.revision;
-  finish_batch (batch, applied, NULL);
+  finish_batch (batch, outcome == FT_BATCH_OUTCOME_APPLIED, NULL);
   return FT_LEADER_OUTCOME_PROGRESS;
 }
 
@@ -146,15 +144,19 @@
 static FtLeaderOutcome
 on_batch_conflict (BatchRequest *batch, const json_t *body)
 {
-  if (ft_store_failed (body, FT_KEY_FENCE)) {
+  const char *ref;
+  switch (ft_store_batch_conflict (body, batch->writes, &ref)) {
+  case FT_BATCH_CONFLICT_FENCE:
     batch->base.superseded_reason = "the fence has moved on";
     return FT_LEADER_OUTCOME_SUPERSEDED;
-  }
-  if (ft_store_failed (body, FT_KEY_JOURNAL))
+  case FT_BATCH_CONFLICT_JOURNAL:
     return decide_by_journal (batch);
-  const char *ref = ft_store_conflicted_job (body, batch->writes);
-  if (ref != NULL)
+  case FT_BATCH_CONFLICT_JOB:
     read_conflicted_job (batch->base.node, ref);
+    break;
+  case FT_BATCH_CONFLICT_UNKNOWN:
+    break;
+  }
   finish_batch (batch, FALSE, ref);
   return FT_LEADER_OUTCOME_PROGRESS;
 }
@@ -239,12 +241,13 @@
 {
   const BatchRequest *batch = (const BatchRequest *) request;
   FtNode *node = request->node;
-  json_t *txn = ft_txn_new ();
-  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
-  ft_txn_if (txn, FT_KEY_JOURNAL, node->leader.batches.journal_revision);
-  ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (ft_lease_token (node->lease), batch->number));
-  for (guint i = 0; i < batch->writes->len; i++)
-    ft_txn_add_write (txn, g_ptr_array_index (batch->writes, i), g_get_real_time () / FT_MILLISECOND);
+  FtBatchHeader header = {
+    .token = ft_lease_token (node->lease),
+    .number = batch->number,
+    .fence_revision = ft_lease_fence_revision (node->lease),
+    .journal_revision = node->leader.batches.journal_revision,
+  };
+  json_t *txn = ft_txn_write_batch (&header, batch->writes, g_get_real_time () / FT_MILLISECOND);
   set_state (node, FT_BATCH_COMMITTING);
   ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_store_answer, request);
   json_decref (txn);
--- a/src/net/leadership.c
+++ b/src/net/leadership.c
@@ -126,13 +126,7 @@
 {
   FtNode *node = leadership->node;
   FtLeaseClaim wanted = ft_lease_claim (node->lease, now);
-  json_t *txn = ft_txn_new ();
-  ft_txn_if (txn, FT_KEY_FENCE, wanted.fence_revision);
-  if (wanted.check_renewal)
-    ft_txn_if (txn, FT_KEY_RENEWAL, wanted.renewal_revision);
-  ft_txn_put (txn, FT_KEY_FENCE, ft_row_fence (wanted.token, node->config->member, node->incarnation));
-  ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (wanted.token, ft_lease_time (node->lease), FALSE));
-  ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (wanted.token, 0));
+  json_t *txn = ft_txn_claim (&wanted, node->config->member, node->incarnation, ft_lease_time (node->lease));
   ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_LEASE, on_claimed, lease_request_new (leadership));
   json_decref (txn);
 }
@@ -168,9 +162,7 @@
 {
   FtNode *node = leadership->node;
   guint64 token = ft_lease_token (node->lease);
-  json_t *txn = ft_txn_new ();
-  ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
-  ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (token, ft_lease_time (node->lease), release));
+  json_t *txn = ft_txn_renew (ft_lease_fence_revision (node->lease), token, ft_lease_time (node->lease), release);
   ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_LEASE, done, lease_request_new (leadership));
   json_decref (txn);
 }
--- a/src/net/submission.c
+++ b/src/net/submission.c
@@ -145,12 +145,7 @@
 static void
 commit_open (FtUserRequest *request)
 {
-  g_autofree char *job_key = ft_key_job (request->ref);
-  g_autofree char *open_key = ft_key_open (request->ref);
-  json_auto_t *txn = ft_txn_new ();
-  ft_txn_if (txn, job_key, 0);
-  ft_txn_put (txn, job_key, ft_row_job_open (request->spec));
-  ft_txn_put (txn, open_key, ft_row_open (request->spec));
+  json_auto_t *txn = ft_txn_submit (request->spec);
   ft_store_client_commit (request->node->store, txn, FT_STORE_PRIORITY_COMMIT, on_open_committed, request);
 }
 
@@ -177,10 +172,6 @@
 static void
 commit_cancelled (FtUserRequest *request)
 {
-  g_autofree char *job_key = ft_key_job (request->ref);
-  gint64 wall_ms = g_get_real_time () / 1000;
-  json_auto_t *txn = ft_txn_new ();
-  ft_txn_if (txn, job_key, 0);
-  ft_txn_put (txn, job_key, ft_row_job_ended (FT_JOB_END_CANCELLED, request->spec->tasks, wall_ms));
+  json_auto_t *txn = ft_txn_submit_cancelled (request->spec, g_get_real_time () / 1000);
   ft_store_client_commit (request->node->store, txn, FT_STORE_PRIORITY_COMMIT, on_cancelled_committed, request);
 }
--- a/src/wire/lease_rows.c
+++ b/src/wire/lease_rows.c
@@ -75,3 +75,25 @@
   }
   return TRUE;
 }
+
+json_t *
+ft_txn_claim (const FtLeaseClaim *claim, const char *member, guint64 incarnation, gint64 lease_us)
+{
+  json_t *txn = ft_txn_new ();
+  ft_txn_if (txn, FT_KEY_FENCE, claim->fence_revision);
+  if (claim->check_renewal)
+    ft_txn_if (txn, FT_KEY_RENEWAL, claim->renewal_revision);
+  ft_txn_put (txn, FT_KEY_FENCE, ft_row_fence (claim->token, member, incarnation));
+  ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (claim->token, lease_us, FALSE));
+  ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (claim->token, 0));
+  return txn;
+}
+
+json_t *
+ft_txn_renew (guint64 fence_revision, guint64 token, gint64 lease_us, gboolean release)
+{
+  json_t *txn = ft_txn_new ();
+  ft_txn_if (txn, FT_KEY_FENCE, fence_revision);
+  ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (token, lease_us, release));
+  return txn;
+}
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -22,6 +22,7 @@
  */
 #pragma once
 #include "wire/job_rows.h"
+#include "wire/job_transactions.h"
 #include "wire/lease_rows.h"
 #include "wire/machine_rows.h"
 #include "wire/settings_row.h"
--- a/src/wire/write_batch.c
+++ b/src/wire/write_batch.c
@@ -1,9 +1,9 @@
 #include "wire/write_batch.h"
 
 #include "wire/job_rows.h"
+#include "wire/lease_rows.h"
 #include "wire/machine_rows.h"
 #include "wire/store_keys.h"
-#include "wire/store_messages.h"
 
 /* A job ends only as the row of its state still is: its cancellation by a user may have come first. */
 static void
@@ -88,8 +88,20 @@
   }
 }
 
-const char *
-ft_store_conflicted_job (const json_t *body, const GPtrArray *writes)
+json_t *
+ft_txn_write_batch (const FtBatchHeader *header, const GPtrArray *writes, gint64 wall_ms)
+{
+  json_t *txn = ft_txn_new ();
+  ft_txn_if (txn, FT_KEY_FENCE, header->fence_revision);
+  ft_txn_if (txn, FT_KEY_JOURNAL, header->journal_revision);
+  ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (header->token, header->number));
+  for (guint i = 0; i < writes->len; i++)
+    ft_txn_add_write (txn, g_ptr_array_index (writes, i), wall_ms);
+  return txn;
+}
+
+static const char *
+conflicted_job (const json_t *body, const GPtrArray *writes)
 {
   for (guint i = 0; i < writes->len; i++) {
     const FtWrite *write = g_ptr_array_index (writes, i);
@@ -100,3 +112,25 @@
   }
   return NULL;
 }
+
+FtBatchConflict
+ft_store_batch_conflict (const json_t *body, const GPtrArray *writes, const char **ref)
+{
+  *ref = NULL;
+  if (ft_store_failed (body, FT_KEY_FENCE))
+    return FT_BATCH_CONFLICT_FENCE;
+  if (ft_store_failed (body, FT_KEY_JOURNAL))
+    return FT_BATCH_CONFLICT_JOURNAL;
+  *ref = conflicted_job (body, writes);
+  return *ref != NULL ? FT_BATCH_CONFLICT_JOB : FT_BATCH_CONFLICT_UNKNOWN;
+}
+
+FtBatchOutcome
+ft_batch_outcome (const FtRow *journal, guint64 token, guint64 number)
+{
+  guint64 last_token, last_number;
+  ft_row_journal_parse (journal->value, &last_token, &last_number);
+  if (last_token != token)
+    return FT_BATCH_OUTCOME_SUPERSEDED;
+  return last_number == number ? FT_BATCH_OUTCOME_APPLIED : FT_BATCH_OUTCOME_NOT_APPLIED;
+}
--- a/tests/sim/node.hpp
+++ b/tests/sim/node.hpp
@@ -142,7 +142,8 @@
   void commit_batch ();
   Json batch_transaction (const PointerArray &writes, guint64 batch) const;
   void on_batch_answer (const PointerArray &writes, guint64 batch, guint status, const json_t *body);
-  void batch_conflicted (const PointerArray &writes, const json_t *body);
+  void on_batch_conflict (const PointerArray &writes, guint64 batch, const json_t *body);
+  void resolve_conflicted_job (const std::string &ref);
   void resolve_batch (PointerArray writes, guint64 batch);
   void batch_over (const PointerArray &writes, bool applied, const char *conflicted_job);
 
--- a/tests/sim/node_batches.cpp
+++ b/tests/sim/node_batches.cpp
@@ -15,12 +15,6 @@
 // A refused batch is tried again after so long.
 static constexpr Time kRetryAfter = kSecond / 5;
 
-static guint64
-journal_member (const FtRow &row, const char *name)
-{
-  return (guint64) json_integer_value (json_object_get (row.value, name));
-}
-
 const FtSettings &
 Node::own_settings () const
 {
@@ -30,15 +24,14 @@
 Json
 Node::batch_transaction (const PointerArray &writes, guint64 batch) const
 {
-  Json transaction = adopt (ft_txn_new ());
+  FtBatchHeader header{};
+  header.token = ft_lease_token (lease_.get ());
+  header.number = batch;
+  header.fence_revision = ft_lease_fence_revision (lease_.get ());
+  header.journal_revision = journal_revision_;
   // The version before wrote no wall time.
   gint64 wall_ms = runs_previous_version ? 0 : world_.now / 1000;
-  ft_txn_if (transaction.get (), FT_KEY_FENCE, ft_lease_fence_revision (lease_.get ()));
-  ft_txn_if (transaction.get (), FT_KEY_JOURNAL, journal_revision_);
-  ft_txn_put (transaction.get (), FT_KEY_JOURNAL, ft_row_journal (ft_lease_token (lease_.get ()), batch));
-  for (guint i = 0; i < writes->len; i++)
-    ft_txn_add_write (transaction.get (), (const FtWrite *) g_ptr_array_index (writes.get (), i), wall_ms);
-  return transaction;
+  return adopt (ft_txn_write_batch (&header, writes.get (), wall_ms));
 }
 
 // One batch is under way at a time.
@@ -65,10 +58,8 @@
   if (status == 200 && ft_store_revision (body, &revision)) {
     journal_revision_ = revision;
     batch_over (writes, true, nullptr);
-  } else if (status == 409 && ft_store_failed (body, FT_KEY_FENCE)) {
-    step_down ();
-  } else if (status == 409 && !ft_store_failed (body, FT_KEY_JOURNAL)) {
-    batch_conflicted (writes, body);
+  } else if (status == 409) {
+    on_batch_conflict (writes, batch, body);
   } else if (status == 503 || status == 429 || status == 400) {
     schedule_in_term (kRetryAfter, [this, writes] { batch_over (writes, false, nullptr); });
   } else {
@@ -76,14 +67,35 @@
   }
 }
 
+// One of the transaction's conditions did not hold.
+void
+Node::on_batch_conflict (const PointerArray &writes, guint64 batch, const json_t *body)
+{
+  const char *found;
+  FtBatchConflict conflict = ft_store_batch_conflict (body, writes.get (), &found);
+  std::string ref = found != nullptr ? found : "";
+  switch (conflict) {
+  case FT_BATCH_CONFLICT_FENCE:
+    step_down ();
+    break;
+  case FT_BATCH_CONFLICT_JOURNAL:
+    resolve_batch (writes, batch);
+    break;
+  case FT_BATCH_CONFLICT_JOB:
+    batch_over (writes, false, found);
+    resolve_conflicted_job (ref);
+    break;
+  case FT_BATCH_CONFLICT_UNKNOWN:
+    ADD_FAILURE () << "the store refused a batch for none of its conditions";
+    break;
+  }
+}
+
 // A job's row has another revision than the leader knew: it has ended meanwhile. Only
 // the end is asked for here; that it is open after all is a fault of the leader.
 void
-Node::batch_conflicted (const PointerArray &writes, const json_t *body)
+Node::resolve_conflicted_job (const std::string &ref)
 {
-  const char *found = ft_store_conflicted_job (body, writes.get ());
-  std::string ref = found != nullptr ? found : "";
-  batch_over (writes, false, found);
   g_autofree char *key = ft_key_job (ref.c_str ());
   StoreAnswer answer = world_.store.get (key);
   bool exists = answer.status == 200;
@@ -109,12 +121,13 @@
       resolve_batch (writes, batch);
       return;
     }
-    if (journal_member (row, "token") != ft_lease_token (lease_.get ())) {
+    FtBatchOutcome outcome = ft_batch_outcome (&row, ft_lease_token (lease_.get ()), batch);
+    if (outcome == FT_BATCH_OUTCOME_SUPERSEDED) {
       step_down ();
       return;
     }
     journal_revision_ = row.revision;
-    batch_over (writes, journal_member (row, "batch") == batch, nullptr);
+    batch_over (writes, outcome == FT_BATCH_OUTCOME_APPLIED, nullptr);
   };
   request_store ([this] { return world_.store.get (FT_KEY_JOURNAL); }, in_term (take_journal));
 }
--- a/tests/sim/node_lease.cpp
+++ b/tests/sim/node_lease.cpp
@@ -114,13 +114,7 @@
 Node::acquire (Time now)
 {
   FtLeaseClaim claim = ft_lease_claim (lease_.get (), now);
-  Json transaction = adopt (ft_txn_new ());
-  ft_txn_if (transaction.get (), FT_KEY_FENCE, claim.fence_revision);
-  if (claim.check_renewal)
-    ft_txn_if (transaction.get (), FT_KEY_RENEWAL, claim.renewal_revision);
-  ft_txn_put (transaction.get (), FT_KEY_FENCE, ft_row_fence (claim.token, name ().c_str (), incarnation_));
-  ft_txn_put (transaction.get (), FT_KEY_RENEWAL, ft_row_renewal (claim.token, ft_lease_time (lease_.get ()), FALSE));
-  ft_txn_put (transaction.get (), FT_KEY_JOURNAL, ft_row_journal (claim.token, 0));
+  Json transaction = adopt (ft_txn_claim (&claim, name ().c_str (), incarnation_, ft_lease_time (lease_.get ())));
   commit (transaction, [this, now] (guint status, const json_t *body) {
     guint64 revision;
     if (status != 200 || !ft_store_revision (body, &revision)) {
@@ -137,10 +131,8 @@
 {
   renewing_ = true;
   ft_lease_renew_sent (lease_.get (), now);
-  Json transaction = adopt (ft_txn_new ());
-  ft_txn_if (transaction.get (), FT_KEY_FENCE, ft_lease_fence_revision (lease_.get ()));
-  ft_txn_put (transaction.get (), FT_KEY_RENEWAL,
-              ft_row_renewal (ft_lease_token (lease_.get ()), ft_lease_time (lease_.get ()), FALSE));
+  Json transaction = adopt (ft_txn_renew (ft_lease_fence_revision (lease_.get ()), ft_lease_token (lease_.get ()),
+                                          ft_lease_time (lease_.get ()), FALSE));
   commit (transaction, in_term ([this, now] (guint status, const json_t *) {
             renewing_ = false;
             if (status == 200)
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -70,29 +70,6 @@
   spec.dependencies = submission.dependencies.data ();
 }
 
-// A job's rows, written only if there is none.
-static Json
-submission_transaction (const FtJobSpec &spec)
-{
-  Json transaction = adopt (ft_txn_new ());
-  g_autofree char *key = ft_key_job (spec.ref), *open = ft_key_open (spec.ref);
-  ft_txn_if (transaction.get (), key, 0);
-  ft_txn_put (transaction.get (), key, ft_row_job_open (&spec));
-  ft_txn_put (transaction.get (), open, ft_row_open (&spec));
-  return transaction;
-}
-
-// The row of a job that is submitted when an ancestor of it is cancelled.
-static Json
-cancelled_submission_transaction (const FtJobSpec &spec)
-{
-  Json transaction = adopt (ft_txn_new ());
-  g_autofree char *key = ft_key_job (spec.ref);
-  ft_txn_if (transaction.get (), key, 0);
-  ft_txn_put (transaction.get (), key, ft_row_job_ended (FT_JOB_END_CANCELLED, spec.tasks, spec.submitted_wall_ms));
-  return transaction;
-}
-
 void
 World::submit (const std::string &ref, guint tasks, double cpus, double run, const std::string &team, bool one_zone,
                bool spread, bool spot, std::vector<std::string> dependencies)
@@ -111,8 +88,8 @@
   run_s[ref] = run;
   Submission submission;
   fill_spec (*this, submission, ref, job, run);
-  try_to_submit ({ ref, job.dependencies, submission_transaction (submission.spec),
-                   cancelled_submission_transaction (submission.spec) });
+  try_to_submit ({ ref, job.dependencies, adopt (ft_txn_submit (&submission.spec)),
+                   adopt (ft_txn_submit_cancelled (&submission.spec, submission.spec.submitted_wall_ms)) });
 }
 
 void
@@ -244,12 +221,7 @@
   std::optional<JobRow> row = read_job_row (store, ref);
   if (!row || !row->state.open)
     return nullptr;
-  g_autofree char *key = ft_key_job (ref.c_str ()), *mark = ft_key_cancellation (ref.c_str ());
-  Json transaction = adopt (ft_txn_new ());
-  ft_txn_if (transaction.get (), key, row->revision);
-  ft_txn_put (transaction.get (), key, ft_row_job_ended (FT_JOB_END_CANCELLED, row->state.tasks, now / 1000));
-  ft_txn_put (transaction.get (), mark, ft_row_cancellation (now / 1000));
-  return transaction;
+  return adopt (ft_txn_cancel (ref.c_str (), row->revision, row->state.tasks, now / 1000));
 }
 
 bool
--- a/tests/test_dependency.cpp
+++ b/tests/test_dependency.cpp
@@ -111,7 +111,9 @@
   g_autoptr (GPtrArray) writes = pipeline.writes (103 * kS);
   ASSERT_TRUE (pipeline.has (writes, FT_WRITE_JOB_CANCELLED, "req-2"));
   json_t *body = json_pack ("{s:[s]}", "failed", "j/req-2");
-  EXPECT_STREQ (ft_store_conflicted_job (body, writes), "req-2");
+  const char *conflicted = nullptr;
+  EXPECT_EQ (ft_store_batch_conflict (body, writes, &conflicted), FT_BATCH_CONFLICT_JOB);
+  EXPECT_STREQ (conflicted, "req-2");
   json_decref (body);
   ft_scheduler_writes_failed (pipeline.scheduler, writes, "req-2", 103 * kS);
   ft_scheduler_job_conflict_resolved (pipeline.scheduler, "req-2", FALSE, 104 * kS);
