--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -25,6 +25,7 @@
 #include "wire/job_transactions.h"
 #include "wire/lease_rows.h"
 #include "wire/machine_rows.h"
+#include "wire/scheduler_rows.h"
 #include "wire/settings_row.h"
 #include "wire/store_keys.h"
 #include "wire/store_messages.h"
--- a/tests/sim/node.hpp
+++ b/tests/sim/node.hpp
@@ -131,7 +131,6 @@
   void load (const std::string &prefix, const std::string &after, Time began);
   void load_next (const std::string &prefix, Time began);
   void take_row (const FtRow *row);
-  void take_open_row (const FtRow *row);
   void cancellations_known (Time at);
   void watch ();
   void read_dependencies ();
--- a/tests/sim/node_load.cpp
+++ b/tests/sim/node_load.cpp
@@ -1,6 +1,8 @@
 // What a new leader reads before it serves, and how it keeps up with the store then.
 #include "node.hpp"
 
+#include <gtest/gtest.h>
+
 #include "world.hpp"
 
 extern "C" {
@@ -56,37 +58,9 @@
 void
 Node::take_row (const FtRow *row)
 {
-  FtScheduler *scheduler = scheduler_.get ();
-  g_autofree char *ref = nullptr;
-  guint chunk;
-  if (g_str_has_prefix (row->key, FT_PREFIX_OPEN))
-    take_open_row (row);
-  else if (g_str_has_prefix (row->key, FT_PREFIX_REGISTRY))
-    ft_row_machine_parse (scheduler, row);
-  else if (ft_key_chunk_parse (row->key, &ref, &chunk))
-    ft_scheduler_load_done (scheduler, ref, chunk, ft_row_chunk_bits (row->value));
-}
-
-void
-Node::take_open_row (const FtRow *row)
-{
-  FtScheduler *scheduler = scheduler_.get ();
-  Time now = clock ();
-  gint64 wall_ms = world_.now / 1000;
-  gboolean cancelled;
-  g_autofree char *ref = ft_key_open_ref (row->key, &cancelled);
-  if (row->value == nullptr)
-    return;
-  if (cancelled) {
-    gint64 age_ms = wall_ms - ft_row_cancellation_time (row->value);
-    ft_scheduler_job_cancelled (scheduler, ref, age_ms * 1000, now);
-    return;
-  }
-  FtJobSpec *spec = ft_row_open_parse (ref, row->value);
-  if (ft_scheduler_is_loaded (scheduler))
-    ft_scheduler_job_added (scheduler, spec, ft_row_open_revision (row), now, wall_ms);
-  else
-    ft_scheduler_load_job (scheduler, spec, ft_row_open_revision (row), now, wall_ms);
+  g_autoptr (GError) error = nullptr;
+  if (!ft_row_take (scheduler_.get (), row, clock (), world_.now / 1000, &error))
+    ADD_FAILURE () << error->message;
 }
 
 void
--- a/tests/test_store_transactions.cpp
+++ b/tests/test_store_transactions.cpp
@@ -1,5 +1,5 @@
-// The transactions that controllers send to the key-value store, and what a leader reads from the
-// answers to its batches.
+// The transactions that controllers send to the key-value store, what a leader reads from the
+// answers to its batches, and how rows come into its scheduler.
 #include <memory>
 #include <string>
 
@@ -7,12 +7,14 @@
 #include "scheduler_harness.hpp"
 
 extern "C" {
+#include "wire/fields.h"
 #include "wire/store.h"
 }
 
 namespace {
 
 constexpr gint64 kWallMs = 1700000000000;
+constexpr gint64 kNow = 101 * kS;
 
 struct JsonFree {
   void
@@ -185,4 +187,90 @@
   EXPECT_EQ (outcome_by ("{}"), FT_BATCH_OUTCOME_SUPERSEDED) << "a row that cannot be read is not this leader's";
 }
 
+// ---- rows into the scheduler ----
+
+struct RowIntake : testing::Test {
+  SchedulerHarness harness;
+  // The row with that value at revision 40; a null value is that of a deletion.
+  gboolean
+  take (const char *key, json_t *value, GError **error = nullptr)
+  {
+    Json owned (value);
+    FtRow row = { key, value, 40 };
+    return ft_row_take (harness.scheduler, &row, kNow, kWallMs, error);
+  }
+  gboolean
+  take_open (const char *ref, guint tasks)
+  {
+    g_autoptr (FtJobSpec) spec = new_job_spec (ref, tasks);
+    g_autofree char *key = ft_key_open (ref);
+    return take (key, ft_row_open (spec));
+  }
+};
+
+TEST_F (RowIntake, AnOpenJobsRowIsLoadedAndLaterAdded)
+{
+  EXPECT_TRUE (take_open ("req-1", 3));
+  ASSERT_NE (harness.job ("req-1"), nullptr);
+  ft_scheduler_loaded (harness.scheduler, kNow);
+  EXPECT_TRUE (take_open ("req-2", 2));
+  ASSERT_NE (harness.job ("req-2"), nullptr);
+  EXPECT_EQ (ft_scheduler_open_tasks (harness.scheduler), 5u);
+}
+
+TEST_F (RowIntake, ACancellationStopsItsJob)
+{
+  EXPECT_TRUE (take_open ("req-1", 3));
+  EXPECT_TRUE (take ("o/req-1/w", ft_row_cancellation (kWallMs - 5)));
+  ASSERT_TRUE (ft_scheduler_view (harness.scheduler, "req-1").cancelled);
+  EXPECT_EQ (harness.job ("req-1")->cancelled_at, kNow - 5 * FT_MILLISECOND);
+}
+
+TEST_F (RowIntake, ADeletionIsIgnored)
+{
+  EXPECT_TRUE (take_open ("req-1", 3));
+  EXPECT_TRUE (take ("o/req-1", nullptr));
+  EXPECT_TRUE (take ("o/req-2", nullptr));
+  EXPECT_NE (harness.job ("req-1"), nullptr);
+  EXPECT_EQ (harness.job ("req-2"), nullptr);
+}
+
+TEST_F (RowIntake, AMalformedJobIsNamedAndNotScheduled)
+{
+  g_autoptr (GError) error = nullptr;
+  EXPECT_FALSE (take ("o/req-1", parse_json ("{\"class\":7}"), &error));
+  ASSERT_TRUE (g_error_matches (error, FT_WIRE_ERROR, FT_WIRE_ERROR_INVALID_FIELD)) << error->message;
+  EXPECT_TRUE (g_str_has_prefix (error->message, "job req-1: its row cannot be read, so it is not scheduled: "))
+      << error->message;
+  EXPECT_EQ (harness.job ("req-1"), nullptr);
+}
+
+TEST_F (RowIntake, MachinesOfARegistryRowAreLoadedAsFarAsTheyCanBeRead)
+{
+  const char *whole = "{\"name\":\"n-1\",\"addr\":\"a:1\",\"type\":\"std\",\"zone\":\"a\",\"spot\":false}";
+  g_autofree char *text = g_strdup_printf ("{\"machines\":[%s,{\"name\":\"n-2\"}]}", whole);
+  g_autoptr (GError) error = nullptr;
+  EXPECT_FALSE (take ("m/7", parse_json (text), &error));
+  ASSERT_TRUE (g_error_matches (error, FT_WIRE_ERROR, FT_WIRE_ERROR_INVALID_FIELD));
+  EXPECT_STREQ (error->message, "machine m/7: its row cannot be read");
+  EXPECT_NE (harness.machine ("n-1"), nullptr);
+  EXPECT_EQ (harness.machine ("n-2"), nullptr);
+}
+
+TEST_F (RowIntake, AChunkMarksItsTasksDone)
+{
+  EXPECT_TRUE (take_open ("req-1", 3));
+  EXPECT_TRUE (take ("d/req-1/0", parse_json ("{\"bits\":7}"))) << "unreadable: its tasks run again";
+  EXPECT_EQ (ft_scheduler_view (harness.scheduler, "req-1").done, 0u);
+  EXPECT_TRUE (take ("d/req-1/0", ft_row_chunk ("Aw=="))); // the first two
+  EXPECT_EQ (ft_scheduler_view (harness.scheduler, "req-1").done, 2u);
+}
+
+TEST_F (RowIntake, OtherRowsAreIgnored)
+{
+  EXPECT_TRUE (take ("l/fence", ft_row_fence (4, "node-1", 77)));
+  EXPECT_TRUE (take ("j/req-1", parse_json ("{\"state\":\"open\",\"tasks\":3}")));
+  EXPECT_EQ (harness.job ("req-1"), nullptr);
+}
+
 } // namespace
