--- a/tests/sim/node_batches.cpp
+++ b/tests/sim/node_batches.cpp
@@ -96,18 +96,13 @@
 void
 Node::resolve_conflicted_job (const std::string &ref)
 {
-  g_autofree char *key = ft_key_job (ref.c_str ());
-  StoreAnswer answer = world_.store.get (key);
-  bool exists = answer.status == 200;
-  FtJobRow state{};
-  if (exists && !ft_row_job_parse (json_object_get (answer.body.get (), "data"), &state))
-    ADD_FAILURE () << "row of " << ref;
+  std::optional<JobRow> row = world_.job_row (ref);
   if (scheduler_ == nullptr)
     return;
-  if (exists && state.open)
+  if (row && row->state.open)
     world_.checker->stale_revision_used (ref);
   else
-    ft_scheduler_job_conflict_resolved (scheduler_.get (), ref.c_str (), exists && state.end == FT_JOB_END_DONE,
+    ft_scheduler_job_conflict_resolved (scheduler_.get (), ref.c_str (), row && row->state.end == FT_JOB_END_DONE,
                                         clock ());
 }
 
--- a/tests/sim/store.cpp
+++ b/tests/sim/store.cpp
@@ -120,14 +120,21 @@
   return { 200, json_pack ("{s:I}", "ledger", (json_int_t) revision) };
 }
 
+// A row as it is answered; the caller's.
+json_t *
+Store::row_body (const std::pair<const std::string, Row> &row)
+{
+  return json_pack ("{s:s, s:O, s:I}", "key", row.first.c_str (), "data", row.second.value.get (), "stamp",
+                    (json_int_t) row.second.revision);
+}
+
 Store::RawAnswer
 Store::get (const std::string &key) const
 {
   auto row = rows_.find (key);
   if (row == rows_.end ())
     return { 404, json_pack ("{s:I}", "ledger", (json_int_t) revision) };
-  return { 200, json_pack ("{s:s, s:O, s:I}", "key", key.c_str (), "data", row->second.value.get (), "stamp",
-                           (json_int_t) row->second.revision) };
+  return { 200, row_body (*row) };
 }
 
 Store::RawAnswer
@@ -136,8 +143,7 @@
   json_t *items = json_array ();
   auto row = after.empty () ? rows_.lower_bound (prefix) : rows_.upper_bound (after);
   for (; row != rows_.end () && has_prefix (row->first, prefix) && json_array_size (items) < limit; ++row)
-    json_array_append_new (items, json_pack ("{s:s, s:O, s:I}", "key", row->first.c_str (), "data",
-                                             row->second.value.get (), "stamp", (json_int_t) row->second.revision));
+    json_array_append_new (items, row_body (*row));
   bool more = row != rows_.end () && has_prefix (row->first, prefix);
   return { 200, json_pack ("{s:o, s:b, s:I}", "pairs", items, "more", more, "ledger", (json_int_t) revision) };
 }
--- a/tests/sim/store.hpp
+++ b/tests/sim/store.hpp
@@ -51,6 +51,7 @@
     guint64 revision;
   };
 
+  static json_t *row_body (const std::pair<const std::string, Row> &row);
   bool within_limits (const json_t *transaction) const;
   bool within_rate (const json_t *transaction, Time now);
   json_t *failed_conditions (const json_t *transaction) const;
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -1,4 +1,6 @@
 // The users of the simulated world, and the part of a controller that serves them.
+#include <gtest/gtest.h>
+
 #include "world.hpp"
 
 extern "C" {
@@ -8,7 +10,6 @@
 }
 
 #include <algorithm>
-#include <optional>
 
 namespace sim {
 
@@ -16,22 +17,21 @@
 // How likely a submission finds no controller, and how likely its answer is lost.
 static constexpr double kNoController = 0.1, kSubmissionUnanswered = 0.05;
 
-// A job's own row as the store has it.
-struct JobRow {
-  guint64 revision;
-  FtJobRow state;
-};
+// ---- rows ----
 
-// Empty: there is none that can be read.
-static std::optional<JobRow>
-read_job_row (const Store &store, const std::string &ref)
+std::optional<JobRow>
+World::job_row (const std::string &ref) const
 {
   g_autofree char *key = ft_key_job (ref.c_str ());
   StoreAnswer answer = store.get (key);
+  if (answer.status != 200)
+    return std::nullopt;
   FtRow row;
   FtJobRow state{};
-  if (answer.status != 200 || !ft_store_row (answer.body.get (), &row) || !ft_row_job_parse (row.value, &state))
+  if (!ft_store_row (answer.body.get (), &row) || !ft_row_job_parse (row.value, &state)) {
+    ADD_FAILURE () << "row of " << ref;
     return std::nullopt;
+  }
   return JobRow{ row.revision, state };
 }
 
@@ -164,7 +164,7 @@
 {
   if (faults.polls_cancel_dependents && is_cancelled (ref))
     counters.cancelled_by_poll += commit_cancellation (cancellation_transaction (ref));
-  std::optional<JobRow> row = read_job_row (store, ref);
+  std::optional<JobRow> row = job_row (ref);
   if (!row)
     checker->state_reported (now, ref, "");
   else if (row->state.open)
@@ -184,7 +184,7 @@
     unvisited.pop_back ();
     if (!seen.insert (visited).second)
       continue;
-    std::optional<JobRow> row = read_job_row (store, visited);
+    std::optional<JobRow> row = job_row (visited);
     if (!row)
       continue;
     if (!row->state.open && row->state.end == FT_JOB_END_CANCELLED)
@@ -218,7 +218,7 @@
 Json
 World::cancellation_transaction (const std::string &ref) const
 {
-  std::optional<JobRow> row = read_job_row (store, ref);
+  std::optional<JobRow> row = job_row (ref);
   if (!row || !row->state.open)
     return nullptr;
   return adopt (ft_txn_cancel (ref.c_str (), row->revision, row->state.tasks, now / 1000));
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -22,6 +22,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <utility>
@@ -29,10 +30,17 @@
 
 extern "C" {
 #include "core/types.h"
+#include "wire/job_rows.h"
 }
 
 namespace sim {
 
+// A job's own row as the store has it.
+struct JobRow {
+  guint64 revision;
+  FtJobRow state;
+};
+
 class World {
 public:
   // `scale` multiplies the machines and the teams' limits.
@@ -103,6 +111,9 @@
   // Tells the checker which accepted jobs wait although they could run.
   void observe_waiting_jobs ();
 
+  // What the store says about the job; empty: it was never accepted.
+  std::optional<JobRow> job_row (const std::string &ref) const;
+
   // Teams have neither guarantees nor limits, as the settings say it: all are 0.
   void unlimit ();
   // Machines that are not terminated.
