--- a/tests/sim/node.hpp
+++ b/tests/sim/node.hpp
@@ -131,7 +131,6 @@
   void load (const std::string &prefix, const std::string &after, Time began);
   void load_next (const std::string &prefix, Time began);
   void take_row (const FtRow *row);
-  void take_open_row (const FtRow *row);
   void cancellations_known (Time at);
   void watch ();
   void read_dependencies ();
@@ -142,7 +141,8 @@
   void commit_batch ();
   Json batch_transaction (const PointerArray &writes, guint64 batch) const;
   void on_batch_answer (const PointerArray &writes, guint64 batch, guint status, const json_t *body);
-  void batch_conflicted (const PointerArray &writes, const json_t *body);
+  void on_batch_conflict (const PointerArray &writes, guint64 batch, const json_t *body);
+  void resolve_conflicted_job (const std::string &ref);
   void resolve_batch (PointerArray writes, guint64 batch);
   void batch_over (const PointerArray &writes, bool applied, const char *conflicted_job);
 
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -1,4 +1,6 @@
 // The users of the simulated world, and the part of a controller that serves them.
+#include <gtest/gtest.h>
+
 #include "world.hpp"
 
 extern "C" {
@@ -8,7 +10,6 @@
 }
 
 #include <algorithm>
-#include <optional>
 
 namespace sim {
 
@@ -16,22 +17,21 @@
 // How likely a submission finds no controller, and how likely its answer is lost.
 static constexpr double kNoController = 0.1, kSubmissionUnanswered = 0.05;
 
-// A job's own row as the store has it.
-struct JobRow {
-  guint64 revision;
-  FtJobRow state;
-};
+// ---- rows ----
 
-// Empty: there is none that can be read.
-static std::optional<JobRow>
-read_job_row (const Store &store, const std::string &ref)
+std::optional<JobRow>
+World::job_row (const std::string &ref) const
 {
   g_autofree char *key = ft_key_job (ref.c_str ());
   StoreAnswer answer = store.get (key);
+  if (answer.status != 200)
+    return std::nullopt;
   FtRow row;
   FtJobRow state{};
-  if (answer.status != 200 || !ft_store_row (answer.body.get (), &row) || !ft_row_job_parse (row.value, &state))
+  if (!ft_store_row (answer.body.get (), &row) || !ft_row_job_parse (row.value, &state)) {
+    ADD_FAILURE () << "row of " << ref;
     return std::nullopt;
+  }
   return JobRow{ row.revision, state };
 }
 
@@ -70,29 +70,6 @@
   spec.dependencies = submission.dependencies.data ();
 }
 
-// A job's rows, written only if there is none.
-static Json
-submission_transaction (const FtJobSpec &spec)
-{
-  Json transaction = adopt (ft_txn_new ());
-  g_autofree char *key = ft_key_job (spec.ref), *open = ft_key_open (spec.ref);
-  ft_txn_if (transaction.get (), key, 0);
-  ft_txn_put (transaction.get (), key, ft_row_job_open (&spec));
-  ft_txn_put (transaction.get (), open, ft_row_open (&spec));
-  return transaction;
-}
-
-// The row of a job that is submitted when an ancestor of it is cancelled.
-static Json
-cancelled_submission_transaction (const FtJobSpec &spec)
-{
-  Json transaction = adopt (ft_txn_new ());
-  g_autofree char *key = ft_key_job (spec.ref);
-  ft_txn_if (transaction.get (), key, 0);
-  ft_txn_put (transaction.get (), key, ft_row_job_ended (FT_JOB_END_CANCELLED, spec.tasks, spec.submitted_wall_ms));
-  return transaction;
-}
-
 void
 World::submit (const std::string &ref, guint tasks, double cpus, double run, const std::string &team, bool one_zone,
                bool spread, bool spot, std::vector<std::string> dependencies)
@@ -111,8 +88,8 @@
   run_s[ref] = run;
   Submission submission;
   fill_spec (*this, submission, ref, job, run);
-  try_to_submit ({ ref, job.dependencies, submission_transaction (submission.spec),
-                   cancelled_submission_transaction (submission.spec) });
+  try_to_submit ({ ref, job.dependencies, adopt (ft_txn_submit (&submission.spec)),
+                   adopt (ft_txn_submit_cancelled (&submission.spec, submission.spec.submitted_wall_ms)) });
 }
 
 void
@@ -187,7 +164,7 @@
 {
   if (faults.polls_cancel_dependents && is_cancelled (ref))
     counters.cancelled_by_poll += commit_cancellation (cancellation_transaction (ref));
-  std::optional<JobRow> row = read_job_row (store, ref);
+  std::optional<JobRow> row = job_row (ref);
   if (!row)
     checker->state_reported (now, ref, "");
   else if (row->state.open)
@@ -207,7 +184,7 @@
     unvisited.pop_back ();
     if (!seen.insert (visited).second)
       continue;
-    std::optional<JobRow> row = read_job_row (store, visited);
+    std::optional<JobRow> row = job_row (visited);
     if (!row)
       continue;
     if (!row->state.open && row->state.end == FT_JOB_END_CANCELLED)
@@ -241,15 +218,10 @@
 Json
 World::cancellation_transaction (const std::string &ref) const
 {
-  std::optional<JobRow> row = read_job_row (store, ref);
+  std::optional<JobRow> row = job_row (ref);
   if (!row || !row->state.open)
     return nullptr;
-  g_autofree char *key = ft_key_job (ref.c_str ()), *mark = ft_key_cancellation (ref.c_str ());
-  Json transaction = adopt (ft_txn_new ());
-  ft_txn_if (transaction.get (), key, row->revision);
-  ft_txn_put (transaction.get (), key, ft_row_job_ended (FT_JOB_END_CANCELLED, row->state.tasks, now / 1000));
-  ft_txn_put (transaction.get (), mark, ft_row_cancellation (now / 1000));
-  return transaction;
+  return adopt (ft_txn_cancel (ref.c_str (), row->revision, row->state.tasks, now / 1000));
 }
 
 bool
