--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -1,8 +1,6 @@
 #include "core/attempt.h"
 
 #include "core/job.h"
-#include "core/machine.h"
-#include "core/quota.h"
 
 const char *
 ft_exit_reason_name (FtExitReason reason)
@@ -42,86 +40,8 @@
   g_free (attempt);
 }
 
-FtAttempt *
-ft_attempt_new (FtMachine *machine, FtJob *job, const char *ref, guint index, guint64 id)
-{
-  FtAttempt *attempt = g_new0 (FtAttempt, 1);
-  attempt->id = id;
-  attempt->job = job;
-  attempt->job_ref = g_strdup (ref);
-  attempt->index = index;
-  attempt->machine = machine;
-  attempt->incarnation = machine->incarnation;
-  if (job != NULL) {
-    attempt->team = job->team;
-    attempt->cpus = job->spec->cpus;
-    attempt->gpus = job->spec->gpus;
-    attempt->memory_gb = job->spec->memory_gb;
-  }
-  g_hash_table_insert (machine->attempts, attempt, attempt);
-  if (job != NULL)
-    g_hash_table_add (job->attempts, attempt);
-  return attempt;
-}
-
-/* Adds the attempt to what its machine and its team use, or takes it away (`sign` -1). */
-static void
-count (FtAttempt *attempt, double sign)
-{
-  attempt->machine->cpus += sign * attempt->cpus;
-  attempt->machine->gpus += sign * attempt->gpus;
-  attempt->machine->memory_gb += sign * attempt->memory_gb;
-  if (attempt->team != NULL) {
-    attempt->team->cpus += sign * attempt->cpus;
-    attempt->team->gpus += sign * attempt->gpus;
-  }
-}
-
-void
-ft_attempt_reserve (FtAttempt *attempt)
-{
-  if (!attempt->reserved)
-    count (attempt, 1);
-  attempt->reserved = TRUE;
-}
-
-void
-ft_attempt_release (FtAttempt *attempt)
-{
-  if (attempt->reserved)
-    count (attempt, -1);
-  attempt->reserved = FALSE;
-}
-
-void
-ft_attempt_bind (FtAttempt *attempt, FtTaskState state)
-{
-  FtTask *task = &attempt->job->tasks[attempt->index];
-  g_return_if_fail (task->attempt == NULL);
-  if (!ft_task_set_state (attempt->job, attempt->index, state))
-    return;
-  task->attempt = attempt;
-  attempt->bound = TRUE;
-}
-
-/* The task is free again, unless it has finished: it waits for another attempt, or is cancelled
- * with its job. */
-static void
-unbind (FtAttempt *attempt)
-{
-  if (!attempt->bound)
-    return;
-  FtJob *job = attempt->job;
-  FtTask *task = &job->tasks[attempt->index];
-  attempt->bound = FALSE;
-  task->attempt = NULL;
-  if (task->state == FT_TASK_FINISHED || task->state == FT_TASK_DONE)
-    return;
-  ft_task_set_state (job, attempt->index, job->state < FT_JOB_CANCELLING ? FT_TASK_QUEUED : FT_TASK_CANCELLED);
-}
-
 static gboolean
-can_move (FtAttemptState from, FtAttemptState to)
+transition_allowed (FtAttemptState from, FtAttemptState to)
 {
   switch (from) {
   case FT_ATTEMPT_PLACED:
@@ -142,25 +62,20 @@
   static const char *const names[] = { "placed", "on worker", "exited", "forgettable" };
   if (attempt->state == to)
     return TRUE;
-  if (!can_move (attempt->state, to)) {
-    g_warning ("task %s/%u: attempt %" G_GUINT64_FORMAT ": refused move %s -> %s", attempt->job_ref, attempt->index,
-               attempt->id, names[attempt->state], names[to]);
+  if (!transition_allowed (attempt->state, to)) {
+    g_warning ("task %s/%u: attempt %" G_GUINT64_FORMAT ": refused transition %s -> %s", attempt->job_ref,
+               attempt->index, attempt->id, names[attempt->state], names[to]);
     return FALSE;
   }
   attempt->state = to;
-  if (to == FT_ATTEMPT_EXITED)
-    attempt->exited_at = attempt->machine->context->now;
   return TRUE;
 }
 
 void
-ft_attempt_want_stop (FtAttempt *attempt, double grace_s)
+ft_attempt_set_exited (FtAttempt *attempt, gint64 now)
 {
-  if (ft_attempt_stop_wanted (attempt) && attempt->grace_s <= grace_s)
-    return;
-  attempt->stop = FT_ATTEMPT_STOP_WANTED;
-  attempt->grace_s = grace_s;
-  ft_machine_queue_direct (attempt->machine);
+  if (ft_attempt_set_state (attempt, FT_ATTEMPT_EXITED))
+    attempt->exited_at = now;
 }
 
 void
@@ -182,64 +97,8 @@
     attempt->direct_start = FT_DIRECT_START_SETTLED;
 }
 
-void
-ft_attempt_direct_start_unanswered (FtAttempt *attempt)
-{
-  attempt->direct_start = FT_DIRECT_START_UNANSWERED;
-  attempt->machine->in_doubt = TRUE;
-}
-
 void
 ft_attempt_direct_start_unknown (FtAttempt *attempt)
 {
   attempt->direct_start = FT_DIRECT_START_SETTLED;
 }
-
-/* No copy of its start has left this process, or each that did has been answered. */
-static gboolean
-never_started (const FtAttempt *attempt)
-{
-  return attempt->state == FT_ATTEMPT_PLACED && attempt->sent_sequence == 0
-         && attempt->direct_start != FT_DIRECT_START_IN_FLIGHT && attempt->direct_start != FT_DIRECT_START_UNANSWERED;
-}
-
-void
-ft_attempt_job_cancelled (FtAttempt *attempt)
-{
-  if (ft_attempt_has_exited (attempt))
-    return;
-  ft_attempt_want_stop (attempt, 0);
-  if (never_started (attempt))
-    ft_attempt_end (attempt);
-}
-
-void
-ft_attempt_job_ended (FtAttempt *attempt)
-{
-  attempt->job = NULL;
-  attempt->bound = FALSE;
-  if (ft_attempt_has_exited (attempt))
-    ft_attempt_set_state (attempt, FT_ATTEMPT_FORGETTABLE);
-  else
-    ft_attempt_want_stop (attempt, 0);
-}
-
-void
-ft_attempt_result_committed (FtAttempt *attempt)
-{
-  ft_attempt_set_state (attempt, FT_ATTEMPT_FORGETTABLE);
-  ft_attempt_end (attempt);
-}
-
-void
-ft_attempt_end (FtAttempt *attempt)
-{
-  FtMachine *machine = attempt->machine;
-  ft_attempt_release (attempt);
-  unbind (attempt);
-  machine->context->placement_due = TRUE;
-  if (ft_machine_idle (machine))
-    machine->idle_since = machine->context->now;
-  if (!(ft_attempt_has_exited (attempt) && attempt->listed))
-    g_hash_table_remove (machine->attempts, attempt);
-}
--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -1,11 +1,9 @@
 /* One attempt to run a task on a machine, from its start until its worker has forgotten it.
  *
- * The type lies below jobs and machines; attempt.c is implemented on both, since an attempt takes resources of a
- * machine and holds a task.
+ * The record, its identity and its state. What also changes its machine, its team or its task (making, reserving,
+ * binding, stopping and ending it) is in attempt_lifecycle.h, which lies above jobs and machines.
  *
- * An attempt is owned by its machine (FtMachine.attempts) and known to its job (FtJob.attempts). It
- * is made by the placement, or when a heartbeat shows an attempt of an earlier leadership; it
- * ends when its worker reports the exit or when its machine's incarnation is over. */
+ * An attempt is owned by its machine (FtMachine.attempts) and borrowed by its job (FtJob.attempts). */
 #pragma once
 #include "core/task.h"
 #include "core/types.h"
@@ -64,8 +62,9 @@
   guint64 sent_sequence;      /* heartbeat whose answer carried the start; 0: none */
   FtDirectStart direct_start; /* changed by ft_attempt_direct_start_*() only */
 
-  gint64 placed_at, running_at, exited_at;
-  gint64 placed_pass; /* placement pass that made it */
+  gint64 placed_at, running_at; /* microseconds; 0: not yet */
+  gint64 exited_at;             /* the same; set by ft_attempt_set_exited() */
+  gint64 placed_pass;           /* placement pass that made it */
 };
 
 static inline gboolean
@@ -80,11 +79,11 @@
   return attempt->stop != FT_ATTEMPT_STOP_NONE;
 }
 
-/* The one place where an attempt's state changes. FALSE: a move that attempts do not have; refused. */
+/* The one place where an attempt's state changes. FALSE: a transition that attempts do not have; refused. */
 gboolean ft_attempt_set_state (FtAttempt *attempt, FtAttemptState to);
 
-/* A new attempt on the machine, owned by it. `job` is NULL if the job is not open. */
-FtAttempt *ft_attempt_new (FtMachine *machine, FtJob *job, const char *ref, guint index, guint64 id);
+/* Its worker has reported its exit: moves it to FT_ATTEMPT_EXITED. `now` in microseconds. */
+void ft_attempt_set_exited (FtAttempt *attempt, gint64 now);
 
 /* Called by the machine's table of attempts; others end an attempt by ft_attempt_end(). */
 void ft_attempt_free (FtAttempt *attempt);
@@ -96,43 +95,14 @@
 /* The same, whether two attempts have one identity. */
 gboolean ft_attempt_equal (gconstpointer first, gconstpointer second);
 
-/* Counts the attempt in what its machine and its team use; may be repeated. */
-void ft_attempt_reserve (FtAttempt *attempt);
-
-/* Counts it there no longer; may be repeated. */
-void ft_attempt_release (FtAttempt *attempt);
-
-/* Makes it the attempt of its task, which has none, and moves the task to `state`. */
-void ft_attempt_bind (FtAttempt *attempt, FtTaskState state);
-
-/* The worker is to stop the attempt within `grace_s` seconds. A longer grace than that of an
- * earlier call is ignored. */
-void ft_attempt_want_stop (FtAttempt *attempt, double grace_s);
-
-/* It is not to be stopped after all. */
+/* Withdraws the request to stop it. */
 void ft_attempt_clear_stop (FtAttempt *attempt);
 
 /* A direct request carries its start. */
 void ft_attempt_direct_start_sent (FtAttempt *attempt);
 
-/* That request was answered: no copy of it is executed any more but what the worker has shown. */
+/* That request was answered: no copy of it will be executed beyond what the worker has shown. */
 void ft_attempt_direct_start_answered (FtAttempt *attempt);
 
-/* That request got no answer: it may still be executed, late. */
-void ft_attempt_direct_start_unanswered (FtAttempt *attempt);
-
-/* An attempt of an earlier leadership: a direct start may have been sent, for all we know. */
+/* An attempt of an earlier leadership, whose direct starts, if any, this process has not seen. */
 void ft_attempt_direct_start_unknown (FtAttempt *attempt);
-
-/* Its job is being cancelled: stops it, or ends it if its start never left this process. */
-void ft_attempt_job_cancelled (FtAttempt *attempt);
-
-/* Its job has ended and is about to be freed: nothing of the attempt is needed any more. */
-void ft_attempt_job_ended (FtAttempt *attempt);
-
-/* Its result is committed: ends it. */
-void ft_attempt_result_committed (FtAttempt *attempt);
-
-/* The attempt is known to be over, without a result that is still needed: gives its resources and its task
- * back. Frees it unless its worker still lists its exit. */
-void ft_attempt_end (FtAttempt *attempt);
--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -1,5 +1,6 @@
 #include "core/attempt_reports.h"
 
+#include "core/attempt_lifecycle.h"
 #include "core/fault.h"
 
 /* ---- an attempt ends ---- */
@@ -47,7 +48,7 @@
 static void
 attempt_exited (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
-  ft_attempt_set_state (attempt, FT_ATTEMPT_EXITED);
+  ft_attempt_set_exited (attempt, table->context->now);
   attempt->listed = TRUE;
   ft_attempt_release (attempt);
   table->context->placement_due = TRUE;
@@ -108,7 +109,7 @@
 {
   FtCoreContext *context = attempt->machine->context;
   gboolean has_result = task_free && reason == FT_EXIT_DONE;
-  ft_attempt_set_state (attempt, FT_ATTEMPT_EXITED);
+  ft_attempt_set_exited (attempt, context->now);
   if (has_result)
     ft_attempt_bind (attempt, FT_TASK_FINISHED);
   else
--- a/src/core/cloud_inventory.c
+++ b/src/core/cloud_inventory.c
@@ -1,5 +1,7 @@
 #include "core/cloud_inventory.h"
 
+#include "core/attempt_lifecycle.h"
+
 static void
 add_machine (FtMachineTable *table, const FtListedMachine *entry)
 {
@@ -19,7 +21,7 @@
     /* It stopped on its own and comes back no more. */
     if (machine->state != FT_MACHINE_TERMINATING)
       ft_machine_terminate (machine, "failed");
-    ft_machine_end_incarnation (machine);
+    ft_attempt_end_incarnation (machine);
     ft_machine_set_reconciled (machine);
     ft_recovery_machine_reconciled (recovery, machine);
   }
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -1,5 +1,6 @@
 #include "core/direct_commands.h"
 
+#include "core/attempt_lifecycle.h"
 #include "core/worker_commands.h"
 
 static gboolean
--- a/src/core/interruption_notice.c
+++ b/src/core/interruption_notice.c
@@ -1,5 +1,6 @@
 #include "core/interruption_notice.h"
 
+#include "core/attempt_lifecycle.h"
 #include "core/job.h"
 
 static void
--- a/src/core/job_table.c
+++ b/src/core/job_table.c
@@ -1,7 +1,6 @@
 #include "core/job_table.h"
 
-#include "core/attempt.h"
-#include "core/machine.h"
+#include "core/attempt_lifecycle.h"
 
 FtJob *
 ft_job_table_find (const FtJobTable *table, const char *ref)
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -198,15 +198,3 @@
   }
   return TRUE;
 }
-
-void
-ft_machine_end_incarnation (FtMachine *machine)
-{
-  g_autoptr (GList) all = g_hash_table_get_values (machine->attempts);
-  for (GList *link = all; link != NULL; link = link->next) {
-    FtAttempt *attempt = link->data;
-    attempt->listed = FALSE;
-    ft_attempt_end (attempt);
-  }
-  machine->expired_incarnation = MAX (machine->expired_incarnation, machine->incarnation);
-}
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -122,9 +122,6 @@
 /* The attempt of that identity on the machine; NULL: none. */
 FtAttempt *ft_machine_attempt (const FtMachine *machine, const char *ref, guint index, guint64 id);
 
-/* Everything that ran in the machine's incarnations so far is over: ends its attempts. */
-void ft_machine_end_incarnation (FtMachine *machine);
-
 /* ---- reachability ---- */
 
 /* Its heartbeats come, but neither answers nor commands seem to reach it. */
--- a/src/core/machine_table.c
+++ b/src/core/machine_table.c
@@ -1,5 +1,7 @@
 #include "core/machine_table.h"
 
+#include "core/attempt_lifecycle.h"
+
 void
 ft_machine_table_init (FtMachineTable *table, FtCoreContext *context, FtMachineQueues *queues)
 {
@@ -46,7 +48,7 @@
 void
 ft_machine_table_set_gone (FtMachineTable *table, FtMachine *machine, const char *reason)
 {
-  ft_machine_end_incarnation (machine);
+  ft_attempt_end_incarnation (machine);
   ft_machine_set_reconciled (machine);
   ft_machine_set_state (machine, FT_MACHINE_GONE, reason);
   g_hash_table_add (table->gone, g_strdup (machine->name));
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -2,6 +2,7 @@
 
 #include <math.h>
 
+#include "core/attempt_lifecycle.h"
 #include "core/placement_rank.h"
 
 void
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -1,5 +1,6 @@
 #include "core/preempt.h"
 
+#include "core/attempt_lifecycle.h"
 #include "core/quota.h"
 
 /* Stopping is worth it only for what has hardly begun, or saves its progress, and can still be in time
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -1,5 +1,6 @@
 #include "core/worker_heartbeats.h"
 
+#include "core/attempt_lifecycle.h"
 #include "core/attempt_reports.h"
 #include "core/interruption_notice.h"
 
@@ -37,7 +38,7 @@
 {
   if (machine->incarnation != 0) {
     g_message ("machine %s: incarnation %" G_GUINT64_FORMAT, machine->name, incarnation);
-    ft_machine_end_incarnation (machine);
+    ft_attempt_end_incarnation (machine);
   }
   machine->incarnation = incarnation;
   ft_reachability_new_incarnation (&machine->reachability);
--- a/src/core/write_queue.c
+++ b/src/core/write_queue.c
@@ -1,7 +1,6 @@
 #include "core/write_queue.h"
 
-#include "core/attempt.h"
-#include "core/machine.h"
+#include "core/attempt_lifecycle.h"
 
 void
 ft_write_queue_init (FtWriteQueue *queue, FtCoreContext *context, FtJobTable *job_table, FtRegistry *registry)
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -7,6 +7,7 @@
 #include "scheduler_harness.hpp"
 
 extern "C" {
+#include "core/attempt_lifecycle.h"
 #include "core/fault.h"
 }
 
--- a/tests/test_scheduler_commands.cpp
+++ b/tests/test_scheduler_commands.cpp
@@ -1,6 +1,10 @@
 // The commands that the scheduler sends to workers, and when it may send them.
 #include "scheduler_harness.hpp"
 
+extern "C" {
+#include "core/attempt_lifecycle.h"
+}
+
 namespace {
 
 TEST (Scheduler, NoCommandBeforeTheMachineIsInTheRegistry)
