--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -63,8 +63,8 @@
   if (attempt->state == to)
     return TRUE;
   if (!transition_allowed (attempt->state, to)) {
-    g_warning ("task %s/%u: attempt %" G_GUINT64_FORMAT ": refused transition %s -> %s", attempt->job_ref,
-               attempt->index, attempt->id, names[attempt->state], names[to]);
+    g_warning ("task %s/%u: attempt %" G_GUINT64_FORMAT ": refused move %s -> %s", attempt->job_ref, attempt->index,
+               attempt->id, names[attempt->state], names[to]);
     return FALSE;
   }
   attempt->state = to;
--- a/src/core/attempt_lifecycle.c
+++ b/src/core/attempt_lifecycle.c
@@ -95,7 +95,7 @@
 ft_attempt_direct_start_unanswered (FtAttempt *attempt)
 {
   attempt->direct_start = FT_DIRECT_START_UNANSWERED;
-  attempt->machine->in_doubt = TRUE;
+  attempt->machine->fitness.start_in_doubt = TRUE;
 }
 
 /* No copy of its start has left this process, or each that did has been answered. */
--- a/src/core/capacity_supply.c
+++ b/src/core/capacity_supply.c
@@ -37,7 +37,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtCloudPool *pool = value;
     if (demand == NULL || (g_strcmp0 (pool->type, demand->type->name) == 0 && (demand->spot || !pool->spot)))
-      supply.booting += pool->booking != NULL ? pool->asked : 0;
+      supply.booting += ft_cloud_pool_requested (pool);
   }
   return supply;
 }
--- a/src/core/cloud_calls.c
+++ b/src/core/cloud_calls.c
@@ -29,7 +29,7 @@
 may_return_now (const FtMachineEviction *eviction, const FtMachine *machine)
 {
   const FtCoreContext *context = eviction->context;
-  return !machine->terminate_in_flight && machine->terminate_at <= context->now
+  return !machine->requests.return_in_flight && machine->requests.return_at <= context->now
          && (context->may_start || ft_machine_eviction_may_hold_cancelled (eviction, machine));
 }
 
@@ -47,7 +47,7 @@
       call = call_new (FT_CLOUD_SCALE_IN);
     if (call->names->len == FT_SCALE_IN_MAX)
       break;
-    machine->terminate_in_flight = TRUE;
+    machine->requests.return_in_flight = TRUE;
     g_ptr_array_add (call->names, g_strdup (machine->name));
   }
   return call;
@@ -61,9 +61,9 @@
   g_hash_table_iter_init (&it, pools->pools);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtCloudPool *pool = value;
-    if (pool->booking == NULL || pool->in_flight || pool->retry_at > now)
+    if (pool->request != FT_LAUNCH_REQUEST_PENDING || pool->send_at > now)
       continue;
-    pool->in_flight = TRUE;
+    ft_cloud_pool_request_sent (pool);
     FtCloudCall *call = call_new (FT_CLOUD_SCALE_OUT);
     call->booking = g_strdup (pool->booking);
     call->type = g_strdup (pool->type);
@@ -102,19 +102,17 @@
 {
   gint64 now = table->context->now;
   FtCloudPool *pool = ft_cloud_pools_get (pools, call->type, call->zone, call->spot);
-  pool->in_flight = FALSE;
   if (g_strcmp0 (pool->booking, call->booking) != 0)
     return FALSE;
   if (result == FT_CLOUD_FAILED) {
-    /* Perhaps carried out: the same booking is repeated until it is answered. */
-    pool->retry_at = now + ft_seconds (FT_LAUNCH_RETRY_S);
+    ft_cloud_pool_request_unanswered (pool, now + ft_seconds (FT_LAUNCH_RETRY_S));
     return TRUE;
   }
   if (result == FT_CLOUD_OK)
     add_launched (table, pool, call);
   if (result == FT_CLOUD_REFUSED || call->names->len < pool->asked)
     ft_cloud_pool_refused (pool, now);
-  ft_cloud_pool_answered (pool);
+  ft_cloud_pool_request_answered (pool);
   return TRUE;
 }
 
@@ -125,7 +123,7 @@
     FtMachine *machine = ft_machine_table_find (table, g_ptr_array_index (call->names, i));
     if (machine == NULL)
       continue;
-    machine->terminate_in_flight = FALSE;
-    machine->terminate_at = table->context->now + ft_seconds (FT_TERMINATE_RETRY_S);
+    machine->requests.return_in_flight = FALSE;
+    machine->requests.return_at = table->context->now + ft_seconds (FT_TERMINATE_RETRY_S);
   }
 }
--- a/src/core/cloud_pool.c
+++ b/src/core/cloud_pool.c
@@ -37,20 +37,65 @@
   return pool;
 }
 
+static gboolean
+transition_allowed (FtLaunchRequest from, FtLaunchRequest to)
+{
+  switch (to) {
+  case FT_LAUNCH_REQUEST_NONE:
+    return TRUE;
+  case FT_LAUNCH_REQUEST_PENDING:
+    return from == FT_LAUNCH_REQUEST_NONE || from == FT_LAUNCH_REQUEST_IN_FLIGHT;
+  case FT_LAUNCH_REQUEST_IN_FLIGHT:
+    return from == FT_LAUNCH_REQUEST_PENDING;
+  }
+  return FALSE;
+}
+
+/* The one place where the state of the request changes. FALSE: a transition that requests do not have; refused. */
+static gboolean
+set_request (FtCloudPool *pool, FtLaunchRequest to)
+{
+  g_return_val_if_fail (transition_allowed (pool->request, to), FALSE);
+  pool->request = to;
+  return TRUE;
+}
+
+guint
+ft_cloud_pool_requested (const FtCloudPool *pool)
+{
+  return pool->request != FT_LAUNCH_REQUEST_NONE ? pool->asked : 0;
+}
+
 void
 ft_cloud_pools_request (FtCloudPools *pools, FtCloudPool *pool, guint count, guint64 token, gint64 now)
 {
+  if (!set_request (pool, FT_LAUNCH_REQUEST_PENDING))
+    return;
   pool->asked = count;
   /* The token makes the name unique for ever: no other leadership has it. */
   pool->booking = g_strdup_printf ("flintrack-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, token, pools->next_booking++);
-  pool->retry_at = now;
+  pool->send_at = now;
   g_message ("scale out: launch request %s: %u %s in %s%s", pool->booking, count, pool->type, pool->zone,
              pool->spot ? " spot" : "");
 }
 
 void
-ft_cloud_pool_answered (FtCloudPool *pool)
+ft_cloud_pool_request_sent (FtCloudPool *pool)
+{
+  set_request (pool, FT_LAUNCH_REQUEST_IN_FLIGHT);
+}
+
+void
+ft_cloud_pool_request_unanswered (FtCloudPool *pool, gint64 send_at)
+{
+  if (set_request (pool, FT_LAUNCH_REQUEST_PENDING))
+    pool->send_at = send_at;
+}
+
+void
+ft_cloud_pool_request_answered (FtCloudPool *pool)
 {
+  set_request (pool, FT_LAUNCH_REQUEST_NONE);
   g_clear_pointer (&pool->booking, g_free);
 }
 
--- a/src/core/cloud_pool.h
+++ b/src/core/cloud_pool.h
@@ -6,14 +6,24 @@
 #pragma once
 #include <glib.h>
 
+/* The launch request of a pool:
+ *
+ *     NONE ----> PENDING <----> IN_FLIGHT ----> NONE       back to PENDING if it got no answer */
+typedef enum {
+  FT_LAUNCH_REQUEST_NONE,
+  FT_LAUNCH_REQUEST_PENDING, /* to be sent, for the first time or again, from `send_at` on */
+  FT_LAUNCH_REQUEST_IN_FLIGHT,
+} FtLaunchRequest;
+
 typedef struct {
   const char *type, *zone; /* interned */
   gboolean spot;
   gint64 refused_until; /* the cloud has refused a launch: not asked again before that time */
-  guint asked;          /* machines asked for in the request under way */
-  char *booking;        /* identifies the request under way or to repeat; NULL: none */
-  gboolean in_flight;   /* the request has been sent and is not answered */
-  gint64 retry_at;      /* earliest next sending of the request */
+
+  FtLaunchRequest request; /* changed by the functions of this module only */
+  char *booking;           /* identifies the request; NULL if there is none */
+  guint asked;             /* machines that the request is for */
+  gint64 send_at;          /* while pending: earliest time at which it is sent, in microseconds */
 } FtCloudPool;
 
 typedef struct {
@@ -30,11 +40,20 @@
 /* The pool, made at its first mention; borrowed, lives as long as `pools`. */
 FtCloudPool *ft_cloud_pools_get (FtCloudPools *pools, const char *type, const char *zone, gboolean spot);
 
-/* Makes a request for `count` machines; the pool has none under way. `token`: our fencing token. */
+/* The machines that the pool's request may still bring; 0 if it has none. */
+guint ft_cloud_pool_requested (const FtCloudPool *pool);
+
+/* Makes a request for `count` machines; the pool must have none. `token`: our fencing token. */
 void ft_cloud_pools_request (FtCloudPools *pools, FtCloudPool *pool, guint count, guint64 token, gint64 now);
 
-/* The pool's request has been answered: it has none under way. */
-void ft_cloud_pool_answered (FtCloudPool *pool);
+/* The pool's request, which was pending, is being sent. */
+void ft_cloud_pool_request_sent (FtCloudPool *pool);
+
+/* The request got no answer: it may have been carried out, and is sent again from `send_at` on. */
+void ft_cloud_pool_request_unanswered (FtCloudPool *pool, gint64 send_at);
+
+/* The pool's request has been answered: it has none any more. */
+void ft_cloud_pool_request_answered (FtCloudPool *pool);
 
 /* The cloud has refused all or part of the request: the pool is not asked again for a while. */
 void ft_cloud_pool_refused (FtCloudPool *pool, gint64 now);
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -6,8 +6,8 @@
 static gboolean
 may_send (const FtMachine *machine)
 {
-  return !machine->command_in_flight && machine->addr != NULL && machine->state == FT_MACHINE_UP && machine->reconciled
-         && machine->incarnation > machine->expired_incarnation;
+  return !machine->requests.command_in_flight && machine->addr != NULL && machine->state == FT_MACHINE_UP
+         && machine->reconciled && machine->incarnation > machine->expired_incarnation;
 }
 
 /* A start that went out with an answer to a heartbeat, or directly without an answer, is not sent a second time: either
@@ -46,7 +46,7 @@
 {
   FtMachine *machine;
   while ((machine = g_queue_pop_head (&queues->directs)) != NULL) {
-    machine->direct_queued = FALSE;
+    machine->requests.direct_queued = FALSE;
     machine->context->looked_at++;
     FtDirect *direct = request_to (machine);
     if (direct != NULL)
--- a/src/core/explain.c
+++ b/src/core/explain.c
@@ -21,9 +21,9 @@
 const char *
 ft_explain_unused (const FtMachine *machine)
 {
-  if (machine->drained)
+  if (machine->fitness.drained)
     return "drained by an operator";
-  if (machine->quarantined)
+  if (machine->fitness.quarantined)
     return "tasks failed on it that were not to blame";
   if (machine->notice_until > 0)
     return "the cloud takes it back";
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -50,7 +50,7 @@
     return TRUE;
   if (job->n_failed_on >= FT_MISTAKEN_MACHINES)
     return FALSE; /* the mistake is in the job, for all that is known */
-  return machine->last_failed != job->revision;
+  return machine->fitness.last_failed != job->revision;
 }
 
 /* Whatever goes wrong, most machines stay in use. */
@@ -62,7 +62,7 @@
   gpointer value;
   g_hash_table_iter_init (&it, table->machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    quarantined += ((const FtMachine *) value)->quarantined;
+    quarantined += ((const FtMachine *) value)->fitness.quarantined;
   return quarantined < MAX (FT_QUARANTINE_MIN, FT_QUARANTINE_SHARE * g_hash_table_size (table->machines));
 }
 
@@ -74,24 +74,24 @@
   job->failed_after = MAX (job->failed_after, ran_for (attempt));
   note_machine (job, machine);
   if (counts_against (job, machine))
-    machine->faults++;
-  machine->last_failed = job->revision;
-  if (machine->quarantined || !ft_fault_proven (machine) || !may_quarantine_one_more (table))
+    machine->fitness.faults++;
+  machine->fitness.last_failed = job->revision;
+  if (machine->fitness.quarantined || !ft_fault_proven (machine) || !may_quarantine_one_more (table))
     return;
-  machine->quarantined = TRUE;
+  machine->fitness.quarantined = TRUE;
   g_warning ("machine %s: quarantined (faulty: %u tasks in a row failed on it, not by their own mistake)",
-             machine->name, machine->faults);
+             machine->name, machine->fitness.faults);
 }
 
 void
 ft_fault_task_completed (FtMachine *machine)
 {
-  machine->faults = 0;
-  machine->last_failed = 0;
+  machine->fitness.faults = 0;
+  machine->fitness.last_failed = 0;
 }
 
 gboolean
 ft_fault_proven (const FtMachine *machine)
 {
-  return machine->faults >= FT_FAULTS;
+  return machine->fitness.faults >= FT_FAULTS;
 }
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -59,27 +59,27 @@
 void
 ft_machine_queue_direct (FtMachine *machine)
 {
-  if (machine->direct_queued || machine->state == FT_MACHINE_GONE)
+  if (machine->requests.direct_queued || machine->state == FT_MACHINE_GONE)
     return;
-  machine->direct_queued = TRUE;
+  machine->requests.direct_queued = TRUE;
   g_queue_push_tail (&machine->queues->directs, machine);
 }
 
 void
 ft_machine_queue_probe (FtMachine *machine)
 {
-  if (machine->probe_queued || machine->state == FT_MACHINE_GONE)
+  if (machine->requests.probe_queued || machine->state == FT_MACHINE_GONE)
     return;
-  machine->probe_queued = TRUE;
+  machine->requests.probe_queued = TRUE;
   g_queue_push_tail (&machine->queues->probes, machine);
 }
 
 void
 ft_machine_free (FtMachine *machine)
 {
-  if (machine->probe_queued)
+  if (machine->requests.probe_queued)
     g_queue_remove (&machine->queues->probes, machine);
-  if (machine->direct_queued)
+  if (machine->requests.direct_queued)
     g_queue_remove (&machine->queues->directs, machine);
   g_hash_table_unref (machine->attempts);
   g_hash_table_unref (machine->images);
@@ -121,7 +121,7 @@
 ft_machine_terminate (FtMachine *machine, const char *reason)
 {
   ft_machine_set_state (machine, FT_MACHINE_TERMINATING, reason);
-  machine->terminate_at = machine->context->now;
+  machine->requests.return_at = machine->context->now;
 }
 
 void
@@ -137,7 +137,7 @@
 ft_machine_usable (const FtMachine *machine)
 {
   gboolean known = machine->registered && machine->reconciled && machine->type != NULL;
-  gboolean wanted = !machine->drained && !machine->quarantined && machine->notice_until == 0;
+  gboolean wanted = !machine->fitness.drained && !machine->fitness.quarantined && machine->notice_until == 0;
   return machine->state == FT_MACHINE_UP && known && wanted && machine->incarnation > machine->expired_incarnation
          && machine->reachability.acknowledged_token && !ft_machine_not_receiving (machine)
          && !ft_machine_not_reporting (machine) && ft_reachability_recent (&machine->reachability, machine->context);
@@ -184,6 +184,12 @@
   return MIN (n, fits (type->gpus - machine->gpus, spec->gpus));
 }
 
+gboolean
+ft_machine_has_request_in_flight (const FtMachine *machine)
+{
+  return machine->requests.command_in_flight || machine->requests.return_in_flight;
+}
+
 gboolean
 ft_machine_idle (const FtMachine *machine)
 {
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -43,6 +43,26 @@
 /* Empties the queues; the machines are not freed. */
 void ft_machine_queues_clear (FtMachineQueues *queues);
 
+/* The requests that concern a machine. At most one command and one return call are in flight for it; each is
+ * independent of the other, and of the queues: what comes up while a command is in flight queues the machine again. */
+typedef struct {
+  gboolean direct_queued;     /* is in FtMachineQueues.directs; set by ft_machine_queue_direct() */
+  gboolean probe_queued;      /* is in FtMachineQueues.probes; set by ft_machine_queue_probe() */
+  gboolean command_in_flight; /* a direct request or a probe has been sent and is not answered */
+  gboolean return_in_flight;  /* a cloud call to return it has been sent and is not answered */
+  gint64 return_at;           /* earliest next such call, in microseconds */
+} FtMachineRequests;
+
+/* What speaks against new starts on a machine, beside its state and its reachability. The facts are independent of
+ * each other: an operator may drain a machine that is quarantined, and a doubt or a fault alone does not quarantine. */
+typedef struct {
+  gboolean drained;        /* by an operator; also kept by name in the machine table */
+  gboolean quarantined;    /* faulty, or a start was in doubt for too long; never revoked */
+  gboolean start_in_doubt; /* a direct start of this incarnation got no answer, so that it may be executed late */
+  guint faults;            /* failures in a row that count against it; see fault.h */
+  guint64 last_failed;     /* revision of the job that failed here last; 0: none since a task completed */
+} FtMachineFitness;
+
 struct _FtMachine {
   FtCoreContext *context;  /* borrowed */
   FtMachineQueues *queues; /* borrowed */
@@ -57,24 +77,17 @@
   gint64 launched_at;
   gint64 idle_since;             /* with ft_machine_idle(): since when */
   gint64 notice_until;           /* when its interruption notice ends; 0: none */
-  gint64 terminate_at;           /* earliest next try of a return */
   gboolean counted_unreconciled; /* counted by the recovery among the unreconciled machines */
   gboolean reconciled;           /* heard under our token, or certainly empty; ft_machine_set_reconciled() sets it */
   FtRegistryRow *row;            /* the registry row that names it; NULL: none yet */
   FtRegistryRow *split_row;      /* a stored row that names it until `row` is stored; NULL: none */
   gboolean registered;           /* that row is committed */
-  gboolean direct_queued, probe_queued; /* is in that queue */
-  gboolean drained;                     /* by an operator: gets no starts */
-  gboolean quarantined;                 /* faulty, or a start is in doubt: gets no starts; never revoked */
-  gboolean listed_running;              /* the cloud's list named it as running before any heartbeat */
-  gboolean command_in_flight;           /* a direct request or a probe is on its way */
-  gboolean terminate_in_flight;         /* a call to return it is on its way */
-  gboolean in_doubt;                    /* a direct start of this incarnation got no answer */
-  guint faults;                         /* failures in a row that count against it; see fault.h */
-  guint64 last_failed;                  /* revision of the job that failed here last */
-  double cpus, gpus, memory_gb;         /* taken by attempts not known to be over */
-  GHashTable *attempts;                 /* set of FtAttempt, owned */
-  GHashTable *images;                   /* names known to be cached */
+  gboolean listed_running;       /* the cloud's list named it as running before any heartbeat */
+  FtMachineRequests requests;
+  FtMachineFitness fitness;
+  double cpus, gpus, memory_gb; /* taken by attempts not known to be over */
+  GHashTable *attempts;         /* set of FtAttempt, owned */
+  GHashTable *images;           /* names known to be cached */
 };
 
 /* A machine in FT_MACHINE_BOOTING. Called by ft_machine_table_add(), which sets its zone view and whether it is
@@ -116,6 +129,9 @@
 /* How many tasks of this kind the machine has room for. */
 guint ft_machine_room (const FtMachine *machine, const FtJobSpec *spec);
 
+/* A request that concerns the machine is in flight: its answer will name it. */
+gboolean ft_machine_has_request_in_flight (const FtMachine *machine);
+
 /* Nothing is, or may still come to be, on the machine, and no result there is needed. */
 gboolean ft_machine_idle (const FtMachine *machine);
 
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -211,12 +211,12 @@
 start_in_doubt (FtMachine *machine)
 {
   gboolean others;
-  if (!machine->in_doubt)
+  if (!machine->fitness.start_in_doubt)
     return FALSE; /* nearly all: their attempts need no look */
   double age_s = doubt_age_s (machine, &others);
   if (age_s <= FT_DOUBT_S)
     return FALSE;
-  machine->quarantined = TRUE;
+  machine->fitness.quarantined = TRUE;
   return !others || age_s > FT_DOUBT_MAX * machine->context->settings->cancel_s;
 }
 
@@ -224,7 +224,7 @@
 static gboolean
 faulty_and_idle (const FtMachine *machine)
 {
-  return machine->quarantined && machine->reconciled && ft_fault_proven (machine) && ft_machine_idle (machine);
+  return machine->fitness.quarantined && machine->reconciled && ft_fault_proven (machine) && ft_machine_idle (machine);
 }
 
 static void
--- a/src/core/machine_table.c
+++ b/src/core/machine_table.c
@@ -28,7 +28,7 @@
 {
   FtMachine *machine = ft_machine_new (table->context, table->queues, name, addr, type, zone, spot);
   machine->zone_view = ft_zone_get (table->zones, zone);
-  machine->drained = g_hash_table_contains (table->drained, name);
+  machine->fitness.drained = g_hash_table_contains (table->drained, name);
   g_hash_table_insert (table->machines, machine->name, machine);
   return machine;
 }
@@ -66,7 +66,7 @@
   g_message ("machine %s: %s", name, drained ? "drained" : "undrained");
   if (machine == NULL)
     return;
-  machine->drained = drained;
+  machine->fitness.drained = drained;
   table->context->placement_due = TRUE;
 }
 
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -14,7 +14,7 @@
 ft_machine_wants_probe (const FtMachine *machine)
 {
   return in_question (machine) && machine->context->now >= machine->reachability.probe_at && machine->addr != NULL
-         && !machine->command_in_flight && machine->state != FT_MACHINE_GONE;
+         && !machine->requests.command_in_flight && machine->state != FT_MACHINE_GONE;
 }
 
 static FtDirect *
@@ -30,7 +30,7 @@
 {
   FtMachine *machine;
   while (probes->in_flight < FT_PROBES_MAX && (machine = g_queue_pop_head (&queues->probes)) != NULL) {
-    machine->probe_queued = FALSE;
+    machine->requests.probe_queued = FALSE;
     machine->context->looked_at++;
     if (ft_machine_wants_probe (machine))
       return probe (probes, machine);
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -43,7 +43,7 @@
 may_launch (const FtMachineTable *table, const FtCloudPool *pool)
 {
   gint64 now = table->context->now;
-  return pool->booking == NULL && pool->refused_until <= now
+  return pool->request == FT_LAUNCH_REQUEST_NONE && pool->refused_until <= now
          && ft_zone_launchable (ft_zone_get (table->zones, pool->zone), now) > 0;
 }
 
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -164,7 +164,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
     ft_machine_watch (machine);
-    if (machine->state == FT_MACHINE_GONE && !machine->command_in_flight && !machine->terminate_in_flight)
+    if (machine->state == FT_MACHINE_GONE && !ft_machine_has_request_in_flight (machine))
       g_hash_table_iter_remove (&it);
   }
   ft_recovery_tick (&scheduler->recovery);
--- a/src/core/scheduler_workers.c
+++ b/src/core/scheduler_workers.c
@@ -58,7 +58,7 @@
 static void
 apply_direct_result (FtMachine *machine, const FtDirect *direct, FtDirectResult result)
 {
-  machine->command_in_flight = FALSE;
+  machine->requests.command_in_flight = FALSE;
   ft_machine_queue_direct (machine); /* what has come up meanwhile */
   if (result == FT_DIRECT_UNANSWERED)
     ft_probes_unanswered (machine);
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -45,7 +45,7 @@
   direct->addr = g_strdup (machine->addr);
   direct->incarnation = machine->incarnation;
   direct->commands = commands;
-  machine->command_in_flight = TRUE;
+  machine->requests.command_in_flight = TRUE;
   return direct;
 }
 
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -42,7 +42,7 @@
   }
   machine->incarnation = incarnation;
   ft_reachability_new_incarnation (&machine->reachability);
-  machine->in_doubt = FALSE;
+  machine->fitness.start_in_doubt = FALSE;
 }
 
 /* ---- reachability ---- */
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -66,7 +66,7 @@
   {
     guint n = 0;
     for (guint i = 0; i < machines; i++)
-      n += at (i)->quarantined;
+      n += at (i)->fitness.quarantined;
     return n;
   }
 };
@@ -78,9 +78,9 @@
   fleet.add_job ("req-1", 10, 5);
   fleet.show ("req-1", 0, 1, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   fleet.fail ("req-1", 1, 0);
-  EXPECT_FALSE (fleet.at (0)->quarantined) << "one failure may be chance";
+  EXPECT_FALSE (fleet.at (0)->fitness.quarantined) << "one failure may be chance";
   fleet.fail ("req-1", 2, 0);
-  EXPECT_TRUE (fleet.at (0)->quarantined);
+  EXPECT_TRUE (fleet.at (0)->fitness.quarantined);
   EXPECT_EQ (fleet.quarantined (), 1u);
 }
 
@@ -92,7 +92,7 @@
   fleet.now += (gint64) ((FT_FAULT_MARGIN_S + 1) * kS);
   for (guint task : { 1, 2 })
     fleet.fail ("req-1", task, 0);
-  EXPECT_TRUE (fleet.at (0)->quarantined);
+  EXPECT_TRUE (fleet.at (0)->fitness.quarantined);
 }
 
 TEST (Fault, MistakenJobsBlameNoMachineBeyondTheFirst)
@@ -147,7 +147,7 @@
     ft_fault_task_failed (&fleet.scheduler->machine_table, started);
     ft_attempt_end (started);
   }
-  ASSERT_TRUE (fleet.at (0)->quarantined);
+  ASSERT_TRUE (fleet.at (0)->fitness.quarantined);
   EXPECT_FALSE (ft_machine_usable (fleet.at (0)));
   ft_scheduler_tick (fleet.scheduler, fleet.now, FALSE);
   EXPECT_EQ (fleet.at (0)->state, FT_MACHINE_UP) << "a task of it may well complete";
