--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -1,16 +1,7 @@
 #include "core/lease.h"
 
 #include "core/constants.h"
-
-/* Whether peers find the holder gone, and what the rows have said since. Confirmed: another peer
- * answers us, and the fence is not new. */
-typedef enum {
-  SUSPICION_NONE,
-  SUSPICION_REPORTED,           /* the rows are to be read */
-  SUSPICION_REPORTED_CONFIRMED, /* the same */
-  SUSPICION_STANDING,           /* the rows were read and have not changed: claim once a renewal is overdue */
-  SUSPICION_STANDING_CONFIRMED, /* the same: claim now */
-} Suspicion;
+#include "core/lease_suspicion.h"
 
 struct _FtLease {
   char *member;
@@ -24,10 +15,10 @@
   FtLeaseRows seen;
   gint64 unrenewed_since; /* when the present rows were first seen */
   gboolean rows_known;
-  gint64 next_sweep;    /* when the rows are to be read next */
-  gint64 abstain_until; /* we have given the lease up: no claim before */
-  gint64 fence_since;   /* when the present fence was first seen */
-  Suspicion suspicion;  /* changed by set_suspicion() only */
+  gint64 next_sweep;          /* when the rows are to be read next */
+  gint64 abstain_until;       /* we have given the lease up: no claim before */
+  gint64 fence_since;         /* when the present fence was first seen */
+  FtLeaseSuspicion suspicion; /* of the present holder */
 
   guint64 token;                /* ours, while acquiring or holding */
   guint64 fence_revision;       /* of our acquisition */
@@ -133,43 +124,6 @@
   return TRUE;
 }
 
-/* ---- suspicion ---- */
-
-static gboolean
-suspicion_move_allowed (Suspicion from, Suspicion to)
-{
-  switch (to) {
-  case SUSPICION_NONE:
-    return TRUE;
-  case SUSPICION_REPORTED:
-  case SUSPICION_REPORTED_CONFIRMED:
-    return from == SUSPICION_NONE;
-  case SUSPICION_STANDING:
-    return from == SUSPICION_REPORTED;
-  case SUSPICION_STANDING_CONFIRMED:
-    return from == SUSPICION_REPORTED_CONFIRMED;
-  }
-  return FALSE;
-}
-
-/* The one place where the suspicion changes. */
-static void
-set_suspicion (FtLease *lease, Suspicion to)
-{
-  g_return_if_fail (suspicion_move_allowed (lease->suspicion, to));
-  lease->suspicion = to;
-}
-
-/* The rows were read, and are the same as before. */
-static void
-suspicion_stands (FtLease *lease)
-{
-  if (lease->suspicion == SUSPICION_REPORTED)
-    set_suspicion (lease, SUSPICION_STANDING);
-  else if (lease->suspicion == SUSPICION_REPORTED_CONFIRMED)
-    set_suspicion (lease, SUSPICION_STANDING_CONFIRMED);
-}
-
 /* ---- the rows ---- */
 
 static void
@@ -203,13 +157,13 @@
   if (!same_fence)
     lease->fence_since = now;
   if (same_fence && rows->renewal_revision == lease->seen.renewal_revision) {
-    suspicion_stands (lease);
+    ft_lease_suspicion_rows_unchanged (&lease->suspicion);
   } else {
-    set_suspicion (lease, SUSPICION_NONE); /* the holder has renewed, or another leads */
+    ft_lease_suspicion_clear (&lease->suspicion); /* the holder has renewed, or another leads */
     take_rows (lease, now, rows);
   }
   plan_sweep (lease, now);
-  if (lease->suspicion != SUSPICION_NONE)
+  if (lease->suspicion != FT_LEASE_SUSPICION_NONE)
     sweep_again_soon (lease, now);
   gboolean leading = lease->state == FT_LEASE_HOLDING || lease->state == FT_LEASE_EXPIRED;
   if (leading && rows->fence_revision != lease->fence_revision && rows->token > lease->token)
@@ -219,27 +173,27 @@
 void
 ft_lease_sweep_failed (FtLease *lease, gint64 now)
 {
-  /* While we cannot see the rows, the holder may be unable to renew them. */
+  /* While the rows cannot be read here, the holder may be unable to renew them. */
   lease->unrenewed_since = now;
   plan_sweep (lease, now);
-  /* The end of an outage should not wait for a whole period: nobody leads then. */
+  /* The first read after an outage should not wait for a full period: no controller leads then. */
   sweep_again_soon (lease, now);
 }
 
-/* Where connections between controllers are refused, a live leader looks like a dead
- * one from all sides, and claims made at once led to a new leader twice a second:
- * only another peer that answers us, and a fence that is not new, allow that. */
+/* Where connections between controllers are refused, a live leader looks dead to all of its peers, and claims made at
+ * once would replace the leader twice a second. Hence a claim at once needs another peer that answers us, and a fence
+ * that is not new. */
 void
 ft_lease_suspect (FtLease *lease, const char *holder, gboolean confirmed, gint64 now)
 {
-  if (lease->state != FT_LEASE_FOLLOWING || lease->suspicion != SUSPICION_NONE || !lease->rows_known
+  if (lease->state != FT_LEASE_FOLLOWING || lease->suspicion != FT_LEASE_SUSPICION_NONE || !lease->rows_known
       || g_strcmp0 (lease->seen.holder, holder) != 0)
     return;
   gboolean fence_stable = now - lease->fence_since > (gint64) (FT_SUSPECT_STABLE_S * FT_SECOND);
   gboolean claim_at_once = confirmed && fence_stable;
   g_message ("lease %s: holder %s suspected to be gone (%s)", lease->member, holder,
              claim_at_once ? "confirmed" : "not confirmed");
-  set_suspicion (lease, claim_at_once ? SUSPICION_REPORTED_CONFIRMED : SUSPICION_REPORTED);
+  ft_lease_suspicion_report (&lease->suspicion, claim_at_once);
   lease->next_sweep = now;
 }
 
@@ -252,13 +206,12 @@
 static gboolean
 holder_is_self (const FtLease *lease)
 {
-  /* One process runs under a member's name. If the fence names us and we do
-   * not lead, its holder is our dead predecessor or an acquisition of our own
-   * that got no answer; either way nobody acts under it. */
+  /* One process runs under a member's name. If the fence names us and we do not lead, its holder is our dead
+   * predecessor or an acquisition of our own that got no answer; either way no process acts under it. */
   return g_strcmp0 (lease->seen.holder, lease->member) == 0;
 }
 
-/* A live holder renews within this time, if it counts with that lease time. */
+/* A live holder that works with that lease time renews within this time. */
 static gint64
 renewal_overdue_us (const FtLease *lease, gint64 lease_us)
 {
@@ -276,9 +229,9 @@
     return TRUE;
   gint64 lease_us = MAX (lease->lease_us, lease->seen.lease_us);
   gint64 unrenewed_us = now - lease->unrenewed_since;
-  if (lease->suspicion == SUSPICION_STANDING_CONFIRMED)
+  if (lease->suspicion == FT_LEASE_SUSPICION_STANDING_CONFIRMED)
     return TRUE;
-  if (lease->suspicion == SUSPICION_STANDING)
+  if (lease->suspicion == FT_LEASE_SUSPICION_STANDING)
     return unrenewed_us > renewal_overdue_us (lease, lease_us);
   return unrenewed_us > (gint64) (lease_us * (1 + FT_CLOCK_DRIFT));
 }
@@ -290,7 +243,7 @@
                          .fence_revision = lease->seen.fence_revision,
                          .renewal_revision = lease->seen.renewal_revision,
                          .check_renewal = !holder_is_self (lease) };
-  set_suspicion (lease, SUSPICION_NONE);
+  ft_lease_suspicion_clear (&lease->suspicion);
   lease->token = claim.token;
   lease->sent_lease_us = lease->lease_us;
   lease->valid_until = now;
@@ -349,8 +302,8 @@
 {
   if (lease->state != FT_LEASE_HOLDING && lease->state != FT_LEASE_EXPIRED)
     return;
-  /* The renewal was conditional on our fence: nobody acquired in between, so a
-   * holder whose lease has expired may go on where it stopped. */
+  /* The renewal was conditional on our fence: no other controller acquired the lease in between, so a
+   * holder whose lease has expired may continue where it stopped. */
   extend (lease, sent_at);
   if (lease->state == FT_LEASE_EXPIRED)
     set_state (lease, FT_LEASE_HOLDING, "renewed");
@@ -410,8 +363,8 @@
 
 /* ---- what the holder may do ---- */
 
-/* A renewal that succeeds after an outage says nothing of what was cancelled
- * meanwhile: no start before the cancellations have been read too. */
+/* A renewal that succeeds after an outage says nothing of what was cancelled during
+ * it: no start before the cancellations have been read too. */
 gboolean
 ft_lease_may_start (const FtLease *lease, gint64 now)
 {
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -1,9 +1,8 @@
 #include "core/placement.h"
 
-#include <math.h>
-
 #include "core/attempt_lifecycle.h"
 #include "core/placement_rank.h"
+#include "core/placement_search.h"
 
 void
 ft_placement_init (FtPlacement *placement)
@@ -69,110 +68,6 @@
   return i;
 }
 
-/* Where the job's tasks are now, for one_zone and spread. */
-typedef struct {
-  const char *zone;       /* zone of a live task, NULL if none */
-  GHashTable *zone_count; /* zone -> live tasks */
-} Whereabouts;
-
-static void
-find_whereabouts (const FtJob *job, Whereabouts *whereabouts)
-{
-  whereabouts->zone_count = g_hash_table_new (g_str_hash, g_str_equal);
-  whereabouts->zone = NULL;
-  if (!job->spec->one_zone && !job->spec->spread)
-    return; /* nobody asks, and a job may have very many tasks */
-  for (guint i = 0; i < job->spec->tasks; i++) {
-    const FtAttempt *attempt = job->tasks[i].attempt;
-    if (attempt == NULL || !attempt->reserved)
-      continue;
-    whereabouts->zone = attempt->machine->zone;
-    guint n = GPOINTER_TO_UINT (g_hash_table_lookup (whereabouts->zone_count, whereabouts->zone));
-    g_hash_table_insert (whereabouts->zone_count, attempt->machine->zone, GUINT_TO_POINTER (n + 1));
-  }
-}
-
-static gboolean
-zone_allowed (const FtJob *job, const Whereabouts *whereabouts, const FtMachine *machine)
-{
-  if (job->spec->one_zone && whereabouts->zone != NULL && g_strcmp0 (whereabouts->zone, machine->zone) != 0)
-    return FALSE;
-  if (!job->spec->spread)
-    return TRUE;
-  guint here = GPOINTER_TO_UINT (g_hash_table_lookup (whereabouts->zone_count, machine->zone));
-  return here + 1 <= (job->spec->tasks + 1) / 2;
-}
-
-/* A task keeps off the machine where it failed, for a while only: it may be
- * the only one that is allowed. */
-static gboolean
-avoided (const FtPlacement *placement, const FtTask *task, const FtMachine *machine)
-{
-  return task->avoid == machine && placement->context->now < task->not_before + ft_seconds (FT_AVOID_S);
-}
-
-static gboolean
-candidate (const FtPlacement *placement, const FtJob *job, const FtTask *task, const Whereabouts *whereabouts,
-           const FtMachine *machine)
-{
-  return ft_machine_usable (machine) && ft_machine_allowed (machine, job->spec) && !avoided (placement, task, machine)
-         && zone_allowed (job, whereabouts, machine) && ft_machine_room (machine, job->spec) > 0;
-}
-
-/* Room for a kind of task that a pass has looked for everywhere in vain: what
- * needs as much, and may go nowhere else, need not look again. */
-typedef struct {
-  GPtrArray *machines;                   /* with room for something */
-  const FtJobSpec *full[FT_FULL_SHAPES]; /* borrowed from open jobs */
-  guint n_full;
-} Pass;
-
-static gboolean
-covers (const FtJobSpec *full, const FtJobSpec *spec)
-{
-  return spec->cpus >= full->cpus && spec->gpus >= full->gpus && spec->memory_gb >= full->memory_gb
-         && full->types == NULL && (full->zone == NULL || g_strcmp0 (full->zone, spec->zone) == 0)
-         && (full->spot || !spec->spot);
-}
-
-static gboolean
-known_full (const Pass *pass, const FtJobSpec *spec)
-{
-  for (guint i = 0; i < pass->n_full; i++)
-    if (covers (pass->full[i], spec))
-      return TRUE;
-  return FALSE;
-}
-
-static FtMachine *
-pick (FtPlacement *placement, const FtJob *job, const FtTask *task, const Whereabouts *whereabouts, Pass *pass)
-{
-  FtMachine *best = NULL;
-  double best_score = INFINITY;
-  guint seen = 0;
-  if (known_full (pass, job->spec))
-    return NULL;
-  double spot_delay_s = ft_spot_risk_delay_s (placement->spot_risk, job->spec);
-  guint n = pass->machines->len,
-        start = n > 0 ? (guint) g_rand_int_range (placement->context->random, 0, (gint32) n) : 0;
-  for (guint i = 0; i < n && seen < placement->context->tuning.sample_size; i++) {
-    FtMachine *machine = g_ptr_array_index (pass->machines, (start + i) % n);
-    placement->context->looked_at++;
-    if (!candidate (placement, job, task, whereabouts, machine))
-      continue;
-    seen++;
-    double value = ft_placement_rank_machine (machine, job, spot_delay_s);
-    if (value < best_score) {
-      best_score = value;
-      best = machine;
-    }
-  }
-  gboolean plain = !job->spec->one_zone && !job->spec->spread && task->avoid == NULL;
-  if (best == NULL && plain && pass->n_full < FT_FULL_SHAPES)
-    pass->full[pass->n_full++] = job->spec;
-  return best;
-}
-
 /* Attempt numbers rise with the token, so across leaders. */
 static guint64
 next_attempt (FtPlacement *placement)
@@ -224,8 +119,7 @@
   return FALSE;
 }
 
-/* Takes back what this pass placed of a gang that did not fit whole; none of
- * it has left the process. */
+/* Ends what this pass placed of a gang that did not fit; no start of it has left the process. */
 static void
 take_back (FtPlacement *placement, FtJob *job)
 {
@@ -244,7 +138,7 @@
   while (placed < most && ft_machine_room (machine, job->spec) > 0
          && ft_placement_quota_left (placement, job->team, job->spec) > 0) {
     guint index = next_queued (job, placement->context->now);
-    if (index >= job->spec->tasks || avoided (placement, &job->tasks[index], machine))
+    if (index >= job->spec->tasks || ft_placement_search_avoids (placement->context, &job->tasks[index], machine))
       break;
     place (placement, job, index, machine, next_attempt (placement));
     placed++;
@@ -255,20 +149,20 @@
 /* An array: whatever fits, machine by machine. Tasks of a job that share a
  * machine share the fetch of their image and one command. */
 static guint
-place_array (FtPlacement *placement, FtJob *job, Pass *pass)
+place_array (FtPlacement *placement, FtJob *job, FtPlacementSearch *search)
 {
-  Whereabouts whereabouts;
+  FtTaskZones zones;
   guint placed = 0;
   gboolean zoned = job->spec->one_zone || job->spec->spread;
   /* Unknown tasks could be in any zone: wait until they are found. */
   if (zoned && job->counts[FT_TASK_UNKNOWN] > 0)
     return 0;
-  find_whereabouts (job, &whereabouts);
+  ft_task_zones_find (&zones, job);
   while (placed < FT_PASS_TASKS && ft_placement_quota_left (placement, job->team, job->spec) > 0) {
     guint index = next_queued (job, placement->context->now);
     if (index >= job->spec->tasks)
       break;
-    FtMachine *machine = pick (placement, job, &job->tasks[index], &whereabouts, pass);
+    FtMachine *machine = ft_placement_search_best (search, job, &job->tasks[index], &zones);
     if (machine == NULL) {
       job->no_room_pass = placement->pass;
       break;
@@ -278,19 +172,19 @@
       break;
     placed += n;
     if (zoned) {
-      g_hash_table_unref (whereabouts.zone_count);
-      find_whereabouts (job, &whereabouts);
+      ft_task_zones_clear (&zones);
+      ft_task_zones_find (&zones, job);
     }
   }
-  g_hash_table_unref (whereabouts.zone_count);
+  ft_task_zones_clear (&zones);
   return placed;
 }
 
 /* A gang: all of it or nothing, under one attempt number. */
 static guint
-place_whole (FtPlacement *placement, FtJob *job, Pass *pass)
+place_whole (FtPlacement *placement, FtJob *job, FtPlacementSearch *search)
 {
-  Whereabouts whereabouts;
+  FtTaskZones zones;
   guint placed = 0;
   if (!gang_ready (placement, job))
     return 0;
@@ -299,9 +193,9 @@
     guint index = next_queued (job, placement->context->now);
     if (index >= job->spec->tasks || ft_placement_quota_left (placement, job->team, job->spec) == 0)
       break;
-    find_whereabouts (job, &whereabouts);
-    FtMachine *machine = pick (placement, job, &job->tasks[index], &whereabouts, pass);
-    g_hash_table_unref (whereabouts.zone_count);
+    ft_task_zones_find (&zones, job);
+    FtMachine *machine = ft_placement_search_best (search, job, &job->tasks[index], &zones);
+    ft_task_zones_clear (&zones);
     if (machine == NULL) {
       job->no_room_pass = placement->pass;
       break;
@@ -316,49 +210,33 @@
 }
 
 static guint
-place_job (FtPlacement *placement, FtJob *job, Pass *pass)
+place_job (FtPlacement *placement, FtJob *job, FtPlacementSearch *search)
 {
-  return job->spec->kind == FT_KIND_GANG ? place_whole (placement, job, pass) : place_array (placement, job, pass);
-}
-
-static void
-find_machines (FtPlacement *placement, Pass *pass)
-{
-  GHashTableIter it;
-  gpointer value;
-  pass->machines = g_ptr_array_sized_new (g_hash_table_size (placement->machine_table->machines));
-  g_hash_table_iter_init (&it, placement->machine_table->machines);
-  while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtMachine *machine = value;
-    if (ft_machine_usable (machine) && machine->cpus < machine->type->cpus
-        && machine->memory_gb < machine->type->memory_gb)
-      g_ptr_array_add (pass->machines, value);
-  }
-  placement->context->looked_at += g_hash_table_size (placement->machine_table->machines);
+  return job->spec->kind == FT_KIND_GANG ? place_whole (placement, job, search) : place_array (placement, job, search);
 }
 
 void
 ft_placement_pass (FtPlacement *placement)
 {
-  Pass pass = { 0 };
+  FtPlacementSearch search;
   placement->context->placement_due = FALSE;
   placement->pass++;
   placement->next_pass = placement->context->now + ft_seconds (FT_PASS_EVERY_S);
   collect (placement);
   if (!placement->context->may_start || !ft_recovery_is_loaded (placement->recovery) || placement->waiting->len == 0)
     return;
-  find_machines (placement, &pass);
+  ft_placement_search_init (&search, placement->context, placement->spot_risk, placement->machine_table);
   guint placed = 0, preempting = placement->context->now >= placement->next_preempt ? 0 : FT_PREEMPT_JOBS;
   for (guint i = 0; i < placement->waiting->len && placed < FT_PASS_TASKS; i++) {
     FtJob *job = g_ptr_array_index (placement->waiting, i);
-    placed += place_job (placement, job, &pass);
+    placed += place_job (placement, job, &search);
     if (job->no_room_pass == placement->pass && job->counts[FT_TASK_QUEUED] > 0 && preempting < FT_PREEMPT_JOBS) {
       ft_preempt_for (placement->preemption, job, ft_placement_quota_left (placement, job->team, job->spec));
       preempting++;
       placement->next_preempt = placement->context->now + ft_seconds (FT_PREEMPT_EVERY_S);
     }
   }
-  g_ptr_array_unref (pass.machines);
+  ft_placement_search_clear (&search);
   ft_preempt_end_pass (placement->preemption);
   if (placed >= FT_PASS_TASKS)
     placement->context->placement_due = TRUE;
