--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -23,7 +23,7 @@
   return NULL;
 }
 
-/* An array runs task by task; what runs whole must fit whole. */
+/* An array may run task by task; the tasks of other kinds must all fit at once. */
 static gboolean
 team_limit_fits (const FtTeamLimit *team, const FtJobSpec *spec)
 {
--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -35,7 +35,7 @@
 task_lost (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
   const FtMachine *machine = attempt->machine;
-  /* Its room is somebody else's for the moment: it does not take it back at once. */
+  /* It was stopped to make room for another job: its task pauses so as not to take that room again. */
   if (reason == FT_EXIT_STOPPED && ft_attempt_stop_wanted (attempt) && machine->notice_until == 0)
     attempt->job->tasks[attempt->index].not_before = table->context->now + ft_seconds (FT_PREEMPTED_PAUSE_S);
   gboolean blameless = reason == FT_EXIT_STOPPED || reason == FT_EXIT_PEERS || reason == FT_EXIT_ALONE;
@@ -62,7 +62,7 @@
   ft_attempt_end (attempt);
 }
 
-/* ---- an attempt goes on ---- */
+/* ---- an attempt progresses ---- */
 
 static void
 attempt_progress (FtAttempt *attempt, FtTaskPhase phase)
--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -21,7 +21,7 @@
   ft_cloud_pools_clear (&autoscaler->pools);
 }
 
-/* After a takeover the fleet is known once all heartbeats have had their time; a few
+/* After a failover the fleet is known once all heartbeats have had their time; a few
  * machines that are not reconciled must not keep others from being launched. */
 static gboolean
 machines_known (const FtAutoscaler *autoscaler)
--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -31,7 +31,7 @@
 /* Frees what it owns. */
 void ft_autoscaler_clear (FtAutoscaler *autoscaler);
 
-/* Plans launches and marks the machines to return; the rows of the store have been read. */
+/* Plans launches and chooses the machines to return; the rows of the store have been read. */
 void ft_autoscaler_tick (FtAutoscaler *autoscaler);
 
 /* The next call to the cloud that is due: new; NULL: none. */
--- a/src/core/capacity_supply.h
+++ b/src/core/capacity_supply.h
@@ -1,6 +1,6 @@
 /* How many machines there are, how much of them is free, and how many will boot.
  *
- * Called by the scale-out for each demand, and by the scale-in for the whole fleet. */
+ * Called by the scale-out for each demand, and by the scale-in for all machines. */
 #pragma once
 #include "core/capacity_demand.h"
 #include "core/cloud_pool.h"
@@ -8,7 +8,7 @@
 /* All in machines; of one that is partly used the free share counts, by its scarcest resource. */
 typedef struct {
   double free, in_use;
-  double booting; /* launched, or asked for */
+  double booting; /* launched, or requested */
 } FtCapacitySupply;
 
 /* What there is for that demand; `demand` NULL: all machines. */
--- a/src/core/cloud_calls.c
+++ b/src/core/cloud_calls.c
@@ -22,9 +22,9 @@
   return call;
 }
 
-/* A leader that has lost the store gives back only what holds cancelled tasks: they
- * must be gone in time, and a machine that hangs cannot drop them. That is no placing,
- * and a successor that returns the same machines again changes nothing. */
+/* A leader that cannot reach the store returns only machines that hold cancelled tasks: these must have ended
+ * within cancel_s, and a machine that hangs cannot stop them. Returning starts no task, and is idempotent: a successor
+ * may return the same machines again. */
 static gboolean
 may_return_now (const FtMachineEviction *eviction, const FtMachine *machine)
 {
--- a/src/core/cloud_inventory.c
+++ b/src/core/cloud_inventory.c
@@ -18,7 +18,7 @@
 update_machine (FtRecovery *recovery, FtMachine *machine, const FtListedMachine *entry)
 {
   if (entry->state == FT_LISTED_FAILED && machine->state != FT_MACHINE_GONE) {
-    /* It stopped on its own and comes back no more. */
+    /* It stopped by itself and will not boot again. */
     if (machine->state != FT_MACHINE_TERMINATING)
       ft_machine_terminate (machine, "failed");
     ft_attempt_end_incarnation (machine);
--- a/src/core/cloud_pool.c
+++ b/src/core/cloud_pool.c
@@ -72,7 +72,7 @@
   if (!set_request (pool, FT_LAUNCH_REQUEST_PENDING))
     return;
   pool->asked = count;
-  /* The token makes the name unique for ever: no other leadership has it. */
+  /* The token makes the name unique: no other leadership uses it. */
   pool->booking = g_strdup_printf ("flintrack-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, token, pools->next_booking++);
   pool->send_at = now;
   g_message ("scale out: launch request %s: %u %s in %s%s", pool->booking, count, pool->type, pool->zone,
--- a/src/core/cloud_pool.h
+++ b/src/core/cloud_pool.h
@@ -18,7 +18,7 @@
 typedef struct {
   const char *type, *zone; /* interned */
   gboolean spot;
-  gint64 refused_until; /* the cloud has refused a launch: not asked again before that time */
+  gint64 refused_until; /* the cloud has refused a launch: no launch request before that time */
 
   FtLaunchRequest request; /* changed by the functions of this module only */
   char *booking;           /* identifies the request; NULL if there is none */
@@ -55,5 +55,5 @@
 /* The pool's request has been answered: it has none any more. */
 void ft_cloud_pool_request_answered (FtCloudPool *pool);
 
-/* The cloud has refused all or part of the request: the pool is not asked again for a while. */
+/* The cloud has refused all or part of the request: the pool gets no launch request for FT_REFUSED_PAUSE_S. */
 void ft_cloud_pool_refused (FtCloudPool *pool, gint64 now);
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -15,14 +15,15 @@
 /* ---- lease ---- */
 /* Seconds a leader may act after a renewal was sent (design default). */
 #define FT_LEASE_S 9.0
-/* Seconds between looks of a follower at the lease rows (design default). */
+/* Seconds between two reads of the lease rows by a follower (design default). */
 #define FT_SWEEP_S 3.0
-/* Share by which a sweep is jittered, so that followers do not look in step. */
+/* Share by which a sweep is jittered, so that followers do not read at the same time. */
 #define FT_SWEEP_JITTER 0.25
 /* Seconds until a sweep that failed is repeated. */
 #define FT_SWEEP_RETRY_S 0.7
-/* Seconds that a renewal of a suspected leader may be overdue; and seconds for which the
- * fence must have stood for a sure hint to be taken at once. */
+/* Seconds that a renewal of a suspected leader may be overdue before its lease is claimed; and seconds for which the
+ * fence must be unchanged for a confirmed suspicion to be acted on at once: where peers refuse each other, leaders
+ * would replace each other twice a second. */
 #define FT_SUSPECT_MARGIN_S 1.0
 #define FT_SUSPECT_STABLE_S 15.0
 /* Renewals go out every lease time divided by this. */
@@ -32,25 +33,25 @@
 #define FT_CLOCK_DRIFT 0.0011
 /* Seconds taken off every lease, for timers that fire late. */
 #define FT_LEASE_MARGIN_S 0.3
-/* Seconds for which a leader starts work after it has last seen all cancellations: a watch
- * that is lost costs four. */
+/* Seconds for which a leader starts work after it last knew all cancellations: a watch that is lost takes up four. */
 #define FT_CANCELLATIONS_FRESH_S 6.0
-/* Seconds kept off the longest hold, for timers that fire late. */
+/* Seconds taken off the answer grace period, for timers that fire late. */
 #define FT_ANSWER_GRACE_MARGIN_S 2.0
 
-/* Seconds without any heartbeat, beyond the longest ordinary gap, after which a
- * leader takes itself for cut off from the workers and gives the lease up. */
+/* Seconds without any heartbeat, beyond the longest ordinary gap, after which a leader considers itself cut off from
+ * the workers and yields leadership. */
 #define FT_CUT_OFF_MARGIN_S 1.5
-/* Seconds of heartbeats that wait too long after which a leader takes itself for too slow;
- * seconds it must have led by then, since a takeover is busy and its successor may be no
- * quicker; and seconds for which it tells its peers that it has given up. */
+/* Seconds for which heartbeats must have waited too long before a leader considers itself too slow; seconds it must
+ * have led by then, since a failover is busy and a successor may be no faster; and seconds for which it advertises to
+ * its peers that it has yielded. */
 #define FT_OVERRUN_S 4.0
 #define FT_OVERRUN_LED_S 45.0
 #define FT_YIELD_ADVERTISED_S 3.0
-/* Seconds a controller that gave the lease up leaves it to others. */
+/* Seconds for which a controller that released the lease does not claim it, so that another one does. */
 #define FT_ABSTAIN_S 20.0
 
-/* Range in seconds of the pause before a renewal that failed is sent again. */
+/* Range in seconds of the pause before a renewal that failed is sent again: several tries fit into a lease time, and
+ * controllers do not retry at the same time. */
 #define FT_RENEW_AGAIN_MIN_S 0.2
 #define FT_RENEW_AGAIN_MAX_S 0.5
 
@@ -93,36 +94,36 @@
 /* Seconds without a heartbeat, beyond the longest ordinary gap, after which a
  * machine counts as silent. */
 #define FT_SILENCE_MARGIN_S 2.0
-/* Seconds between two probes of a machine not heard since the takeover. */
+/* Seconds between two probes of a machine that has not reported since the failover. */
 #define FT_PROBE_EVERY_S 1.0
-/* Seconds after a takeover, or after an answer, until a machine that is not reconciled
- * is probed: most report by themselves meanwhile, at a third of the cost. */
+/* Seconds after a failover, or after an answer, until a machine that is not reconciled is probed: most report by
+ * themselves within that time, at a third of the cost. */
 #define FT_PROBE_FIRST_S 1.5
 /* Seconds beyond the longest ordinary gap after which a heartbeat is overdue. */
 #define FT_OVERDUE_MARGIN_S 1.0
 /* Longest pause between probes of a machine that does not answer, in doublings of the
- * first; probes under way at once: a cut zone's must not keep out the others. */
+ * first; probes in flight at once: those of a zone that is cut off must not block the others. */
 #define FT_PROBE_DOUBLINGS 3
 #define FT_PROBES_MAX 48
 /* Heartbeats in a row that show nothing of our answers, after which a machine counts as
  * not receiving: a lost packet may explain one. */
 #define FT_UNACKNOWLEDGED_MAX 3
-/* Seconds a not receiving machine is probed before it is terminated. */
+/* Seconds for which a machine that does not receive is probed before it is terminated: the fault may be short. */
 #define FT_NOT_RECEIVING_SCALE_IN_S 10.0
-/* Worker leases for which a copy of a direct start may come late, and an attempt without
- * a result stays known to its worker. */
+/* Worker leases for which a copy of a direct start may arrive late, so that its worker must remember an attempt without
+ * a result: a worker that remembers it ignores the copy. */
 #define FT_COPY_LEASES 2.0
-/* Seconds between two ticks from which this controller was late itself, and what it
- * has not heard meanwhile counts against no machine. */
+/* Seconds between two ticks from which on this controller was late itself: heartbeats missing in that time then count
+ * against no machine. */
 #define FT_LATE_TICK_S 1.5
 /* Probes without answer, once the heartbeat is overdue, after which a machine counts
- * as silent; and the same for a machine not heard since the takeover. */
+ * as silent; and the same for a machine that has not reported since the failover. */
 #define FT_PROBES 1
-#define FT_PROBES_TAKEOVER 2
+#define FT_PROBES_FAILOVER 2
 /* Share of the machines that may be terminated for silence within the window. */
 #define FT_SILENT_SCALE_IN_SHARE 0.2
-/* Worker leases for which a machine must have sent no heartbeat to be terminated for silence while
- * more machines are lost than heard: then the leader itself may be cut off. */
+/* Worker leases for which a machine must have sent no heartbeat to be terminated for silence while more machines are
+ * lost than report: then the leader itself may be cut off. */
 #define FT_SILENT_MAJORITY_LEASES 2
 /* Machines that may always be terminated for silence within the window. */
 #define FT_SILENT_SCALE_IN_MIN 2
@@ -132,26 +133,26 @@
  * new work, and share of cancel_s after which the machine is terminated as it is. */
 #define FT_DOUBT_S 5.0
 #define FT_DOUBT_MAX 0.5
-/* Machines of a zone of which none must be heard for the zone to count as unreachable: of
- * fewer, each may have failed for itself. */
+/* Machines that a zone must have, none of which reports, for it to count as unreachable: of fewer, each may have failed
+ * by itself. */
 #define FT_ZONE_MEMBERS 3
 /* Seconds between two launches in an unreachable zone, which show whether it is back. */
 #define FT_ZONE_PROBE_EVERY_S 20.0
-/* Seconds since the store was last seen after which a leader gives up no machine for its
- * silence: it may be cut off itself. A watch tells, when it ends, what was known when it was
- * sent: on a quiet site what is known is two watches old before the next one ends. */
+/* Seconds since the store last answered after which a leader returns no machine for its silence: it may be cut off
+ * itself. A watch proves, when it ends, what was known when it was sent: while no row changes, that is two watches old
+ * before the next one ends. */
 #define FT_GIVE_UP_STORE_SEEN_S (2 * FT_WATCH_S + 0.5)
-/* Seconds by which the store must have been seen after a zone was heard last, for the zone
- * to be given up: what cut off the zone has not cut off this leader as well. */
+/* Seconds by which an answer of the store must be newer than the last report from a zone for the zone's machines to be
+ * returned: what cut off the zone has not cut off this leader as well. */
 #define FT_ZONE_STORE_SEEN_S 1.0
 /* Failures in a row that count against a machine, to quarantine it: one may be chance. */
 #define FT_FAULTS 2
-/* Machines on which a job must have failed, and done well on none, to count as mistaken. */
+/* Machines on which a job must have failed, and completed or progressed on none, to count as mistaken. */
 #define FT_MISTAKEN_MACHINES 3
-/* Seconds by which a task must have outlived those of its job that failed to do well:
- * reports tell of a start some seconds late. */
+/* Seconds by which a task must have outlived those of its job that failed to count as doing well: starts are reported
+ * some seconds late. */
 #define FT_FAULT_MARGIN_S 2.0
-/* Attempts of a job looked at to see whether one does well: bounds the cost of a failure. */
+/* Attempts of a job examined for one that does well: bounds the cost of a failure. */
 #define FT_FAULT_ATTEMPTS 256
 /* Machines that may be quarantined at once: at least, and as a share of all. */
 #define FT_QUARANTINE_MIN 2
@@ -160,7 +161,7 @@
 #define FT_ATTEMPT_BITS 24
 
 /* ---- placement ---- */
-/* Machines with room looked at before the best is taken. */
+/* Machines with room that are compared before the best is taken: bounds the cost of a placement. */
 #define FT_SAMPLE_SIZE 64
 /* Failures of a task that are counted; the pause is at its longest long before. */
 #define FT_FAILS_COUNTED 16
@@ -169,57 +170,54 @@
 #define FT_RETRY_LONGEST_S 30.0
 /* Seconds after its pause during which a failed task keeps off that machine. */
 #define FT_AVOID_S 10.0
-/* Seconds a job waits for room to come free by itself before work is stopped
- * for it. */
+/* Seconds a job waits for room to become free by itself before other work is stopped for it. */
 #define FT_PREEMPT_AFTER_S 0.5
 /* Share of its estimate that a task may have run, and estimates that must be
  * left until its deadline, to be stopped for another. */
 #define FT_PREEMPT_RAN_SHARE 0.25
 #define FT_PREEMPT_SLACK 1.3
-/* Share of cancel_s after which a machine that cannot be asked, and may hold a cancelled
- * task, is terminated whatever the bound on terminations: the rest is for the cloud. */
+/* Share of cancel_s after which a machine that cannot be reached, and may hold a cancelled task, is terminated
+ * regardless of the bound on terminations: the rest of the time is for the cloud. */
 #define FT_CANCELLED_SCALE_IN_SHARE 0.5
-/* Machines heard for each one that is not, for a leader without the store to conclude
- * that the machine, not itself, is cut off. */
-#define FT_STORE_UNREACHABLE_HEARD_RATIO 2
-/* Seconds since the cloud last answered after which it may not be reached any more: it is
- * asked every four, and given five to answer. */
+/* Machines that must report for each one that does not, for a leader without the store to conclude that the machine,
+ * not itself, is cut off. */
+#define FT_STORE_UNREACHABLE_REPORTING_RATIO 2
+/* Seconds since the cloud last answered after which it counts as unreachable: it is called every four, with a time
+ * limit of five. */
 #define FT_CLOUD_SEEN_S 12.0
 /* Least rate in GB per second at which an image is taken to be fetched: a catalog may name none. */
 #define FT_FETCH_RATE_MIN 1e-3
-/* Share of an image's fetch that is still to come, in the mean, if it has begun. */
+/* Share of an image's fetch that remains on average once it has begun. */
 #define FT_SCORE_FETCHING 0.8
-/* What a machine left wholly empty and an ordinary machine weigh in the choice of
- * a machine, in seconds of waiting. */
+/* Weights of a machine left entirely empty, and of an ordinary machine, in the choice of a machine, in seconds of
+ * waiting. */
 #define FT_SCORE_LEFT_S 2.0
 #define FT_SCORE_ORDINARY_S 0.5
-/* What a spot machine's loss rate is taken for until something is known of it: that many
- * losses in that many machine-hours. A thousand machines outweigh it within seconds, a
- * dozen within minutes. */
+/* Prior of a spot machine's loss rate, until there are observations: that many losses in that many machine-hours. A
+ * thousand machines outweigh it within seconds, a dozen within minutes. */
 #define FT_SPOT_PRIOR_LOSSES 0.5
 #define FT_SPOT_PRIOR_HOURS 1.0
-/* By how much the two weigh more for work that is not urgent. */
+/* Factor on both weights for work that is not urgent, which can wait for a better fit. */
 #define FT_SCORE_PACK 4.0
-/* Seconds a task that was stopped for another leaves its room to that one. */
+/* Seconds for which a preempted task is not placed, so that the job it was stopped for takes its room. */
 #define FT_PREEMPTED_PAUSE_S 2.0
 /* A job is too late when less than this share of its estimate is left until its
- * deadline; it lets others pass until it is overdue by this many times the time
- * it had. */
+ * deadline; other jobs are served before it until it is overdue by this many times the time it had. */
 #define FT_TOO_LATE_SHARE 0.3
 #define FT_TOO_LATE_PATIENCE 3.0
 /* Least seconds between two placement passes: a heartbeat that frees room on a machine
  * has it filled without one. */
 #define FT_PASS_EVERY_S 0.1
-/* Jobs looked at to fill one machine. */
+/* Jobs examined to fill one machine: bounds the cost of a heartbeat. */
 #define FT_FILL_JOBS 32
-/* Least seconds between two passes that look for work to stop: they look at all that runs. */
+/* Least seconds between two passes that look for work to preempt: they examine every running attempt. */
 #define FT_PREEMPT_EVERY_S 0.5
-/* Jobs for which one pass may look for work to stop. */
+/* Jobs for which one pass may look for work to preempt: bounds its cost. */
 #define FT_PREEMPT_JOBS 8
-/* Kinds of tasks that found no room, remembered within a pass. */
+/* Kinds of tasks that found no room, remembered within a pass: bounds the cost of comparing them. */
 #define FT_FULL_SHAPES 16
-/* Seconds a job may wait to begin before it goes ahead of all: half of the four
- * minutes that the users give even the largest. */
+/* Seconds a job may wait to begin before it is served ahead of all others: half of the four minutes within which even
+ * the largest must begin. */
 #define FT_STARVED_AFTER_S 120.0
 /* Most tasks placed in one pass, so that a pass stays short. */
 #define FT_PASS_TASKS 256
@@ -236,15 +234,15 @@
 #define FT_IDLE_SPOT_S 40.0
 #define FT_IDLE_ORDINARY_S 25.0
 /* Idle capacity kept, as a share of what is in use, for each second that a
- * machine takes to boot: the longer that is, the more demand may rise meanwhile. */
+ * machine takes to boot: the longer that is, the more demand may rise before it is up. */
 #define FT_HEADROOM_PER_BOOT_S 0.006
-/* Seconds before a pool that refused is asked again. */
+/* Seconds before the next launch request to a pool that refused: its capacity does not return at once. */
 #define FT_REFUSED_PAUSE_S 8.0
 /* A machine that boots longer than this many nominal boot times, plus the
- * seconds below, is taken for one that never comes up. */
+ * seconds below, counts as one that will never come up. */
 #define FT_BOOT_FACTOR 3.0
 #define FT_BOOT_PLUS_S 20.0
-/* Share of a machine that must be wanted before one is launched. */
+/* Share of a machine that must be needed before one is launched: less is served when room becomes free. */
 #define FT_SCALE_OUT_FROM 0.2
 /* Nominal boot time in seconds of a type that is not in the catalog. */
 #define FT_BOOT_UNKNOWN_S 60.0
@@ -260,22 +258,22 @@
 /* Least seconds charged for a machine (protocol): no earlier return saves. */
 #define FT_LEAST_CHARGED_S 60.0
 /* A task that will have run less than this share of its estimate when its spot
- * machine is taken goes elsewhere at once. */
+ * machine is taken is restarted elsewhere at once: little progress is lost. */
 #define FT_NOTICE_LOST_SHARE 0.6
 /* Seconds after the end of a spot notice at which a machine that has not reported
- * since counts as taken. */
+ * since counts as taken by the cloud. */
 #define FT_NOTICE_MARGIN_S 0.5
 /* Seconds before a return that failed is tried again. */
 #define FT_TERMINATE_RETRY_S 1.0
 /* Seconds before a launch request that got no answer is repeated. */
 #define FT_LAUNCH_RETRY_S 1.0
-/* Machines asked for in one launch request (protocol: at most 50). */
+/* Machines in one launch request (protocol: at most 50). */
 #define FT_SCALE_OUT_MAX 50
 /* Machines named in one return request (protocol: at most 100). */
 #define FT_SCALE_IN_MAX 100
 
-/* What a machine of a type not in the catalog may hold, in CPUs or GPUs: above any
- * team's limit, so that what it may run unseen counts in full. */
+/* What a machine of a type not in the catalog may hold, in CPUs or GPUs: above any team's limit, so that unknown tasks
+ * it may run count in full. */
 #define FT_CAPACITY_UNKNOWN 1e9
 
 /* Tasks by which a job's dispatch watermark is raised at least, once some have been sent. */
@@ -291,15 +289,15 @@
 #define FT_BATCH_INVALID_PAUSE_S 1.0
 
 /* ---- jobs that wait for others ---- */
-/* Seconds until the row of a job that others wait for is read again, if it was open and the job
- * has not come by the watch. */
+/* Seconds until the row of a job that others wait for is read again, if it was open and the watch has not shown the
+ * job. */
 #define FT_DEPENDENCY_READ_EVERY_S 1.0
-/* Such readings under way at once. */
+/* Such reads in flight at once: bounds their share of the store's requests. */
 #define FT_DEPENDENCY_READS_MAX 8
-/* Share of cancel_s for which a controller tells that a job is open without looking again
- * whether something that it needs was cancelled. */
+/* Share of cancel_s for which a controller reports that a job is open without reading again whether one of its
+ * ancestors was cancelled. */
 #define FT_ANCESTORS_FRESH 0.5
-/* Jobs that one request looks at at once. */
+/* Jobs that one request reads at once: bounds its share of the store's requests. */
 #define FT_ANCESTORS_READS_MAX 16
 
 /* ---- registry ---- */
@@ -309,12 +307,12 @@
 #define FT_REGISTRY_ROW_SHARE 0.9
 /* Rows in one transaction: together they stay below the largest body. */
 #define FT_REGISTRY_ROWS_AT_ONCE 3
-/* Seconds until a removal is written: many go in one change. */
+/* Seconds until a removal is written: many are then combined in one change. */
 #define FT_REGISTRY_DELETE_AFTER_S 1.0
 
 /* ---- jobs ---- */
 /* Least seconds between two writes of a job's done-set, and share of the state service's
- * changes that done-sets may take: with many jobs under way each is written less often. */
+ * changes that done-sets may take: with many running jobs each is written less often. */
 #define FT_CHUNK_EVERY_S 3.0
 #define FT_CHUNK_WRITE_SHARE 0.25
 /* Chunks of done-sets written, and deleted, in a batch while less than this share of a second's
@@ -323,27 +321,30 @@
 #define FT_SPARE_WRITES_SHARE 0.6
 /* Tasks of one job (protocol). */
 #define FT_JOB_TASKS_MAX 100000
-/* Unfinished tasks held in memory before submissions are put off. */
+/* Unfinished tasks held in memory before submissions are refused for the time being: bounds the memory. */
 #define FT_OPEN_TASKS_MAX 1000000
 /* Tasks in one chunk of a done-set: 4096 bits are 684 characters. */
 #define FT_DONE_CHUNK 4096
 /* Longest text accepted in any field, in bytes. */
 #define FT_TEXT_MAX 128
 
-/* ---- wire and net ---- */
+/* ---- messages ---- */
 /* Largest amount accepted, far above any machine or run time. */
 #define FT_AMOUNT_MAX 1e9
 /* Largest request body in bytes (protocol). */
 #define FT_BODY_MAX 65536
 /* Deepest nesting accepted in a message. */
 #define FT_NESTING_MAX 16
+/* Seconds between two log lines on malformed messages of the same source: one broken worker
+ * must not fill the log. */
+#define FT_MALFORMED_LOG_S 10.0
+
+/* ---- requests to the state service ---- */
 /* Seconds a state request may take before it counts as unanswered. */
 #define FT_STORE_TIMEOUT_S 1.5
 /* Seconds a watch waits on the server, and we on it beyond that. */
 #define FT_WATCH_S 2.0
 #define FT_WATCH_SLACK_S 2.0
-/* Seconds a cloud request may take. */
-#define FT_CLOUD_TIMEOUT_S 5.0
 /* Share of the state service's requests that a leader and each follower allow themselves, and
  * the same for its changes, most of which are the leader's. All of them at once are more than
  * the limit; what is refused is sent again, more slowly. */
@@ -351,33 +352,64 @@
 #define FT_FOLLOWER_SHARE 0.22
 #define FT_LEADER_WRITE_SHARE 0.74
 #define FT_FOLLOWER_WRITE_SHARE 0.17
-/* Share of a budget that comes back in a second after a refusal for the rate, and the least
+/* Share of a budget that is restored in a second after a refusal for the rate, and the least
  * that is left of it. */
 #define FT_BUDGET_RECOVERY 0.1
 #define FT_BUDGET_MIN 0.05
 /* Times that a request is sent again by itself after such refusals. */
 #define FT_STORE_RESENDS 3
-/* Share of the cloud limit the leader allows itself. */
-#define FT_CLOUD_SHARE 0.8
+/* Milliseconds until a used-up budget is checked again. */
+#define FT_BUDGET_WAIT_MS 20
 /* Requests waiting for the state service before new user requests get 503. */
 #define FT_STORE_QUEUE_MAX 64
-/* Seconds for which a submission may have to wait for the changes before it; beyond that its
- * user is told at once to come back. */
+/* Rows in one list request (protocol: at most 1,000). */
+#define FT_LIST_LIMIT 1000
+/* Conditions that a transaction may have for each change it may have (protocol). */
+#define FT_CONDITIONS_PER_CHANGE 4
+/* Seconds without a state answer after which contact counts as lost. */
+#define FT_CONTACT_LOST_S 2.0
+/* Seconds by which a peer must have been served later than this controller was refused, for the fault to be here. */
+#define FT_READY_MARGIN_S 1.0
+/* Seconds between two reads of the operators' settings. */
+#define FT_SETTINGS_EVERY_S 5.0
+
+/* ---- requests to the cloud ---- */
+/* Seconds a cloud request may take. */
+#define FT_CLOUD_TIMEOUT_S 5.0
+/* Share of the cloud limit the leader allows itself. */
+#define FT_CLOUD_SHARE 0.8
+/* Cloud calls in flight at once. */
+#define FT_CLOUD_CALLS_MAX 3
+/* Machines in one list request (protocol: at most 500). */
+#define FT_CLOUD_LIST_LIMIT 500
+
+/* ---- users' requests ---- */
+/* Seconds for which a submission may have to wait for the changes before it; beyond that the user gets 503 with
+ * Retry-After at once. */
 #define FT_SUBMIT_WAIT_MAX_S 2.0
-/* Milliseconds until a used-up budget is looked at again. */
-#define FT_BUDGET_WAIT_MS 20
 /* Seconds a user's request may wait for the state service in all. */
 #define FT_USER_DEADLINE_S 3.0
+/* Seconds named in Retry-After. */
+#define FT_RETRY_AFTER_S 1
+/* Tries of a cancellation that races with other changes. */
+#define FT_CANCEL_TRIES 3
+/* Open jobs whose revision is kept for polls; polls that wait at once. */
+#define FT_JOB_CACHE_OPEN_MAX 16384
+#define FT_POLLS_MAX 4096
+/* Final states kept in memory. */
+#define FT_JOB_CACHE_ENDED_MAX 4096
+
+/* ---- administration and metrics ---- */
 /* Refs of jobs shown in one field of a list for operators. */
 #define FT_ADMIN_REFS_MAX 8
-/* Seconds between two reads of the operators' settings. */
-#define FT_SETTINGS_EVERY_S 5.0
 /* Seconds flintctl waits for one controller. */
 #define FT_CTL_TIMEOUT_S 3.0
 /* Latency histograms: bucket count, and their range in milliseconds. */
 #define FT_HISTOGRAM_BUCKETS 48
 #define FT_HISTOGRAM_MIN_MS 0.1
 #define FT_HISTOGRAM_MAX_MS 100000.0
+
+/* ---- peers ---- */
 /* Seconds between peer heartbeats, and their time limit. */
 #define FT_PEER_EVERY_S 1.0
 #define FT_PEER_TIMEOUT_S 1.0
@@ -385,62 +417,54 @@
  * the next one then; and refusals in a row after which a leader is suspected. */
 #define FT_PEER_REFUSED_S 0.3
 #define FT_PEER_RETRY_S 0.3
+#define FT_PEER_REFUSALS 2
 /* Seconds for which heartbeats name a cancellation, so that one that is lost does not
  * matter, and cancellations in one heartbeat, whose body is bounded. */
 #define FT_PEER_CANCELLATIONS_S 5.0
 #define FT_PEER_CANCELLATIONS_MAX 200
-#define FT_PEER_REFUSALS 2
-/* Seconds for which a peer's answer shows that the peers works. */
+/* Seconds for which a peer's answer shows that connections between peers work. */
 #define FT_PEER_WITNESS_S 1.5
 /* Seconds after which what a peer said no longer counts. */
 #define FT_PEER_FRESH_S 3.5
-/* Seconds without a state answer after which contact counts as lost. */
-#define FT_CONTACT_LOST_S 2.0
-/* Seconds by which a peer must have been served later than we were refused. */
-#define FT_READY_MARGIN_S 1.0
-/* Seconds named in Retry-After. */
-#define FT_RETRY_AFTER_S 1
-/* Open jobs whose revision is kept for polls; polls that wait at once. */
-#define FT_JOB_CACHE_OPEN_MAX 16384
-#define FT_POLLS_MAX 4096
-/* Conditions that a transaction may have for each change it may have (protocol). */
-#define FT_CONDITIONS_PER_CHANGE 4
-/* Seconds between two log lines on malformed messages of the same source: one broken worker
- * must not fill the log. */
-#define FT_MALFORMED_LOG_S 10.0
 /* Open jobs in one heartbeat: its body stays well within the largest. */
 #define FT_PEER_JOBS_MAX 1000
-/* Final states kept in memory. */
-#define FT_JOB_CACHE_ENDED_MAX 4096
-/* Connections that are still taken in beyond the share below, to be told to close. */
-#define FT_CONNECTIONS_SPARE 64
-/* Bytes the server keeps for a connection: headers and a piece of the body. */
-#define FT_CONNECTION_MEMORY 8192
-/* Share of the socket limit open connections may take. */
-#define FT_SOCKET_SHARE 0.8
+
+/* ---- timers and workers ---- */
 /* Milliseconds between two runs of a controller's timers. */
 #define FT_TICK_MS 100
 /* Seconds between two ticks of the scheduler. */
 #define FT_SCHEDULER_TICK_S 0.5
-/* Heartbeats handled without a look at the timers, and seconds of waiting from which the
- * newest go first: a worker gives up after four, and an answer then is in vain. */
+/* Heartbeats handled between two checks of the timers, and seconds of waiting from which on the newest are answered
+ * first: a worker closes its request after four, and an answer after that is lost. */
 #define FT_HEARTBEATS_AT_ONCE 32
 #define FT_HEARTBEAT_LATE_S 2.0
-/* Direct commands under way at once. */
+/* Direct commands in flight at once: bounds the client's connections. */
 #define FT_DIRECT_MAX 96
-/* Cloud calls under way at once. */
-#define FT_CLOUD_CALLS_MAX 3
-/* Events of the client's sockets taken at once. */
+/* Seconds after a failover before missing heartbeats count as being cut off. */
+#define FT_CUT_OFF_GRACE_S 12.0
+/* Machines that must have reported before a leader may conclude that it is cut off. */
+#define FT_CUT_OFF_MACHINES 3
+
+/* ---- HTTP server ---- */
+/* Connections that are still accepted beyond the share below, only to be answered and closed. */
+#define FT_CONNECTIONS_SPARE 64
+/* Bytes the server keeps for a connection: headers and a piece of the body. */
+#define FT_CONNECTION_MEMORY 8192
+/* Share of the socket limit open connections may take. */
+#define FT_SOCKET_SHARE 0.8
+/* Bytes of a body beyond which the connection is closed unread. */
+#define FT_BODY_CUT (4UL * FT_BODY_MAX)
+
+/* ---- HTTP client ---- */
+/* Events of the client's sockets handled in one turn of the main loop. */
 #define FT_EVENTS_AT_ONCE 64
 /* Connections kept to one host by the client. */
 #define FT_CONNECTIONS_PER_HOST 12
 /* Seconds an unused client connection is kept. */
 #define FT_CLIENT_IDLE_S 30
-/* Largest answer taken in, in bytes: a page of the store has 512 KiB, a watch that
+/* Largest answer accepted, in bytes: a page of the store has 512 KiB, a watch that
  * fell behind more. */
 #define FT_ANSWER_MAX (32u << 20)
-/* Bytes of a body beyond which the connection is closed unread. */
-#define FT_BODY_CUT (4UL * FT_BODY_MAX)
 /* First and longest pause in seconds between attempts at a service that fails; each is twice the one before. */
 #define FT_BACKOFF_FIRST_S 0.15
 #define FT_BACKOFF_LONGEST_S 1.0
@@ -449,13 +473,3 @@
 /* Shares between which a pause is spread, so that controllers that failed together do not repeat together. */
 #define FT_BACKOFF_JITTER_LEAST 0.5
 #define FT_BACKOFF_JITTER_MOST 1.5
-/* Tries of a cancellation that races with other changes. */
-#define FT_CANCEL_TRIES 3
-/* Rows asked for in one list (protocol: at most 1,000). */
-#define FT_LIST_LIMIT 1000
-/* Machines asked for in one list (protocol: at most 500). */
-#define FT_CLOUD_LIST_LIMIT 500
-/* Seconds after a takeover before missing reports count as being cut off. */
-#define FT_CUT_OFF_GRACE_S 12.0
-/* Machines that must have been heard before being cut off is considered. */
-#define FT_CUT_OFF_MACHINES 3
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -1,7 +1,7 @@
 /* What all modules of the core share: the settings, the time of the event being handled and what the
  * leader knows of its own standing. Owned by the scheduler, which alone writes it unless a field says
  * otherwise; the other modules borrow it. Times are microseconds of the steady clock, set to those of
- * the event: no module of the core asks a clock. */
+ * the event: no module of the core reads a clock. */
 #pragma once
 #include "core/constants.h"
 #include "core/tuning.h"
@@ -13,7 +13,7 @@
   guint64 token;          /* our fencing token */
   gint64 now;             /* time of the event being handled */
   gint64 took_over_at;    /* when this leadership began */
-  gint64 loaded_at;       /* when the rows of the store had been read */
+  gint64 loaded_at;       /* when the rows of the store were read completely */
   gint64 answer_grace_us; /* how long a leader whose lease has expired may go on answering heartbeats */
   GRand *random;          /* seeded, so that a run can be repeated */
   FtTuning tuning;        /* operators' settings */
--- a/src/core/dependency.c
+++ b/src/core/dependency.c
@@ -130,7 +130,7 @@
   }
 }
 
-/* Marks all dependents of the job as cancelled, direct and indirect ones. */
+/* Sets all dependents of the job as cancelled, direct and indirect ones. */
 static void
 cancel_dependents (FtDependencyGraph *graph, Node *cancelled)
 {
--- a/src/core/direct_command.h
+++ b/src/core/direct_command.h
@@ -1,5 +1,5 @@
 /* A direct request to one machine: the type alone. Made by the core (direct_commands.h, probes.h), sent by the network
- * layer, which hands it back with the result. A probe is one without commands: it only asks for the worker's status. */
+ * layer, which returns it with the result. A probe is one without commands: it only asks for the worker's status. */
 #pragma once
 #include <glib.h>
 
@@ -15,6 +15,6 @@
 
 typedef enum {
   FT_DIRECT_OK,
-  FT_DIRECT_CONFLICT,   /* refused as a whole, for its incarnation or its token */
+  FT_DIRECT_CONFLICT,   /* all commands refused, for its incarnation or its token */
   FT_DIRECT_UNANSWERED, /* perhaps carried out, or still to be */
 } FtDirectResult;
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -78,7 +78,7 @@
     ft_attempt_direct_start_unanswered (attempt);
   else
     ft_attempt_direct_start_answered (attempt);
-  /* Refused as a whole: this copy was not executed and never will be. */
+  /* All of it was refused: this copy was not executed and never will be. */
   if (result == FT_DIRECT_CONFLICT && attempt->state == FT_ATTEMPT_PLACED && ft_attempt_stop_wanted (attempt)
       && attempt->sent_sequence == 0)
     ft_attempt_end (attempt);
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -53,16 +53,17 @@
   return machine->fitness.last_failed != job->revision;
 }
 
-/* Whatever goes wrong, most machines stay in use. */
+static gboolean
+is_quarantined (const FtMachine *machine)
+{
+  return machine->fitness.quarantined;
+}
+
+/* Bounds the harm of a wrong judgement: most machines always stay in use. */
 static gboolean
 may_quarantine_one_more (const FtMachineTable *table)
 {
-  guint quarantined = 0;
-  GHashTableIter it;
-  gpointer value;
-  g_hash_table_iter_init (&it, table->machines);
-  while (g_hash_table_iter_next (&it, NULL, &value))
-    quarantined += ((const FtMachine *) value)->fitness.quarantined;
+  guint quarantined = ft_machine_table_count (table, is_quarantined);
   return quarantined < MAX (FT_QUARANTINE_MIN, FT_QUARANTINE_SHARE * g_hash_table_size (table->machines));
 }
 
--- a/src/core/interruption_notice.h
+++ b/src/core/interruption_notice.h
@@ -1,7 +1,7 @@
 /* The notice with which the cloud announces that it takes a spot machine back.
  *
- * The machine gets no more starts. What saves its progress is stopped in time to do so; what is sure to be lost anyway
- * goes elsewhere at once; the rest may complete. Called for each heartbeat that carries a notice. */
+ * The machine gets no more starts. What saves its progress is stopped in time to do so; what would certainly be lost is
+ * started elsewhere at once; the rest may complete. Called for each heartbeat that carries a notice. */
 #pragma once
 #include "core/machine.h"
 #include "core/spot_risk.h"
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -55,7 +55,7 @@
   gint64 deadline_at;            /* its own, or the earliest of its dependents; 0: none */
   FtPriority priority;           /* its own, or the highest of its dependents */
   gboolean dependency_cancelled; /* a dependency is cancelled, and so the job will be */
-  gint64 cancelled_at;           /* when its cancellation was committed, for all we know */
+  gint64 cancelled_at;           /* when its cancellation was committed, as far as this process knows */
   gboolean cancellation_read;    /* from its row; a cancellation that was only advised proves nothing */
 
   gboolean guaranteed, too_late;
@@ -74,7 +74,7 @@
 /* Frees the job with its spec; NULL is ignored. Its attempts must have been detached. */
 void ft_job_free (FtJob *job);
 
-/* The one place where a job's state changes. `reason` goes to the log. FALSE: refused, since states
+/* The one place where a job's state changes. `reason` is logged. FALSE: refused, since states
  * are only left for later ones. */
 gboolean ft_job_set_state (FtJob *job, FtJobState to, const char *reason);
 
--- a/src/core/job_table.h
+++ b/src/core/job_table.h
@@ -50,7 +50,7 @@
 /* The row of the job's cancellation was read; it was committed at `at`. */
 void ft_job_table_cancellation_read (FtJobTable *table, const char *ref, gint64 at);
 
-/* Advisory: somebody says that the job is cancelled. Its tasks are stopped, but its rows stay until
+/* Advisory: a peer reports that the job is cancelled. Its tasks are stopped, but its rows stay until
  * the cancellation is read. */
 void ft_job_table_cancellation_advised (FtJobTable *table, const char *ref);
 
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -107,7 +107,7 @@
   return FALSE;
 }
 
-/* The one place where the state changes. `reason` goes to the log. */
+/* The one place where the state changes. `reason` is logged. */
 static gboolean
 set_state (FtLease *lease, FtLeaseState to, const char *reason)
 {
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -15,7 +15,7 @@
 #include <glib.h>
 
 typedef enum {
-  FT_LEASE_FOLLOWING, /* somebody else may hold the lease, or nobody */
+  FT_LEASE_FOLLOWING, /* another controller may hold the lease, or none */
   FT_LEASE_ACQUIRING, /* our acquisition is in flight or unanswered */
   FT_LEASE_HOLDING,   /* we hold it and may place until it expires */
   FT_LEASE_EXPIRED,   /* not renewed in time: no starts; heartbeats are answered for the answer grace period */
@@ -30,8 +30,8 @@
   guint64 incarnation;
   guint64 fence_revision;
   guint64 renewal_revision;
-  gint64 lease_us;   /* the lease time its holder counts with; 0: unknown */
-  gboolean released; /* the holder has given the lease up */
+  gint64 lease_us;   /* the lease time that its holder works with; 0: unknown */
+  gboolean released; /* the holder has released the lease */
 } FtLeaseRows;
 
 /* Frees what the rows own, not the struct. */
@@ -52,7 +52,7 @@
 /* The state's name as operators see it. */
 const char *ft_lease_state_name (FtLeaseState state);
 
-/* Changes the times, at any moment: a holder counts with what its last renewal wrote, and a follower
+/* Changes the times, at any moment: a holder works with what its last renewal wrote, and a follower
  * with the longer of its own lease time and what the row says. `jitter`: share by which reads of the
  * rows are jittered. `renew_fraction`: a lease is renewed that many times within its lease time. */
 void ft_lease_set_times (FtLease *lease, gint64 lease_us, gint64 sweep_us, double jitter, double renew_fraction);
@@ -64,14 +64,14 @@
 /* A follower should read the rows now. */
 gboolean ft_lease_sweep_due (const FtLease *lease, gint64 now);
 
-/* The rows as read by an answer that came at `now`; copied. A holder loses the lease if they show that
- * somebody acquired it. */
+/* The rows as read by an answer that came at `now`; copied. A holder loses the lease if they show that another
+ * controller acquired it. */
 void ft_lease_observe (FtLease *lease, gint64 now, const FtLeaseRows *rows);
 
 /* A sweep failed: time during which the rows cannot be read does not count against the holder. */
 void ft_lease_sweep_failed (FtLease *lease, gint64 now);
 
-/* Peers find this holder gone. Advisory: the rows are read at once, and the lease may be claimed before
+/* Peers report this holder as gone. Advisory: the rows are read at once, and the lease may be claimed before
  * its time is over. If `confirmed` (another peer answers us) and the fence is not new, that is as soon
  * as the rows are seen not to have changed, else when a renewal is overdue. The claim is
  * fenced like any other, but the holder may live: it can start nothing beyond the
@@ -107,11 +107,11 @@
 void ft_lease_renew_failed (FtLease *lease, gint64 now);
 /* The fence moved on, or a higher token was seen: we are no longer leader. */
 void ft_lease_lost (FtLease *lease, gint64 now);
-/* The holder has written that it gives the lease up: it does not claim again for FT_ABSTAIN_S. */
+/* The holder has written that it releases the lease: it does not claim again for FT_ABSTAIN_S. */
 void ft_lease_released (FtLease *lease, gint64 now);
 /* Moves HOLDING to EXPIRED when its time is over. */
 void ft_lease_tick (FtLease *lease, gint64 now);
-/* Yields leadership: the holder starts nothing more, and goes on answering heartbeats
+/* Yields leadership: the holder starts nothing more, and continues to answer heartbeats
  * until it is succeeded, its answer grace period is over or a renewal succeeds after all. */
 void ft_lease_yield (FtLease *lease, gint64 now);
 
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -102,7 +102,7 @@
   FtMachineState from = machine->state;
   if (from == to)
     return TRUE;
-  /* What is being returned comes back to no other state, and GONE is final. */
+  /* A machine that is being returned can only become GONE, which is final. */
   if (from == FT_MACHINE_GONE || (from == FT_MACHINE_TERMINATING && to != FT_MACHINE_GONE)
       || to == FT_MACHINE_BOOTING) {
     g_warning ("machine %s: refused move %s -> %s (%s)", machine->name, names[from], names[to], reason);
@@ -133,6 +133,12 @@
   machine->addr = g_strdup (addr);
 }
 
+gboolean
+ft_machine_should_report (const FtMachine *machine)
+{
+  return machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT;
+}
+
 gboolean
 ft_machine_usable (const FtMachine *machine)
 {
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -5,8 +5,8 @@
  *        +----------+-----------+---> TERMINATING ---> GONE
  *
  * A machine becomes known when a launch is answered, when the cloud lists it, when its first
- * heartbeat arrives or when the registry is read after a takeover. TERMINATING is final but for GONE:
- * from then on it gets no starts, and the cloud is asked to return it until it confirms. A machine
+ * heartbeat arrives or when the registry is read after a failover. TERMINATING is final but for GONE:
+ * from then on it gets no starts, and return calls are sent until the cloud confirms. A machine
  * that is GONE stays in the table while a request that concerns it is in flight.
  *
  * Machines are owned by the machine table. They know nothing of the modules above: what these have
@@ -25,7 +25,7 @@
   FT_MACHINE_BOOTING,     /* launched, no heartbeat yet */
   FT_MACHINE_UP,          /* its heartbeats come */
   FT_MACHINE_SILENT,      /* its heartbeats came, and no longer do */
-  FT_MACHINE_TERMINATING, /* gets no starts; the cloud is asked to return it */
+  FT_MACHINE_TERMINATING, /* gets no starts; is being returned to the cloud */
   FT_MACHINE_GONE,        /* returned or failed */
 } FtMachineState;
 
@@ -44,7 +44,8 @@
 void ft_machine_queues_clear (FtMachineQueues *queues);
 
 /* The requests that concern a machine. At most one command and one return call are in flight for it; each is
- * independent of the other, and of the queues: what comes up while a command is in flight queues the machine again. */
+ * independent of the other, and of the queues: work decided while a command is in flight queues the machine
+ * again. */
 typedef struct {
   gboolean direct_queued;     /* is in FtMachineQueues.directs; set by ft_machine_queue_direct() */
   gboolean probe_queued;      /* is in FtMachineQueues.probes; set by ft_machine_queue_probe() */
@@ -78,7 +79,7 @@
   gint64 idle_since;             /* with ft_machine_idle(): since when */
   gint64 notice_until;           /* when its interruption notice ends; 0: none */
   gboolean counted_unreconciled; /* counted by the recovery among the unreconciled machines */
-  gboolean reconciled;           /* heard under our token, or certainly empty; ft_machine_set_reconciled() sets it */
+  gboolean reconciled;           /* reported under our token, or certainly empty; ft_machine_set_reconciled() sets it */
   FtRegistryRow *row;            /* the registry row that names it; NULL: none yet */
   FtRegistryRow *split_row;      /* a stored row that names it until `row` is stored; NULL: none */
   gboolean registered;           /* that row is committed */
@@ -98,14 +99,14 @@
 /* Called by the machine table. Ends its attempts without a trace, and takes it out of the queues of requests. */
 void ft_machine_free (FtMachine *machine);
 
-/* The one place where a machine's state changes. `reason` goes to the log. FALSE: a move that the lifecycle does
+/* The one place where a machine's state changes. `reason` is logged. FALSE: a move that the lifecycle does
  * not have; refused. */
 gboolean ft_machine_set_state (FtMachine *machine, FtMachineState to, const char *reason);
 
 /* The state's name as operators see it. */
 const char *ft_machine_state_name (FtMachineState state);
 
-/* Gives the machine up: no more starts, and the cloud is asked to return it. */
+/* Begins its return: it gets no more starts, and return calls are sent until the cloud confirms. */
 void ft_machine_terminate (FtMachine *machine, const char *reason);
 
 /* The cloud may have given it an address, or another one. */
@@ -120,6 +121,9 @@
 /* The machine may want a probe. */
 void ft_machine_queue_probe (FtMachine *machine);
 
+/* Its heartbeats should arrive: it has been up, and is not being returned. */
+gboolean ft_machine_should_report (const FtMachine *machine);
+
 /* New work may be started on it now. */
 gboolean ft_machine_usable (const FtMachine *machine);
 
@@ -140,9 +144,9 @@
 
 /* ---- reachability ---- */
 
-/* Its heartbeats come, but neither answers nor commands seem to reach it. */
+/* Its heartbeats arrive, but neither answers nor commands seem to reach it. */
 gboolean ft_machine_not_receiving (const FtMachine *machine);
 
-/* Commands reach it, but its heartbeats reach nobody: whatever is started there dies with
- * its lease. Counted from its own heartbeats alone, while we were there to answer them. */
+/* Commands reach it, but its heartbeats reach no controller: what is started there ends with its worker
+ * lease. Judged by its own heartbeats alone, over the time in which this leader could have answered them. */
 gboolean ft_machine_not_reporting (const FtMachine *machine);
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -2,24 +2,24 @@
 
 #include "core/fault.h"
 
-/* Machines heard, and machines that should be heard and are not. */
+/* Machines whose heartbeats arrive, and machines whose heartbeats should arrive and do not. */
 typedef struct {
-  guint heard, lost;
-} HeardCount;
+  guint reporting, lost;
+} ReportingCount;
 
-static HeardCount
-count_heard (const FtMachineTable *table)
+static ReportingCount
+count_reporting (const FtMachineTable *table)
 {
-  HeardCount count = { 0 };
+  ReportingCount count = { 0 };
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init (&it, table->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
-    gboolean heard
+    gboolean reporting
         = machine->state == FT_MACHINE_UP && !ft_machine_not_receiving (machine) && !ft_machine_not_reporting (machine);
-    count.heard += heard;
-    count.lost += !heard && (machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT);
+    count.reporting += reporting;
+    count.lost += !reporting && ft_machine_should_report (machine);
   }
   return count;
 }
@@ -71,19 +71,19 @@
   return context->cloud_answered_at > 0 && context->now - context->cloud_answered_at < ft_seconds (FT_CLOUD_SEEN_S);
 }
 
-/* Any task may have been cancelled since the store was seen last, and one on a machine
- * that hangs outlives its lease. A leader that is cut off itself hears few machines and
- * no cloud, and must not give back, late, what its successor uses. */
+/* Any task may have been cancelled since the store last answered, and one on a machine that hangs outlives its
+ * worker lease. A leader that is itself cut off gets few heartbeats and no cloud answers; it must not return, late,
+ * machines that its successor uses. */
 static gboolean
-is_store_unreachable (const FtCoreContext *context, HeardCount count)
+is_store_unreachable (const FtCoreContext *context, ReportingCount count)
 {
   return is_pressing (context, context->now - context->cancellations_known_until)
-         && (FT_STORE_UNREACHABLE_HEARD_RATIO * count.lost <= count.heard || cloud_answers (context));
+         && (FT_STORE_UNREACHABLE_REPORTING_RATIO * count.lost <= count.reporting || cloud_answers (context));
 }
 
-/* What an unreconciled machine holds nobody knows, and without the store nobody knows what
- * was cancelled. Given back for that alone, a cut zone would go with each cancellation:
- * not before half of the time is over. */
+/* What an unreconciled machine holds is unknown, and without the store so is what was cancelled. Were that alone a
+ * reason to return a machine, each cancellation would empty a zone that is cut off: hence only after
+ * FT_CANCELLED_SCALE_IN_SHARE of cancel_s. */
 gboolean
 ft_machine_eviction_may_hold_cancelled (const FtMachineEviction *eviction, const FtMachine *machine)
 {
@@ -94,7 +94,7 @@
 
 /* ---- lost machines ---- */
 
-/* The store has been seen since the zone was heard last: it is the zone that is cut off. */
+/* The store has answered since a machine of the zone last reported: the zone is cut off, not this leader. */
 static gboolean
 zone_alone_lost (const FtCoreContext *context, const FtZone *zone)
 {
@@ -104,30 +104,29 @@
 
 /* TRUE if one more machine may be terminated for silence in the present window. */
 static gboolean
-window_allows (FtMachineEviction *eviction, HeardCount count)
+window_allows (FtMachineEviction *eviction, ReportingCount count)
 {
   gint64 now = eviction->context->now;
   if (now - eviction->window_at > ft_seconds (FT_SILENT_SCALE_IN_WINDOW_S)) {
     eviction->window_at = now;
     eviction->window_terminated = 0;
   }
-  guint most = MAX (FT_SILENT_SCALE_IN_MIN, (guint) (FT_SILENT_SCALE_IN_SHARE * (count.heard + count.lost)));
+  guint most = MAX (FT_SILENT_SCALE_IN_MIN, (guint) (FT_SILENT_SCALE_IN_SHARE * (count.reporting + count.lost)));
   return eviction->window_terminated < most;
 }
 
-/* A controller that is itself cut off must not return a healthy fleet: silence
- * counts against a machine only while the store and most others are heard, and only
- * a few machines are given up within a window, unless their whole zone is
- * unreachable. Machines that do not receive count like silent ones. */
+/* A controller that is itself cut off must not return a healthy fleet: silence counts against a machine only while
+ * the store answers and most other machines report, and only a few machines are returned within a window, unless
+ * all of their zone is unreachable. Machines that do not receive our answers count like silent ones. */
 static gboolean
-may_give_up (FtMachineEviction *eviction, const FtMachine *machine, HeardCount count)
+may_give_up (FtMachineEviction *eviction, const FtMachine *machine, ReportingCount count)
 {
   const FtCoreContext *context = eviction->context;
   gboolean window_open = window_allows (eviction, count);
   gint64 long_silent = ft_seconds (FT_SILENT_MAJORITY_LEASES * context->settings->lease_s);
   if (context->now - context->cancellations_known_until > ft_seconds (FT_GIVE_UP_STORE_SEEN_S))
     return FALSE;
-  if (count.lost > count.heard
+  if (count.lost > count.reporting
       && context->now - ft_reachability_no_heartbeat_since (&machine->reachability, context) <= long_silent)
     return FALSE;
   if (machine->zone_view->unreachable)
@@ -139,13 +138,13 @@
 not_receiving_long (const FtMachine *machine)
 {
   const FtCoreContext *context = machine->context;
-  /* A controller that is late itself answers too late: that is not the machine's. */
+  /* A controller that was late itself has answered too late: that does not count against the machine. */
   return machine->state == FT_MACHINE_UP && ft_machine_not_receiving (machine)
          && context->now - MAX (machine->reachability.not_receiving_since, context->on_time_since)
                 > ft_seconds (FT_NOT_RECEIVING_SCALE_IN_S);
 }
 
-/* Its lease has run out, and so will the next. */
+/* Its worker lease has expired, and so will the next. */
 static gboolean
 not_reporting_long (const FtMachine *machine)
 {
@@ -155,7 +154,7 @@
                 > ft_reachability_lease_us (context);
 }
 
-/* Why a machine is of no use, and may be given up; NULL: it is of use. */
+/* Why a machine counts as lost and may be returned, for the log; NULL: it does not. */
 static const char *
 why_lost (const FtMachine *machine)
 {
@@ -220,7 +219,7 @@
   return !others || age_s > FT_DOUBT_MAX * machine->context->settings->cancel_s;
 }
 
-/* What ran before it became faulty may well complete. */
+/* What was started before it became faulty may complete first. */
 static gboolean
 faulty_and_idle (const FtMachine *machine)
 {
@@ -228,7 +227,7 @@
 }
 
 static void
-check_machine (FtMachineEviction *eviction, FtMachine *machine, HeardCount count)
+check_machine (FtMachineEviction *eviction, FtMachine *machine, ReportingCount count)
 {
   const char *lost_why = why_lost (machine);
   if (taken_by_cloud (machine)) {
@@ -252,7 +251,7 @@
 {
   GHashTableIter it;
   gpointer value;
-  HeardCount count = count_heard (eviction->machine_table);
+  ReportingCount count = count_reporting (eviction->machine_table);
   eviction->unseen_cancellation_us = unseen_cancellation_age (eviction);
   eviction->store_unreachable = is_store_unreachable (eviction->context, count);
   g_hash_table_iter_init (&it, eviction->machine_table->machines);
--- a/src/core/machine_eviction.h
+++ b/src/core/machine_eviction.h
@@ -1,6 +1,6 @@
 /* Eviction: terminates machines that are of no use any more or endanger a promise.
  *
- * That is a machine that is silent, does not receive our answers, or reports to nobody; one that the cloud has
+ * That is a machine that is silent, does not receive our answers, or reports to no controller; one that the cloud has
  * taken back; one that did not come up; one on which a cancelled start may still be executed; and one that is
  * faulty. A leader that is itself cut off must not return a healthy fleet: what is terminated for silence
  * is bounded by a share within a window, unless it may hold work that a user has cancelled.
--- a/src/core/machine_table.c
+++ b/src/core/machine_table.c
@@ -63,7 +63,7 @@
     g_hash_table_add (table->drained, g_strdup (name));
   else
     g_hash_table_remove (table->drained, name);
-  g_message ("machine %s: %s", name, drained ? "drained" : "undrained");
+  g_message ("machine %s: %s (by an operator)", name, drained ? "drained" : "undrained");
   if (machine == NULL)
     return;
   machine->fitness.drained = drained;
@@ -83,15 +83,19 @@
 }
 
 guint
-ft_machine_table_up (const FtMachineTable *table)
+ft_machine_table_count (const FtMachineTable *table, FtMachinePredicate predicate)
 {
-  guint up = 0;
+  guint count = 0;
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init (&it, table->machines);
-  while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtMachine *machine = value;
-    up += machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT;
-  }
-  return up;
+  while (g_hash_table_iter_next (&it, NULL, &value))
+    count += predicate (value) ? 1 : 0;
+  return count;
+}
+
+guint
+ft_machine_table_up (const FtMachineTable *table)
+{
+  return ft_machine_table_count (table, ft_machine_should_report);
 }
--- a/src/core/machine_table.h
+++ b/src/core/machine_table.h
@@ -41,5 +41,10 @@
 /* All machines are of the types of the context's catalog, which is new. */
 void ft_machine_table_catalog_changed (FtMachineTable *table);
 
+typedef gboolean (*FtMachinePredicate) (const FtMachine *machine);
+
+/* For how many machines of the table the predicate is TRUE. */
+guint ft_machine_table_count (const FtMachineTable *table, FtMachinePredicate predicate);
+
 /* Machines that should be sending heartbeats. */
 guint ft_machine_table_up (const FtMachineTable *table);
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -101,8 +101,8 @@
   g_message ("task %s/%u: placed on %s attempt %" G_GUINT64_FORMAT, job->spec->ref, index, machine->name, id);
 }
 
-/* TRUE if the gang can be placed whole. What is left of a gang that has lost a task can only end: it is stopped, and
- * the gang starts again whole. */
+/* TRUE if all of the gang can be placed. The rest of a gang that has lost a task cannot continue: it is stopped, and
+ * the gang starts again with all of its tasks. */
 static gboolean
 gang_ready (FtPlacement *placement, FtJob *job)
 {
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -1,8 +1,8 @@
 /* Which queued tasks go to which machines.
  *
  * A pass serves the open jobs in the order of placement_rank.h. A task takes the best of a few sampled machines that
- * have room; all machines are looked at if none of the sample has any. Gangs are placed whole or not at all. What found
- * no room may stop other work (preempt.h).
+ * have room; all machines are looked at if none of the sample has any. Gangs are placed with all of their tasks or not
+ * at all. What found no room may stop other work (preempt.h).
  *
  * A pass is run by the scheduler on a tick, or earlier if the context says that one is due. Between passes the answer
  * to a machine's heartbeat has that machine filled. Nothing is placed without a valid lease, or before the rows of the
--- a/src/core/placement_rank.c
+++ b/src/core/placement_rank.c
@@ -85,7 +85,7 @@
   /* 1. The time until the task could start. */
   double wait_s = image_wait_s (machine, job->spec);
   /* 2. The room that would be left: work that need not begin at once is packed, so that
-   * machines come free whole, the dear ones first. */
+   * machines become entirely idle, the expensive ones first. */
   double pack = job->priority < FT_PRIORITY_HIGH ? FT_SCORE_PACK : 1;
   double room_left = (machine->type->cpus - machine->cpus - job->spec->cpus) / machine->type->cpus;
   /* 3. What the machine's kind is expected to cost: a spot machine may be taken, an ordinary one is dear. */
--- a/src/core/placement_rank.h
+++ b/src/core/placement_rank.h
@@ -10,7 +10,7 @@
  * is starved. `now` in microseconds. */
 void ft_placement_rank_refresh (FtJob *job, gint64 now);
 
-/* Compares two elements of an array of FtJob: negative if the first goes first. For g_ptr_array_sort(). */
+/* Compares two elements of an array of FtJob: negative if the first is served first. For g_ptr_array_sort(). */
 gint ft_placement_rank_jobs (gconstpointer first_element, gconstpointer second_element);
 
 /* What it costs, in seconds, to run a task of the job on the machine; smaller is better. `spot_delay_s`: expected
--- a/src/core/preempt.h
+++ b/src/core/preempt.h
@@ -2,7 +2,7 @@
  *
  * Work of lower priority may be stopped, or work that another team runs beyond its own guarantee;
  * but only what has hardly begun, or saves its progress, and can still be in time when it starts
- * again. The youngest goes first. Called by the placement for the first jobs of a pass that found no room. */
+ * again. The youngest is stopped first. Called by the placement for the first jobs of a pass that found no room. */
 #pragma once
 #include "core/context.h"
 #include "core/job.h"
--- a/src/core/probes.h
+++ b/src/core/probes.h
@@ -1,6 +1,6 @@
-/* Probes: requests without commands that ask a worker for its status.
+/* Probes: requests without commands, whose answer is the worker's status.
  *
- * A machine is probed while it is not reconciled after a takeover, while it seems not to receive our answers, and when
+ * A machine is probed while it is not reconciled after a failover, while it seems not to receive our answers, and when
  * its heartbeat is overdue: the probe tells whether the machine or only the exchange is lost. The scheduler's tick puts
  * machines in the queue of probes; the command queue takes them out. */
 #pragma once
@@ -20,5 +20,5 @@
 /* A request to the machine got no answer. */
 void ft_probes_unanswered (FtMachine *machine);
 
-/* The machine refused a request for its incarnation, which it has named: it is asked again at once. */
+/* The machine refused a request for its incarnation, which it has named: it is probed again at once. */
 void ft_probes_again (FtMachine *machine);
--- a/src/core/quota.h
+++ b/src/core/quota.h
@@ -1,7 +1,7 @@
 /* What each team uses and may use: its quota and its guaranteed share.
  *
  * A team's use is counted by its attempts as they take and leave machines (attempt.c), its unknown
- * tasks by the tasks' states (task.c). The placement asks how much is left. */
+ * tasks by the tasks' states (task.c). The placement reads how much is left. */
 #pragma once
 #include "core/job.h"
 #include "core/team.h"
@@ -33,6 +33,6 @@
  * used: its unknown tasks, but no more than `unseen`. */
 guint ft_quota_count (const FtTeam *team, const FtJobSpec *spec, const FtUnseenCapacity *unseen);
 
-/* Marks the jobs that are within their team's guarantee: those that fit there together with the
+/* Sets `guaranteed` of the jobs that are within their team's guarantee: those that fit there together with the
  * team's earlier unfinished jobs. Sorts `jobs` (of FtJob) by acceptance. */
 void ft_quota_mark_guaranteed (const FtQuota *quota, GPtrArray *jobs);
--- a/src/core/reachability.c
+++ b/src/core/reachability.c
@@ -31,7 +31,7 @@
 }
 
 void
-ft_reachability_heard (FtReachability *reachability, gboolean is_heartbeat, gint64 now)
+ft_reachability_reported (FtReachability *reachability, gboolean is_heartbeat, gint64 now)
 {
   reachability->last_status_at = now;
   if (is_heartbeat)
@@ -135,7 +135,7 @@
          > ft_reachability_silence_us (context);
 }
 
-/* Probes alone say nothing while a heartbeat is not due: right after a takeover
+/* Probes alone say nothing while a heartbeat is not due: right after a failover
  * this controller is busy, and gives back no healthy fleet for its own lateness. */
 gboolean
 ft_reachability_silent (const FtReachability *reachability, const FtCoreContext *context, gboolean zone_unreachable,
@@ -146,7 +146,7 @@
     return TRUE;
   if (!ft_reachability_overdue (reachability, context))
     return FALSE;
-  guint probes_needed = reconciled ? FT_PROBES : FT_PROBES_TAKEOVER;
+  guint probes_needed = reconciled ? FT_PROBES : FT_PROBES_FAILOVER;
   return zone_unreachable || reachability->probe_fails >= probes_needed;
 }
 
--- a/src/core/reachability.h
+++ b/src/core/reachability.h
@@ -1,9 +1,9 @@
 /* Whether a machine's worker and this leader reach each other, each way.
  *
- * Three failures are told apart. A machine is silent if nothing comes from it, neither heartbeats nor answers to
+ * Three failures are distinguished. A machine is silent if nothing comes from it, neither heartbeats nor answers to
  * probes. It is not receiving if its heartbeats come but show nothing of our answers. It is not reporting if it answers
- * our commands but its own heartbeats reach nobody. The lease of a worker runs from the last answer that it may have
- * had.
+ * our commands but its own heartbeats reach no controller. The lease of a worker runs from the last answer that it may
+ * have received.
  *
  * Silence counts only while this leader was there to hear: see on_time_since and answering_since of the context. The
  * facts are kept per machine (FtMachine.reachability) and changed by the functions below only. Called by the heartbeats
@@ -33,14 +33,14 @@
 /* The registry is read: silence counts from here. */
 void ft_reachability_loaded (FtReachability *reachability, gint64 now);
 
-/* The first heartbeat of a machine that nobody knew. */
+/* The first heartbeat of a machine that was not known. */
 void ft_reachability_first_heard (FtReachability *reachability, gint64 now);
 
 /* A new incarnation has begun: none of its heartbeats has been answered. */
 void ft_reachability_new_incarnation (FtReachability *reachability);
 
 /* A status has come that is the machine's newest. `is_heartbeat`: not the answer to a command. */
-void ft_reachability_heard (FtReachability *reachability, gboolean is_heartbeat, gint64 now);
+void ft_reachability_reported (FtReachability *reachability, gboolean is_heartbeat, gint64 now);
 
 /* That status shows our token. TRUE: it is the first to do so. */
 gboolean ft_reachability_token_shown (FtReachability *reachability);
@@ -71,7 +71,7 @@
 
 /* ---- what follows ---- */
 
-/* Its heartbeats come, but neither answers nor commands seem to reach it. */
+/* Its heartbeats arrive, but neither answers nor commands seem to reach it. */
 gboolean ft_reachability_not_receiving (const FtReachability *reachability);
 
 /* Nothing has come since then, for all we can tell. */
@@ -83,11 +83,11 @@
 /* Since when it could have sent a heartbeat to us, and has not. */
 gint64 ft_reachability_no_heartbeat_since (const FtReachability *reachability, const FtCoreContext *context);
 
-/* Its heartbeats have reached us for too long no more; whether its answers to commands do is not asked. */
+/* No heartbeat of it has arrived for too long; its answers to commands do not count. */
 gboolean ft_reachability_not_reporting (const FtReachability *reachability, const FtCoreContext *context);
 
-/* Nothing comes from the machine. `zone_unreachable`: nothing comes from its whole zone, so that no probes are needed;
- * `reconciled`: the machine is, which takes fewer probes. */
+/* Nothing arrives from the machine. `zone_unreachable`: nothing arrives from any machine of its zone, so that no probes
+ * are needed; `reconciled`: the machine is, which takes fewer probes. */
 gboolean ft_reachability_silent (const FtReachability *reachability, const FtCoreContext *context,
                                  gboolean zone_unreachable, gboolean reconciled);
 
--- a/src/core/recovery.h
+++ b/src/core/recovery.h
@@ -1,8 +1,8 @@
-/* Reconciliation after a takeover.
+/* Reconciliation after a failover.
  *
  * A new leader reads jobs and the machine registry from the key-value store, and then does not know
  * which tasks run: a former leader may have started them. Until every machine of the registry is
- * reconciled (heard under our fencing token, or certainly empty) a task in FT_TASK_UNKNOWN is not
+ * reconciled (has reported under our fencing token, or is certainly empty) a task in FT_TASK_UNKNOWN is not
  * placed again, since it might then run twice.
  *
  * Owns the state of that procedure and what the machines not yet reconciled can hold. Called by the
@@ -41,8 +41,8 @@
 /* TRUE once all machines were reconciled: no task can run unseen any more. */
 gboolean ft_recovery_is_done (const FtRecovery *recovery);
 
-/* Counts the machines that may run tasks unseen, and what they can hold. Kept as totals, since each
- * placement asks. To be called when the machine types change. */
+/* Counts the machines that may run tasks unseen, and what they can hold. Kept as totals, since each placement reads
+ * them. To be called when the machine types change. */
 void ft_recovery_recount (FtRecovery *recovery);
 
 /* The machine is reconciled: takes it out of the totals. */
--- a/src/core/registry.c
+++ b/src/core/registry.c
@@ -137,7 +137,7 @@
 row_with_room (FtRegistry *registry, gsize bytes)
 {
   if (registry->open_row == NULL || registry->open_row->bytes + bytes > max_row_bytes (registry)) {
-    /* The token makes the name unique: no row of an earlier leadership has it. */
+    /* The token makes the name unique among the rows of all leaderships. */
     g_autofree char *id
         = g_strdup_printf ("%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, registry->context->token, registry->next_row++);
     registry->open_row = find_or_add_row (registry, id);
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -19,23 +19,26 @@
   return count;
 }
 
+static gboolean
+is_kept (const FtMachine *machine)
+{
+  return machine->state != FT_MACHINE_GONE && machine->state != FT_MACHINE_TERMINATING;
+}
+
+static gboolean
+is_kept_spot (const FtMachine *machine)
+{
+  return machine->spot && is_kept (machine);
+}
+
 /* TRUE if one more spot machine keeps within the operators' share. */
 static gboolean
 spot_allowed (const FtMachineTable *table)
 {
-  guint spot = 0, all = 0;
-  GHashTableIter it;
-  gpointer value;
   if (table->context->tuning.spot_share >= 1)
     return TRUE;
-  g_hash_table_iter_init (&it, table->machines);
-  while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtMachine *machine = value;
-    if (machine->state == FT_MACHINE_GONE || machine->state == FT_MACHINE_TERMINATING)
-      continue;
-    all++;
-    spot += machine->spot;
-  }
+  guint all = ft_machine_table_count (table, is_kept);
+  guint spot = ft_machine_table_count (table, is_kept_spot);
   return spot + 1 <= table->context->tuning.spot_share * (all + 1);
 }
 
@@ -112,7 +115,7 @@
     FtCapacitySupply supply = ft_capacity_supply_find (table, pools, demand);
     double reserve = ft_capacity_headroom (table->context) * supply.in_use;
     double wanted = demand->machines + reserve - supply.free - supply.booting;
-    /* A small rest waits for room to come free, unless none can come: the one
+    /* A small rest waits for room to become free, unless none can: the one
      * small job of a site without a machine must get one too. */
     gboolean stuck = demand->blocked && supply.booting < 1 && (supply.in_use <= 0 || blocked_long (placement, demand));
     if (wanted > FT_SCALE_OUT_FROM || stuck)
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -2,7 +2,7 @@
  *
  * The facade of the core: it owns the core's modules, sets the time of each event and hands it to the
  * modules that it concerns. Called by the node (src/net), which does the I/O: it feeds in rows,
- * heartbeats and results, and asks for the next write, direct request or cloud call.
+ * heartbeats and results, and requests the next write, direct request or cloud call.
  *
  * One scheduler lives as long as one leadership; it is dropped, with all that is not written, when
  * the lease is lost or a higher fencing token is seen. `now` is in microseconds of the steady clock,
@@ -42,7 +42,7 @@
 gboolean ft_scheduler_is_loaded (const FtScheduler *scheduler);
 
 /* ---- jobs ---- */
-/* A job accepted after the takeover. Takes the spec. */
+/* A job accepted after the failover. Takes the spec. */
 void ft_scheduler_job_added (FtScheduler *scheduler, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms);
 /* The row of the job's cancellation was read. `age_us`: how long ago it was committed. */
 void ft_scheduler_job_cancelled (FtScheduler *scheduler, const char *ref, gint64 age_us, gint64 now);
@@ -88,11 +88,11 @@
 /* ---- store ---- */
 /* Writes (FtWrite) for one transaction of at most `ops` changes; empty if none is due. `spare`: the
  * store takes more changes than are urgent, so that what can wait may be written too.
- * Each batch ends with one of the two calls below before the next is asked for. */
+ * Each batch ends with one of the two calls below before the next is requested. */
 GPtrArray *ft_scheduler_next_writes (FtScheduler *scheduler, guint ops, gboolean spare, gint64 now);
 /* The batch is committed. May end jobs. */
 void ft_scheduler_writes_committed (FtScheduler *scheduler, GPtrArray *writes, gint64 now);
-/* Nothing of the batch is committed; all of it is asked for again. `conflicted` names the job whose
+/* Nothing of the batch is committed; all of it will be returned again. `conflicted` names the job whose
  * row is not at the revision that the write was conditional on, or is NULL: its row is to be read, and
  * reported by one of the two calls below. */
 void ft_scheduler_writes_failed (FtScheduler *scheduler, GPtrArray *writes, const char *conflicted, gint64 now);
@@ -109,7 +109,7 @@
 void ft_scheduler_tick (FtScheduler *scheduler, gint64 now, gboolean may_start);
 /* Runs a placement pass if anything has changed and the last pass is a while ago. */
 void ft_scheduler_place (FtScheduler *scheduler, gint64 now, gboolean may_start);
-/* Advisory: somebody says that the job is cancelled. Its tasks are stopped; the job's rows stay
+/* Advisory: a peer reports that the job is cancelled. Its tasks are stopped; the job's rows stay
  * until the cancellation is read. */
 void ft_scheduler_cancellation_advised (FtScheduler *scheduler, const char *ref, gint64 now);
 /* All cancellations committed before `at` have been passed to ft_scheduler_job_cancelled(). */
--- a/src/core/scheduler_workers.c
+++ b/src/core/scheduler_workers.c
@@ -1,4 +1,4 @@
-/* What the scheduler is told by workers and by the cloud, and what it wants them to do: hands each event to the modules
+/* The scheduler's events from workers and from the cloud, and its requests to them: hands each event to the modules
  * that it concerns, in their order. */
 #include "core/direct_commands.h"
 #include "core/heartbeat_answer.h"
@@ -22,7 +22,7 @@
   scheduler->context.now = now;
   if (heartbeat->token > scheduler->context.token)
     return FALSE;
-  /* Before the registry is read, nobody knows what a machine may hold. */
+  /* Before the registry is read, what a machine may hold is unknown. */
   if (ft_recovery_is_loaded (&scheduler->recovery)
       && !ft_machine_table_is_gone (&scheduler->machine_table, heartbeat->machine)) {
     FtMachine *machine = ft_worker_heartbeats_machine (&scheduler->worker_heartbeats, heartbeat);
@@ -59,7 +59,7 @@
 apply_direct_result (FtMachine *machine, const FtDirect *direct, FtDirectResult result)
 {
   machine->requests.command_in_flight = FALSE;
-  ft_machine_queue_direct (machine); /* what has come up meanwhile */
+  ft_machine_queue_direct (machine); /* what was decided while the request was in flight */
   if (result == FT_DIRECT_UNANSWERED)
     ft_probes_unanswered (machine);
   ft_direct_commands_settle (machine, direct, result);
--- a/src/core/task.h
+++ b/src/core/task.h
@@ -9,7 +9,7 @@
 typedef struct _FtAttempt FtAttempt;
 
 typedef enum {
-  FT_TASK_UNKNOWN,  /* after a takeover: may be on a machine that is not reconciled */
+  FT_TASK_UNKNOWN,  /* after a failover: may be on a machine that is not reconciled */
   FT_TASK_QUEUED,   /* on no machine */
   FT_TASK_STARTING, /* bound; the start is decided, no heartbeat shows it yet */
   FT_TASK_FETCHING,
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -6,8 +6,8 @@
 
 typedef enum { FT_PRIORITY_LOW, FT_PRIORITY_NORMAL, FT_PRIORITY_HIGH, FT_PRIORITY_PRODUCTION } FtPriority;
 
-/* Arrays are independent tasks; a gang runs whole or not at all; a service runs
- * whole until it is cancelled. */
+/* Arrays are independent tasks; a gang runs with all of its tasks or not at all; a service runs with
+ * all of its tasks until it is cancelled. */
 typedef enum { FT_KIND_ARRAY, FT_KIND_GANG, FT_KIND_SERVICE } FtJobKind;
 
 /* How a job ended; final. */
--- a/src/core/worker_commands.h
+++ b/src/core/worker_commands.h
@@ -15,5 +15,5 @@
 /* Adds a command for the attempt to `commands`, of FtCommand. */
 void ft_worker_command_add (GArray *commands, FtCommandOp op, const FtAttempt *attempt);
 
-/* A request with these commands, which it takes, to the machine: marks it as having one in flight. */
+/* A request with these commands, which it takes, to the machine, which has one in flight from then on. */
 FtDirect *ft_worker_command_direct (FtMachine *machine, GArray *commands);
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -37,7 +37,8 @@
 begin_incarnation (FtMachine *machine, guint64 incarnation)
 {
   if (machine->incarnation != 0) {
-    g_message ("machine %s: incarnation %" G_GUINT64_FORMAT, machine->name, incarnation);
+    g_message ("machine %s: new incarnation %" G_GUINT64_FORMAT " (its agent has restarted)", machine->name,
+               incarnation);
     ft_attempt_end_incarnation (machine);
   }
   machine->incarnation = incarnation;
@@ -51,8 +52,8 @@
 note_contact (FtMachine *machine, gboolean is_heartbeat)
 {
   FtCoreContext *context = machine->context;
-  ft_reachability_heard (&machine->reachability, is_heartbeat, context->now);
-  ft_zone_heard (machine->zone_view, context->now);
+  ft_reachability_reported (&machine->reachability, is_heartbeat, context->now);
+  ft_zone_reported (machine->zone_view, context->now);
   if (machine->state != FT_MACHINE_BOOTING && machine->state != FT_MACHINE_SILENT)
     return;
   if (machine->state == FT_MACHINE_BOOTING)
--- a/src/core/write_queue.c
+++ b/src/core/write_queue.c
@@ -75,8 +75,8 @@
   return job->state == FT_JOB_OPEN && ft_job_finished (job) == job->spec->tasks;
 }
 
-/* The rows are deleted only after the watch has shown the cancellation: wrong advice must not drop an
- * open job, and an older event of the job that comes later must not bring it back. */
+/* The rows are deleted only after the watch has shown the cancellation: a cancellation that was only advised must not
+ * delete the rows of an open job, and an older event of the job that arrives later must not reopen it. */
 static gboolean
 job_stopped (const FtJob *job)
 {
@@ -138,7 +138,7 @@
 
 /* ---- chunks of done-sets ---- */
 
-/* Jobs that have something to write share what done-sets may take of the store's capacity. */
+/* Jobs that have something to write share the part of the store's capacity that done-sets may use. */
 static gint64
 chunk_period_us (const FtWriteQueue *queue)
 {
@@ -178,7 +178,7 @@
 
 /* ---- making a batch ---- */
 
-/* Ends of jobs first: somebody waits for them. Then the watermarks, which starts wait for. */
+/* Ends of jobs first, since users wait for them; then the watermarks, since starts wait for them. */
 static void
 add_ends_and_watermarks (FtWriteQueue *queue, Batch *batch)
 {
--- a/src/core/write_queue.h
+++ b/src/core/write_queue.h
@@ -3,7 +3,7 @@
  * batch is committed or refused.
  *
  * One batch is in flight at a time: each that ft_write_queue_next() returns ends with
- * ft_write_queue_committed() or ft_write_queue_failed() before the next is asked for. What waits is
+ * ft_write_queue_committed() or ft_write_queue_failed() before the next is requested. What waits is
  * kept by its owners (the jobs in the job table's queue, the rows in the registry's); only chunks of
  * jobs that are gone are kept here. Called by the scheduler for the node's store client. */
 #pragma once
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -38,7 +38,7 @@
 }
 
 void
-ft_zone_heard (FtZone *zone, gint64 now)
+ft_zone_reported (FtZone *zone, gint64 now)
 {
   zone->last_heard = now;
   set_unreachable (zone, FALSE);
@@ -55,7 +55,7 @@
   g_hash_table_iter_init (&it, machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *machine = value;
-    machine->zone_view->members += machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT;
+    machine->zone_view->members += ft_machine_should_report (machine);
   }
 }
 
@@ -85,7 +85,7 @@
   g_hash_table_iter_init (&it, zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
     any_heard |= heard_of_late (context, value);
-  /* A leader that hears nobody is cut off itself, and can judge no zone. */
+  /* A leader to which no machine reports is itself cut off, and can judge no zone. */
   if (!any_heard)
     return;
   g_hash_table_iter_init (&it, zones);
