--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -95,7 +95,7 @@
 /* The same, whether two attempts have one identity. */
 gboolean ft_attempt_equal (gconstpointer first, gconstpointer second);
 
-/* Withdraws the request to stop it. */
+/* Cancels the request to stop it. */
 void ft_attempt_clear_stop (FtAttempt *attempt);
 
 /* A direct request carries its start. */
