--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -1,5 +1,6 @@
 #include "core/attempt_reports.h"
 
+#include "core/attempt_lifecycle.h"
 #include "core/fault.h"
 
 /* ---- an attempt ends ---- */
@@ -34,7 +35,7 @@
 task_lost (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
   const FtMachine *machine = attempt->machine;
-  /* Its room is somebody else's for the moment: it does not take it back at once. */
+  /* It was stopped to make room for another job: its task pauses so as not to take that room again. */
   if (reason == FT_EXIT_STOPPED && ft_attempt_stop_wanted (attempt) && machine->notice_until == 0)
     attempt->job->tasks[attempt->index].not_before = table->context->now + ft_seconds (FT_PREEMPTED_PAUSE_S);
   gboolean blameless = reason == FT_EXIT_STOPPED || reason == FT_EXIT_PEERS || reason == FT_EXIT_ALONE;
@@ -47,7 +48,7 @@
 static void
 attempt_exited (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
-  ft_attempt_set_state (attempt, FT_ATTEMPT_EXITED);
+  ft_attempt_set_exited (attempt, table->context->now);
   attempt->listed = TRUE;
   ft_attempt_release (attempt);
   table->context->placement_due = TRUE;
@@ -61,7 +62,7 @@
   ft_attempt_end (attempt);
 }
 
-/* ---- an attempt goes on ---- */
+/* ---- an attempt progresses ---- */
 
 static void
 attempt_progress (FtAttempt *attempt, FtTaskPhase phase)
@@ -108,7 +109,7 @@
 {
   FtCoreContext *context = attempt->machine->context;
   gboolean has_result = task_free && reason == FT_EXIT_DONE;
-  ft_attempt_set_state (attempt, FT_ATTEMPT_EXITED);
+  ft_attempt_set_exited (attempt, context->now);
   if (has_result)
     ft_attempt_bind (attempt, FT_TASK_FINISHED);
   else
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -1,12 +1,13 @@
 #include "core/direct_commands.h"
 
+#include "core/attempt_lifecycle.h"
 #include "core/worker_commands.h"
 
 static gboolean
 may_send (const FtMachine *machine)
 {
-  return !machine->command_in_flight && machine->addr != NULL && machine->state == FT_MACHINE_UP && machine->reconciled
-         && machine->incarnation > machine->expired_incarnation;
+  return !machine->requests.command_in_flight && machine->addr != NULL && machine->state == FT_MACHINE_UP
+         && machine->reconciled && machine->incarnation > machine->expired_incarnation;
 }
 
 /* A start that went out with an answer to a heartbeat, or directly without an answer, is not sent a second time: either
@@ -45,7 +46,7 @@
 {
   FtMachine *machine;
   while ((machine = g_queue_pop_head (&queues->directs)) != NULL) {
-    machine->direct_queued = FALSE;
+    machine->requests.direct_queued = FALSE;
     machine->context->looked_at++;
     FtDirect *direct = request_to (machine);
     if (direct != NULL)
@@ -77,7 +78,7 @@
     ft_attempt_direct_start_unanswered (attempt);
   else
     ft_attempt_direct_start_answered (attempt);
-  /* Refused as a whole: this copy was not executed and never will be. */
+  /* All of it was refused: this copy was not executed and never will be. */
   if (result == FT_DIRECT_CONFLICT && attempt->state == FT_ATTEMPT_PLACED && ft_attempt_stop_wanted (attempt)
       && attempt->sent_sequence == 0)
     ft_attempt_end (attempt);
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -59,27 +59,27 @@
 void
 ft_machine_queue_direct (FtMachine *machine)
 {
-  if (machine->direct_queued || machine->state == FT_MACHINE_GONE)
+  if (machine->requests.direct_queued || machine->state == FT_MACHINE_GONE)
     return;
-  machine->direct_queued = TRUE;
+  machine->requests.direct_queued = TRUE;
   g_queue_push_tail (&machine->queues->directs, machine);
 }
 
 void
 ft_machine_queue_probe (FtMachine *machine)
 {
-  if (machine->probe_queued || machine->state == FT_MACHINE_GONE)
+  if (machine->requests.probe_queued || machine->state == FT_MACHINE_GONE)
     return;
-  machine->probe_queued = TRUE;
+  machine->requests.probe_queued = TRUE;
   g_queue_push_tail (&machine->queues->probes, machine);
 }
 
 void
 ft_machine_free (FtMachine *machine)
 {
-  if (machine->probe_queued)
+  if (machine->requests.probe_queued)
     g_queue_remove (&machine->queues->probes, machine);
-  if (machine->direct_queued)
+  if (machine->requests.direct_queued)
     g_queue_remove (&machine->queues->directs, machine);
   g_hash_table_unref (machine->attempts);
   g_hash_table_unref (machine->images);
@@ -102,7 +102,7 @@
   FtMachineState from = machine->state;
   if (from == to)
     return TRUE;
-  /* What is being returned comes back to no other state, and GONE is final. */
+  /* A machine that is being returned can only become GONE, which is final. */
   if (from == FT_MACHINE_GONE || (from == FT_MACHINE_TERMINATING && to != FT_MACHINE_GONE)
       || to == FT_MACHINE_BOOTING) {
     g_warning ("machine %s: refused move %s -> %s (%s)", machine->name, names[from], names[to], reason);
@@ -121,7 +121,7 @@
 ft_machine_terminate (FtMachine *machine, const char *reason)
 {
   ft_machine_set_state (machine, FT_MACHINE_TERMINATING, reason);
-  machine->terminate_at = machine->context->now;
+  machine->requests.return_at = machine->context->now;
 }
 
 void
@@ -133,11 +133,17 @@
   machine->addr = g_strdup (addr);
 }
 
+gboolean
+ft_machine_should_report (const FtMachine *machine)
+{
+  return machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT;
+}
+
 gboolean
 ft_machine_usable (const FtMachine *machine)
 {
   gboolean known = machine->registered && machine->reconciled && machine->type != NULL;
-  gboolean wanted = !machine->drained && !machine->quarantined && machine->notice_until == 0;
+  gboolean wanted = !machine->fitness.drained && !machine->fitness.quarantined && machine->notice_until == 0;
   return machine->state == FT_MACHINE_UP && known && wanted && machine->incarnation > machine->expired_incarnation
          && machine->reachability.acknowledged_token && !ft_machine_not_receiving (machine)
          && !ft_machine_not_reporting (machine) && ft_reachability_recent (&machine->reachability, machine->context);
@@ -184,6 +190,12 @@
   return MIN (n, fits (type->gpus - machine->gpus, spec->gpus));
 }
 
+gboolean
+ft_machine_has_request_in_flight (const FtMachine *machine)
+{
+  return machine->requests.command_in_flight || machine->requests.return_in_flight;
+}
+
 gboolean
 ft_machine_idle (const FtMachine *machine)
 {
@@ -198,15 +210,3 @@
   }
   return TRUE;
 }
-
-void
-ft_machine_end_incarnation (FtMachine *machine)
-{
-  g_autoptr (GList) all = g_hash_table_get_values (machine->attempts);
-  for (GList *link = all; link != NULL; link = link->next) {
-    FtAttempt *attempt = link->data;
-    attempt->listed = FALSE;
-    ft_attempt_end (attempt);
-  }
-  machine->expired_incarnation = MAX (machine->expired_incarnation, machine->incarnation);
-}
--- a/src/core/machine_table.c
+++ b/src/core/machine_table.c
@@ -1,5 +1,7 @@
 #include "core/machine_table.h"
 
+#include "core/attempt_lifecycle.h"
+
 void
 ft_machine_table_init (FtMachineTable *table, FtCoreContext *context, FtMachineQueues *queues)
 {
@@ -26,7 +28,7 @@
 {
   FtMachine *machine = ft_machine_new (table->context, table->queues, name, addr, type, zone, spot);
   machine->zone_view = ft_zone_get (table->zones, zone);
-  machine->drained = g_hash_table_contains (table->drained, name);
+  machine->fitness.drained = g_hash_table_contains (table->drained, name);
   g_hash_table_insert (table->machines, machine->name, machine);
   return machine;
 }
@@ -46,7 +48,7 @@
 void
 ft_machine_table_set_gone (FtMachineTable *table, FtMachine *machine, const char *reason)
 {
-  ft_machine_end_incarnation (machine);
+  ft_attempt_end_incarnation (machine);
   ft_machine_set_reconciled (machine);
   ft_machine_set_state (machine, FT_MACHINE_GONE, reason);
   g_hash_table_add (table->gone, g_strdup (machine->name));
@@ -61,10 +63,10 @@
     g_hash_table_add (table->drained, g_strdup (name));
   else
     g_hash_table_remove (table->drained, name);
-  g_message ("machine %s: %s", name, drained ? "drained" : "undrained");
+  g_message ("machine %s: %s (by an operator)", name, drained ? "drained" : "undrained");
   if (machine == NULL)
     return;
-  machine->drained = drained;
+  machine->fitness.drained = drained;
   table->context->placement_due = TRUE;
 }
 
@@ -81,15 +83,19 @@
 }
 
 guint
-ft_machine_table_up (const FtMachineTable *table)
+ft_machine_table_count (const FtMachineTable *table, FtMachinePredicate predicate)
 {
-  guint up = 0;
+  guint count = 0;
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init (&it, table->machines);
-  while (g_hash_table_iter_next (&it, NULL, &value)) {
-    const FtMachine *machine = value;
-    up += machine->state == FT_MACHINE_UP || machine->state == FT_MACHINE_SILENT;
-  }
-  return up;
+  while (g_hash_table_iter_next (&it, NULL, &value))
+    count += predicate (value) ? 1 : 0;
+  return count;
+}
+
+guint
+ft_machine_table_up (const FtMachineTable *table)
+{
+  return ft_machine_table_count (table, ft_machine_should_report);
 }
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -1,5 +1,6 @@
 #include "core/worker_heartbeats.h"
 
+#include "core/attempt_lifecycle.h"
 #include "core/attempt_reports.h"
 #include "core/interruption_notice.h"
 
@@ -36,12 +37,13 @@
 begin_incarnation (FtMachine *machine, guint64 incarnation)
 {
   if (machine->incarnation != 0) {
-    g_message ("machine %s: incarnation %" G_GUINT64_FORMAT, machine->name, incarnation);
-    ft_machine_end_incarnation (machine);
+    g_message ("machine %s: new incarnation %" G_GUINT64_FORMAT " (its agent has restarted)", machine->name,
+               incarnation);
+    ft_attempt_end_incarnation (machine);
   }
   machine->incarnation = incarnation;
   ft_reachability_new_incarnation (&machine->reachability);
-  machine->in_doubt = FALSE;
+  machine->fitness.start_in_doubt = FALSE;
 }
 
 /* ---- reachability ---- */
@@ -50,8 +52,8 @@
 note_contact (FtMachine *machine, gboolean is_heartbeat)
 {
   FtCoreContext *context = machine->context;
-  ft_reachability_heard (&machine->reachability, is_heartbeat, context->now);
-  ft_zone_heard (machine->zone_view, context->now);
+  ft_reachability_reported (&machine->reachability, is_heartbeat, context->now);
+  ft_zone_reported (machine->zone_view, context->now);
   if (machine->state != FT_MACHINE_BOOTING && machine->state != FT_MACHINE_SILENT)
     return;
   if (machine->state == FT_MACHINE_BOOTING)
