--- a/src/net/leader_rows.c
+++ b/src/net/leader_rows.c
@@ -12,7 +12,7 @@
 static void
 warn_unreadable (const FtNode *node, const GError *error)
 {
-  g_warning ("node %s: %s", node->config->member, error->message);
+  g_warning ("node %s: row skipped: %s", node->config->member, error->message);
 }
 
 void
--- a/tests/core_state.hpp
+++ b/tests/core_state.hpp
@@ -9,7 +9,7 @@
 #include "job_specs.hpp"
 
 extern "C" {
-#include "core/attempt.h"
+#include "core/attempt_lifecycle.h"
 #include "core/job_table.h"
 #include "core/machine_table.h"
 #include "core/quota.h"
--- a/tests/test_module_attempt.cpp
+++ b/tests/test_module_attempt.cpp
@@ -54,7 +54,7 @@
     EXPECT_TRUE (ft_attempt_stop_wanted (attempt));
     EXPECT_EQ (attempt->grace_s, expected);
   }
-  EXPECT_TRUE (machine->direct_queued);
+  EXPECT_TRUE (machine->requests.direct_queued);
   ft_attempt_clear_stop (attempt);
   EXPECT_FALSE (ft_attempt_stop_wanted (attempt));
 }
@@ -65,11 +65,11 @@
   EXPECT_EQ (attempt->direct_start, FT_DIRECT_START_IN_FLIGHT);
   ft_attempt_direct_start_answered (attempt);
   EXPECT_EQ (attempt->direct_start, FT_DIRECT_START_SETTLED);
-  EXPECT_FALSE (machine->in_doubt);
+  EXPECT_FALSE (machine->fitness.start_in_doubt);
   ft_attempt_direct_start_unanswered (attempt);
   ft_attempt_direct_start_answered (attempt);
   EXPECT_EQ (attempt->direct_start, FT_DIRECT_START_UNANSWERED);
-  EXPECT_TRUE (machine->in_doubt);
+  EXPECT_TRUE (machine->fitness.start_in_doubt);
 }
 
 // ---- how it ends ----
@@ -114,7 +114,7 @@
   EXPECT_EQ (attempt->state, FT_ATTEMPT_FORGETTABLE);
   EXPECT_EQ (its_job->tasks[0].state, FT_TASK_FINISHED) << "the task is not queued again";
   EXPECT_TRUE (ft_machine_idle (machine));
-  ft_machine_end_incarnation (machine);
+  ft_attempt_end_incarnation (machine);
   EXPECT_FALSE (exists ());
 }
 
--- a/tests/test_module_reachability.cpp
+++ b/tests/test_module_reachability.cpp
@@ -22,7 +22,7 @@
     settings.lease_s = 14;
     context.settings = &settings;
     context.now = 100 * kS;
-    ft_reachability_heard (&machine, TRUE, context.now);
+    ft_reachability_reported (&machine, TRUE, context.now);
   }
   bool
   silent (bool zone_unreachable, bool reconciled)
@@ -78,13 +78,13 @@
 {
   gint64 limit = 100 * kS + ft_reachability_silence_us (&context);
   context.now = limit;
-  ft_reachability_heard (&machine, FALSE, context.now);
+  ft_reachability_reported (&machine, FALSE, context.now);
   EXPECT_FALSE (ft_reachability_not_reporting (&machine, &context));
   context.now = limit + 1;
   EXPECT_TRUE (ft_reachability_not_reporting (&machine, &context));
   EXPECT_FALSE (silent (false, true));
   EXPECT_TRUE (ft_reachability_recent (&machine, &context));
-  ft_reachability_heard (&machine, TRUE, context.now);
+  ft_reachability_reported (&machine, TRUE, context.now);
   EXPECT_FALSE (ft_reachability_not_reporting (&machine, &context));
 }
 
@@ -112,7 +112,7 @@
   EXPECT_TRUE (silent (true, false)) << "nothing comes from its zone";
   ft_reachability_request_unanswered (&machine);
   EXPECT_TRUE (silent (false, false));
-  ft_reachability_heard (&machine, FALSE, context.now);
+  ft_reachability_reported (&machine, FALSE, context.now);
   EXPECT_EQ (machine.probe_fails, 0u);
 }
 
