--- a/src/main.c
+++ b/src/main.c
@@ -1,5 +1,5 @@
 /* flintrack: one controller of the cluster scheduler. Reads the arguments and the settings file,
- * starts a node (net/node.h) and runs the main loop, which never ends by itself: a controller is
+ * starts a controller (net/controller.h) and runs the main loop, which never ends by itself: a controller is
  * stopped by a signal. */
 #include <malloc.h>
 #include <stdio.h>
@@ -9,7 +9,7 @@
 
 #include "config.h"
 #include "log.h"
-#include "net/node.h"
+#include "net/controller.h"
 
 /* Exit codes, as documented in --help and the manual page; 0 is success. */
 typedef enum {
@@ -31,14 +31,14 @@
    * allocation of the latter would have it merge all the freed former. */
   mallopt (M_MXFAST, 0);
   ft_log_init (config->member);
-  FtNode *node = ft_node_new (config, &error);
-  if (node == NULL) {
+  FtController *controller = ft_controller_new (config, &error);
+  if (controller == NULL) {
     fprintf (stderr, "flintrack: cannot listen: %s\n", error->message);
     return EXIT_LISTEN;
   }
   g_autoptr (GMainLoop) loop = g_main_loop_new (NULL, FALSE);
   g_main_loop_run (loop);
-  ft_node_free (node);
+  ft_controller_free (controller);
   return EXIT_SUCCESS;
 }
 
--- a/src/net/admin.c
+++ b/src/net/admin.c
@@ -3,6 +3,8 @@
 #include <string.h>
 
 #include "net/admin_endpoints.h"
+#include "net/leader.h"
+#include "net/leadership.h"
 
 /* Segments of the longest path below /admin/, and one more for what is too long. */
 #define ADMIN_PATH_SEGMENTS_MAX 4
@@ -34,9 +36,10 @@
 static gboolean
 leads_or_redirects (FtNode *node, FtHttpRequest *request)
 {
-  if (node->leader.scheduler != NULL && ft_scheduler_is_loaded (node->leader.scheduler))
+  const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
+  if (scheduler != NULL && ft_scheduler_is_loaded (scheduler))
     return TRUE;
-  const char *leader = ft_node_leader (node);
+  const char *leader = ft_leadership_known_leader (node->leadership);
   const char *addr = leader != NULL ? peer_addr (node, leader) : NULL;
   if (addr != NULL)
     ft_http_respond (request, FT_HTTP_MISDIRECTED,
--- a/src/net/admin.h
+++ b/src/net/admin.h
@@ -3,6 +3,7 @@
  * Reads are answered with what this controller knows. What only the leader knows is answered
  * elsewhere with 421 and the leader's name and address. */
 #pragma once
+#include "net/http.h"
 #include "net/node.h"
 
 /**
@@ -10,11 +11,3 @@
  * @request: (transfer full): a request whose path begins with "/admin/"
  */
 void ft_admin_handle (FtNode *node, FtHttpRequest *request);
-
-/**
- * ft_admin_tick:
- * @now: monotonic time
- *
- * Reads the operators' settings every FT_SETTINGS_EVERY_S. Called by the node's timer.
- */
-void ft_admin_tick (FtNode *node, gint64 now);
--- a/src/net/admin_drains.c
+++ b/src/net/admin_drains.c
@@ -1,5 +1,8 @@
 /* Drains of machines: each is a row of the key-value store, committed under the leader's fence. */
+#include "core/lease.h"
 #include "net/admin_endpoints.h"
+#include "net/leader.h"
+#include "net/store_client.h"
 #include "wire/store.h"
 
 /* A change that is being committed. */
@@ -25,8 +28,9 @@
   if (result != FT_STORE_OK) {
     ft_admin_refuse (change->request, FT_HTTP_UNAVAILABLE, "the state service did not confirm the change: try again");
   } else {
-    if (change->node->leader.scheduler != NULL)
-      ft_scheduler_drain (change->node->leader.scheduler, change->machine, change->drain);
+    FtScheduler *scheduler = ft_leader_scheduler (change->node->leader);
+    if (scheduler != NULL)
+      ft_scheduler_drain (scheduler, change->machine, change->drain);
     ft_http_respond (change->request, FT_HTTP_OK,
                      json_pack ("{s:s, s:b}", "machine", change->machine, "drained", change->drain));
   }
@@ -54,7 +58,7 @@
 void
 ft_admin_drain (FtNode *node, FtHttpRequest *request, const char *machine)
 {
-  if (ft_scheduler_knows (node->leader.scheduler, machine))
+  if (ft_scheduler_knows (ft_leader_scheduler (node->leader), machine))
     commit (node, request, machine, TRUE);
   else
     ft_admin_refuse (request, FT_HTTP_NOT_FOUND, "there is no machine %s", machine);
--- a/src/net/admin_endpoints.h
+++ b/src/net/admin_endpoints.h
@@ -2,6 +2,7 @@
  *
  * Each function that takes an FtHttpRequest takes it over and answers it, now or later. */
 #pragma once
+#include "net/http.h"
 #include "net/node.h"
 
 /**
--- a/src/net/admin_settings.c
+++ b/src/net/admin_settings.c
@@ -1,9 +1,8 @@
-/* The operators' settings: a row of the key-value store, whose revision is their version. Each
- * controller reads it now and then; a change is a compare-and-swap on the version. */
-#include "core/constants.h"
-#include "log.h"
-#include "net/admin.h"
+/* The administration API's settings: showing those in force (settings_reader.h), and changing them
+ * by a compare-and-swap on their version. */
 #include "net/admin_endpoints.h"
+#include "net/settings_reader.h"
+#include "net/store_client.h"
 #include "wire/store.h"
 
 /* A change that is being committed. */
@@ -31,68 +30,12 @@
   return json_pack ("{s:I, s:o}", "version", (json_int_t) version, "settings", list);
 }
 
-/* The operators' choice, else what the environment says. */
-static const char *
-log_level (const FtTuning *tuning)
-{
-  const char *const choices[] = FT_LOG_CHOICES;
-  guint level = (guint) tuning->log_level;
-  const char *environment = g_getenv ("LOG_LEVEL");
-  if (level > 0)
-    return choices[level];
-  return environment != NULL ? environment : "error";
-}
-
-/* Puts settings in force, unless that version is. Version 0 stands for no row at all. */
-static void
-apply (FtNode *node, const FtTuning *tuning, guint64 version)
-{
-  if (version == node->settings.settings_version && version != 0)
-    return;
-  node->settings.tuning = *tuning;
-  node->settings.settings_version = version;
-  ft_lease_set_times (node->lease, (gint64) (tuning->lease_s * FT_SECOND), (gint64) (tuning->sweep_s * FT_SECOND),
-                      tuning->sweep_jitter, tuning->renew_fraction);
-  if (node->leader.scheduler != NULL)
-    ft_scheduler_set_tuning (node->leader.scheduler, tuning);
-  ft_log_set_level (log_level (tuning));
-  g_message ("node %s: operators' settings of version %" G_GUINT64_FORMAT, node->config->member, version);
-}
-
-/* ---- reading ---- */
-
-static void
-on_settings_read (FtStoreResult result, const json_t *body, gpointer data)
-{
-  FtNode *node = data;
-  FtTuning tuning;
-  FtRow row;
-  node->settings.settings_in_flight = FALSE;
-  if (result != FT_STORE_OK || !ft_store_row (body, &row))
-    return;
-  ft_row_settings_parse (row.value, &tuning);
-  g_autofree char *why = ft_tuning_check (&tuning, &node->config->core);
-  if (why != NULL)
-    g_warning ("node %s: stored settings not used: %s", node->config->member, why);
-  else
-    apply (node, &tuning, row.revision);
-}
-
-void
-ft_admin_tick (FtNode *node, gint64 now)
-{
-  if (now < node->settings.next_settings || node->settings.settings_in_flight)
-    return;
-  node->settings.next_settings = now + (gint64) (FT_SETTINGS_EVERY_S * FT_SECOND);
-  node->settings.settings_in_flight = TRUE;
-  ft_store_client_get (node->store, FT_KEY_SETTINGS, FT_STORE_PRIORITY_READ, on_settings_read, node);
-}
-
 void
 ft_admin_get_settings (FtNode *node, FtHttpRequest *request)
 {
-  const FtSettingsReader *settings = &node->settings;
-  ft_http_respond (request, FT_HTTP_OK, settings_body (&settings->tuning, settings->settings_version));
+  const FtSettingsReader *settings = node->settings;
+  const FtTuning *tuning = ft_settings_reader_tuning (settings);
+  ft_http_respond (request, FT_HTTP_OK, settings_body (tuning, ft_settings_reader_version (settings)));
 }
 
 /* ---- changing ---- */
@@ -103,10 +46,10 @@
   SettingsChange *change = data;
   guint64 revision;
   if (result == FT_STORE_OK && ft_store_revision (body, &revision)) {
-    apply (change->node, &change->tuning, revision);
+    ft_settings_reader_apply (change->node->settings, &change->tuning, revision);
     ft_http_respond (change->request, FT_HTTP_OK, settings_body (&change->tuning, revision));
   } else if (result == FT_STORE_CONFLICT) {
-    change->node->settings.next_settings = 0; /* to read the other change at once */
+    ft_settings_reader_read_soon (change->node->settings);
     ft_admin_refuse (change->request, FT_HTTP_CONFLICT, "the settings have changed meanwhile: read them again");
   } else {
     ft_admin_refuse (change->request, FT_HTTP_UNAVAILABLE,
@@ -146,7 +89,7 @@
     return FALSE;
   }
   *version = (guint64) json_integer_value (stated);
-  *tuning = node->settings.tuning;
+  *tuning = *ft_settings_reader_tuning (node->settings);
   json_object_foreach ((json_t *) set, name, value)
   {
     if (!set_value (request, tuning, name, value))
@@ -159,9 +102,9 @@
 static gboolean
 check_change (FtNode *node, FtHttpRequest *request, const FtTuning *tuning, guint64 version)
 {
-  if (version != node->settings.settings_version) {
-    ft_admin_refuse (request, FT_HTTP_CONFLICT, "the settings are at version %" G_GUINT64_FORMAT,
-                     node->settings.settings_version);
+  guint64 version_in_force = ft_settings_reader_version (node->settings);
+  if (version != version_in_force) {
+    ft_admin_refuse (request, FT_HTTP_CONFLICT, "the settings are at version %" G_GUINT64_FORMAT, version_in_force);
     return FALSE;
   }
   g_autofree char *why = ft_tuning_check (tuning, &node->config->core);
--- a/src/net/admin_status.c
+++ b/src/net/admin_status.c
@@ -3,8 +3,14 @@
 #include <string.h>
 
 #include "core/constants.h"
+#include "core/lease.h"
 #include "net/admin_endpoints.h"
 #include "net/front.h"
+#include "net/leader.h"
+#include "net/leadership.h"
+#include "net/metrics.h"
+#include "net/peers.h"
+#include "net/store_client.h"
 
 /* ---- status ---- */
 
@@ -34,16 +40,17 @@
 ft_admin_get_status (FtNode *node, FtHttpRequest *request)
 {
   gint64 now = g_get_monotonic_time ();
+  const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   json_t *body = json_pack (
       "{s:s, s:s, s:b, s:b, s:s, s:s?, s:I, s:b, s:i, s:o}", "member", node->config->member, "version", FT_VERSION,
       "ready", ft_node_ready (node, now), "state_service", ft_store_client_contact (node->store, now), "lease",
-      ft_lease_state_name (ft_lease_state (node->lease)), "leader", ft_node_leader (node), "token",
-      (json_int_t) (node->leader.scheduler != NULL ? ft_lease_token (node->lease)
-                                                   : ft_peers_leader_token (node->peers)),
-      "recovered", node->leader.scheduler != NULL && ft_scheduler_is_loaded (node->leader.scheduler),
-      "user_connections", (int) ft_http_server_connections (node->front), "peers", peers_body (node, now));
-  if (node->leader.scheduler != NULL)
-    json_object_set_new (body, "lease_age_s", json_real ((double) (now - node->leader.led_since) / FT_SECOND));
+      ft_lease_state_name (ft_lease_state (node->lease)), "leader", ft_leadership_known_leader (node->leadership),
+      "token", (json_int_t) (scheduler != NULL ? ft_lease_token (node->lease) : ft_peers_leader_token (node->peers)),
+      "recovered", scheduler != NULL && ft_scheduler_is_loaded (scheduler), "user_connections",
+      (int) ft_http_server_connections (node->front), "peers", peers_body (node, now));
+  if (scheduler != NULL)
+    json_object_set_new (body, "lease_age_s",
+                         json_real ((double) (now - ft_leader_led_since (node->leader)) / FT_SECOND));
   ft_http_respond (request, FT_HTTP_OK, body);
 }
 
@@ -163,7 +170,7 @@
 ft_admin_get_list (FtNode *node, FtHttpRequest *request, const char *name)
 {
   json_t *list = json_array ();
-  find_list (name)->add (node->leader.scheduler, list);
+  find_list (name)->add (ft_leader_scheduler (node->leader), list);
   ft_http_respond (request, FT_HTTP_OK, json_pack ("{s:o}", name, list));
 }
 
@@ -173,9 +180,10 @@
 ft_admin_get_metrics (FtNode *node, FtHttpRequest *request)
 {
   json_t *body = ft_metrics_body (node->metrics), *counters = json_object_get (body, "counters");
-  if (node->leader.scheduler != NULL) {
+  FtScheduler *scheduler = ft_leader_scheduler (node->leader);
+  if (scheduler != NULL) {
     guint open, waiting;
-    ft_scheduler_count_jobs (node->leader.scheduler, &open, &waiting);
+    ft_scheduler_count_jobs (scheduler, &open, &waiting);
     json_object_set_new (counters, "open_jobs", json_integer (open));
     json_object_set_new (counters, "waiting_jobs", json_integer (waiting));
   }
--- a/src/net/ancestors.c
+++ b/src/net/ancestors.c
@@ -1,7 +1,9 @@
 #include "net/ancestors.h"
 
 #include "core/constants.h"
+#include "net/job_cache.h"
 #include "net/polls.h"
+#include "net/store_client.h"
 #include "wire/store.h"
 
 /* A breadth-first traversal of the dependency graph, from jobs to those that they need. Vertices are
--- a/src/net/cancellation.c
+++ b/src/net/cancellation.c
@@ -2,6 +2,9 @@
 
 #include "net/idempotent_request.h"
 #include "net/job_status.h"
+#include "net/metrics.h"
+#include "net/node_peers.h"
+#include "net/store_client.h"
 #include "wire/store.h"
 
 static void
--- a/src/net/node.c
+++ b/src/net/controller.c
@@ -1,11 +1,24 @@
-#include "net/node.h"
+#include "net/controller.h"
 
 #include <string.h>
 
 #include "core/constants.h"
+#include "core/lease.h"
 #include "net/admin.h"
+#include "net/catalog_cache.h"
 #include "net/front.h"
+#include "net/heartbeat_queue.h"
+#include "net/http.h"
+#include "net/job_cache.h"
+#include "net/leader.h"
+#include "net/leadership.h"
+#include "net/malformed.h"
+#include "net/metrics.h"
+#include "net/node_peers.h"
+#include "net/peers.h"
 #include "net/polls.h"
+#include "net/settings_reader.h"
+#include "net/store_client.h"
 #include "net/worker_endpoint.h"
 
 /* Connections that are kept to one worker; there are thousands of workers. */
@@ -15,37 +28,32 @@
 /* Connections to the cloud; its calls are few. */
 #define CLOUD_CONNECTIONS 4
 
-/* ---- what the endpoints share ---- */
+struct _FtController {
+  FtNode node; /* its parts, all owned here but the configuration */
+  guint timer;
+  gint64 last_tick; /* of the timer; monotonic, microseconds, 0: none yet */
+};
 
-const char *
-ft_node_leader (const FtNode *node)
-{
-  if (node->leader.scheduler != NULL)
-    return node->config->member;
-  const char *named_by_peers = ft_peers_leader (node->peers);
-  return named_by_peers != NULL ? named_by_peers : ft_lease_holder (node->lease);
-}
-
-void
-ft_node_pump (FtNode *node)
-{
-  ft_leader_pump (node, g_get_monotonic_time ());
-}
+/* ---- wiring ---- */
 
-void
-ft_node_malformed (FtNode *node, FtCounter source, const char *what)
+static void
+on_catalog_read (FtCatalog *catalog, gpointer data)
 {
-  ft_malformed_log_add (node->malformed, source, what);
+  const FtNode *node = data;
+  FtScheduler *scheduler = ft_leader_scheduler (node->leader);
+  if (scheduler != NULL)
+    ft_scheduler_set_catalog (scheduler, catalog);
 }
 
-/* ---- wiring ---- */
-
 static void
-on_catalog_read (FtCatalog *catalog, gpointer data)
+on_settings_changed (const FtTuning *tuning, gpointer data)
 {
   const FtNode *node = data;
-  if (node->leader.scheduler != NULL)
-    ft_scheduler_set_catalog (node->leader.scheduler, catalog);
+  FtScheduler *scheduler = ft_leader_scheduler (node->leader);
+  ft_lease_set_times (node->lease, (gint64) (tuning->lease_s * FT_SECOND), (gint64) (tuning->sweep_s * FT_SECOND),
+                      tuning->sweep_jitter, tuning->renew_fraction);
+  if (scheduler != NULL)
+    ft_scheduler_set_tuning (scheduler, tuning);
 }
 
 /* The listener for peers and operators. */
@@ -65,10 +73,11 @@
 /* ---- the timer ---- */
 
 static void
-check_lateness (FtNode *node, gint64 now)
+check_lateness (FtController *controller, gint64 now)
 {
-  gint64 late = node->last_tick > 0 ? now - node->last_tick - FT_TICK_MS * FT_MILLISECOND : 0;
-  node->last_tick = now;
+  const FtNode *node = &controller->node;
+  gint64 late = controller->last_tick > 0 ? now - controller->last_tick - FT_TICK_MS * FT_MILLISECOND : 0;
+  controller->last_tick = now;
   if (late <= (gint64) (FT_LATE_TICK_S * FT_SECOND))
     return;
   ft_leadership_stood_still (node->leadership, now);
@@ -78,15 +87,15 @@
 static gboolean
 on_tick (gpointer data)
 {
-  FtNode *node = data;
+  FtController *controller = data;
+  const FtNode *node = &controller->node;
   gint64 now = g_get_monotonic_time ();
-  check_lateness (node, now);
+  check_lateness (controller, now);
   ft_leadership_tick (node->leadership, now);
   ft_catalog_cache_tick (node->catalog_cache, now);
   ft_peers_tick (node->peers, now);
-  ft_admin_tick (node, now);
-  if (node->leader.scheduler != NULL)
-    ft_leader_tick (node, now);
+  ft_settings_reader_tick (node->settings, now);
+  ft_leader_tick (node->leader, now);
   return G_SOURCE_CONTINUE;
 }
 
@@ -113,12 +122,13 @@
 static void
 make_modules (FtNode *node)
 {
+  node->settings = ft_settings_reader_new (node->config, node->store, on_settings_changed, node);
   node->catalog_cache = ft_catalog_cache_new (node->config, node->cloud_client, node->malformed, on_catalog_read, node);
   node->peers = ft_peers_new (node->config, node->malformed, &ft_node_peers_hooks, node);
   node->polls = ft_polls_new (node);
   node->job_cache = ft_job_cache_new ();
-  g_queue_init (&node->heartbeat_queue.waiting_heartbeats);
-  ft_leader_cloud_init (node, g_get_monotonic_time ());
+  node->heartbeat_queue = ft_heartbeat_queue_new (&ft_worker_queue_hooks, node);
+  node->leader = ft_leader_new (node, g_get_monotonic_time ());
   node->leadership = ft_leadership_new (node);
 }
 
@@ -134,50 +144,67 @@
   return node->peer_server != NULL;
 }
 
-FtNode *
-ft_node_new (const FtConfig *config, GError **error)
+FtController *
+ft_controller_new (const FtConfig *config, GError **error)
 {
-  g_autoptr (FtNode) node = g_new0 (FtNode, 1);
+  g_autoptr (FtController) controller = g_new0 (FtController, 1);
+  FtNode *node = &controller->node;
   node->config = config;
   node->random = g_rand_new ();
   make_lease (node);
   node->metrics = ft_metrics_new ();
   node->malformed = ft_malformed_log_new (config->member, node->metrics);
-  ft_tuning_defaults (&node->settings.tuning);
   make_clients (node);
   make_modules (node);
   if (!start_listening (node, error))
     return NULL;
-  node->timer = g_timeout_add (FT_TICK_MS, on_tick, node);
-  on_tick (node);
+  controller->timer = g_timeout_add (FT_TICK_MS, on_tick, controller);
+  on_tick (controller);
   g_message ("node %s: started, users and workers on %s, peers and operators on %s", config->member, config->listen,
              config->peer_listen);
-  return g_steal_pointer (&node);
+  return g_steal_pointer (&controller);
+}
+
+/* The parts that answers and requests refer to, once neither can come any more. */
+static void
+free_parts (FtNode *node)
+{
+  ft_leader_free (node->leader);
+  ft_heartbeat_queue_free (node->heartbeat_queue);
+  ft_peers_free (node->peers);
+  ft_settings_reader_free (node->settings);
+  ft_catalog_cache_free (node->catalog_cache);
+  ft_job_cache_free (node->job_cache);
+  ft_lease_free (node->lease);
+  ft_malformed_log_free (node->malformed);
+  ft_metrics_free (node->metrics);
+  g_rand_free (node->random);
 }
 
-/* The listeners go first, so that no request comes any more, then the term and the clients, so
- * that no answer does; what the requests refer to goes last. */
+/* The listeners are freed first, so that no request comes any more, then the term and the clients,
+ * so that no answer does; what the requests refer to comes last. */
 void
-ft_node_free (FtNode *node)
+ft_controller_free (FtController *controller)
 {
-  if (node == NULL)
+  if (controller == NULL)
     return;
-  if (node->timer != 0)
-    g_source_remove (node->timer);
+  FtNode *node = &controller->node;
+  if (controller->timer != 0)
+    g_source_remove (controller->timer);
   ft_http_server_free (node->front);
-  ft_worker_refuse_all (node);
+  ft_heartbeat_queue_refuse_all (node->heartbeat_queue);
   ft_http_server_free (node->peer_server);
   ft_leadership_free (node->leadership);
   ft_store_client_free (node->store);
   ft_polls_free (node->polls);
   ft_http_client_free (node->worker_client);
   ft_http_client_free (node->cloud_client);
-  ft_peers_free (node->peers);
-  ft_catalog_cache_free (node->catalog_cache);
-  ft_job_cache_free (node->job_cache);
-  ft_lease_free (node->lease);
-  ft_malformed_log_free (node->malformed);
-  ft_metrics_free (node->metrics);
-  g_rand_free (node->random);
-  g_free (node);
+  free_parts (node);
+  g_free (controller);
+}
+
+const FtNode *
+ft_controller_node (const FtController *controller)
+{
+  return &controller->node;
 }
--- a/src/net/front.c
+++ b/src/net/front.c
@@ -2,7 +2,9 @@
 
 #include <string.h>
 
-#include "core/constants.h"
+#include "net/leadership.h"
+#include "net/peers.h"
+#include "net/store_client.h"
 #include "net/user_api.h"
 #include "net/worker_endpoint.h"
 
--- a/src/net/front.h
+++ b/src/net/front.h
@@ -1,5 +1,6 @@
 /* The listener for users, workers and the balancer: its routes, and the balancer's probe. */
 #pragma once
+#include "net/http.h"
 #include "net/node.h"
 
 /**
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -3,7 +3,7 @@
  *
  * Bodies are trees of jansson values: users, workers, the cloud and the key-value store speak CBOR,
  * the peers and the administration API JSON. Users of this header: every endpoint (front.h,
- * admin.h, peers.c), every client of a service (store_client.h, leader.c, node.c) and flintctl. */
+ * admin.h, peers.c), every client of a service (store_client.h, leader_*.c, controller.c) and flintctl. */
 #pragma once
 #include <glib.h>
 #include <jansson.h>
--- a/src/net/idempotent_request.h
+++ b/src/net/idempotent_request.h
@@ -2,6 +2,7 @@
  * places where a submission or a cancellation finds out that it, or another one of the same job, was
  * carried out before. */
 #pragma once
+#include "net/store_client.h"
 #include "net/user_request.h"
 
 /**
--- a/src/net/job_status.c
+++ b/src/net/job_status.c
@@ -3,7 +3,11 @@
 #include "net/ancestors.h"
 #include "net/cancellation.h"
 #include "net/idempotent_request.h"
+#include "net/job_cache.h"
+#include "net/leader.h"
+#include "net/peers.h"
 #include "net/polls.h"
+#include "net/store_client.h"
 #include "wire/messages.h"
 #include "wire/store.h"
 
@@ -32,8 +36,9 @@
 {
   FtJobProgress progress = { 0 };
   const FtJobProgress *summary = ft_peers_job_progress (node->peers, ref);
-  if (node->leader.scheduler != NULL)
-    progress = ft_scheduler_view (node->leader.scheduler, ref);
+  FtScheduler *scheduler = ft_leader_scheduler (node->leader);
+  if (scheduler != NULL)
+    progress = ft_scheduler_view (scheduler, ref);
   else if (summary != NULL)
     progress = *summary;
   const char *state = progress.running > 0 ? "running" : "queued";
--- a/src/net/leader.h
+++ b/src/net/leader.h
@@ -1,48 +1,37 @@
 /* What a controller does while it leads: it carries the scheduler's actions out against the
  * key-value store, the workers and the cloud, and takes their answers back to the scheduler.
  *
- * The leadership module begins and ends terms; the node's timer calls ft_leader_tick(), and
- * whatever gives the scheduler news calls ft_leader_pump(). The parts are in leader_*.c; each
- * owns its member of FtLeader. */
+ * The leadership module begins and ends terms; the controller's timer calls ft_leader_tick(), and
+ * whatever gives the scheduler news calls ft_leader_pump(). The parts are in leader_*.c; each owns
+ * its state and knows of the others only what it is given. */
 #pragma once
-#include "core/scheduler.h"
-#include "net/leader_batches.h"
-#include "net/leader_cloud.h"
-#include "net/leader_rows.h"
-#include "net/leader_watch.h"
+#include "net/leader_term.h"
 
-typedef struct _FtNode FtNode;
+typedef struct _FtLeader FtLeader;
 
 /**
- * FtLeader:
- * @scheduler: owned; NULL: this controller does not lead
- * @term: counts up whenever leading begins or ends, so that answers of an earlier term are dropped
- * @led_since: monotonic, microseconds
- * @next_scheduler_tick: monotonic, microseconds
- * @rows: of leader_rows.c
- * @watch: of leader_watch.c
- * @batches: of leader_batches.c
- * @cloud: of leader_cloud.c
- * @commands_in_flight: of leader_commands.c
- * @dependency_reads_in_flight: of leader_dependencies.c
- * @superseded: called when an answer shows that another controller leads, with the reason (static
- *     text) for the log line; set once by the leadership module, which ends the term
+ * ft_leader_new:
+ * @node: borrowed for life; its clients, lease and settings are used from ft_leader_begin() on
+ * @now: monotonic time in microseconds
+ *
+ * Returns: (transfer full): the leader's parts, of a controller that does not lead
+ */
+FtLeader *ft_leader_new (FtNode *node, gint64 now);
+
+/**
+ * ft_leader_free:
+ * @leader: (nullable) (transfer full): its term has ended, and no answer may come any more
+ */
+void ft_leader_free (FtLeader *leader);
+
+/**
+ * ft_leader_set_superseded:
+ * @superseded: called when an answer shows that another controller leads; it ends the term
+ * @data: for @superseded
  *
- * Held by the node. Other modules read @scheduler and @led_since.
+ * Set once, by the leadership module.
  */
-typedef struct {
-  FtScheduler *scheduler;
-  guint term;
-  gint64 led_since;
-  gint64 next_scheduler_tick;
-  FtLeaderRows rows;
-  FtLeaderWatch watch;
-  FtLeaderBatches batches;
-  FtLeaderCloud cloud;
-  guint commands_in_flight;
-  guint dependency_reads_in_flight;
-  void (*superseded) (FtNode *node, const char *reason);
-} FtLeader;
+void ft_leader_set_superseded (FtLeader *leader, FtLeaderSuperseded superseded, gpointer data);
 
 /**
  * ft_leader_begin:
@@ -50,29 +39,53 @@
  *
  * Begins a term after the lease was acquired: makes a scheduler and starts the recovery.
  */
-void ft_leader_begin (FtNode *node, guint64 revision);
+void ft_leader_begin (FtLeader *leader, guint64 revision);
 
 /**
  * ft_leader_end:
  *
  * Ends the term, if there is one: frees the scheduler and lets later answers be dropped.
  */
-void ft_leader_end (FtNode *node);
+void ft_leader_end (FtLeader *leader);
+
+/**
+ * ft_leader_scheduler:
+ *
+ * Returns: (transfer none) (nullable): the term's scheduler, valid until the term ends; %NULL: this
+ *     controller does not lead
+ */
+FtScheduler *ft_leader_scheduler (const FtLeader *leader);
+
+/**
+ * ft_leader_led_since:
+ *
+ * Returns: when the present term began, or the last one if this controller does not lead;
+ *     monotonic, microseconds
+ */
+gint64 ft_leader_led_since (const FtLeader *leader);
+
+/**
+ * ft_leader_term_number:
+ *
+ * Returns: a number that changes whenever leading begins or ends
+ */
+guint ft_leader_term_number (const FtLeader *leader);
 
 /**
  * ft_leader_pump:
  * @now: monotonic time in microseconds
  *
- * Places tasks and carries out whatever the scheduler wants; nothing while this controller does
- * not lead or its recovery is not complete.
+ * Places tasks and carries out whatever the scheduler wants now: commands, commits, cloud calls.
+ * Nothing while this controller does not lead or its recovery is not complete. To be called after
+ * the scheduler was given news.
  */
-void ft_leader_pump (FtNode *node, gint64 now);
+void ft_leader_pump (FtLeader *leader, gint64 now);
 
 /**
  * ft_leader_tick:
- * @node: a controller that leads
  * @now: monotonic time in microseconds
  *
- * Periodic work: the watch, the cloud's list, the scheduler's own timers.
+ * Periodic work while this controller leads, else nothing: the watch, the cloud's list, the
+ * scheduler's own timers.
  */
-void ft_leader_tick (FtNode *node, gint64 now);
+void ft_leader_tick (FtLeader *leader, gint64 now);
--- a/src/net/leader_batches.c
+++ b/src/net/leader_batches.c
@@ -1,8 +1,27 @@
 #include "net/leader_batches.h"
 
 #include "core/constants.h"
+#include "core/lease.h"
 #include "net/leader_request.h"
-#include "net/node.h"
+#include "net/metrics.h"
+#include "net/store_client.h"
+#include "wire/store.h"
+
+/* Of the batch under way. */
+typedef enum {
+  FT_BATCH_IDLE,       /* there is none */
+  FT_BATCH_COMMITTING, /* it was sent, and its answer is awaited */
+  FT_BATCH_UNCERTAIN,  /* its answer was lost or contradicts us: the journal row is being read */
+} FtBatchState;
+
+struct _FtLeaderBatches {
+  FtLeaderTerm *term; /* borrowed */
+  FtBatchState state;
+  guint64 journal_revision; /* of the journal row, on which the next batch is conditional */
+  guint64 last_number;      /* of the last batch that was sent in this term */
+  guint most_operations;    /* in a batch, the journal's row included; lowered when the store refuses large ones */
+  gint64 not_before;        /* the next batch is not sent before; monotonic, microseconds */
+};
 
 /* A batch, or the reading of the journal row that decides about one. */
 typedef struct {
@@ -17,12 +36,6 @@
   char *ref; /* owned */
 } ConflictedJobRequest;
 
-static void
-set_state (FtNode *node, FtBatchState state)
-{
-  node->leader.batches.state = state;
-}
-
 static void
 batch_request_clear (FtLeaderRequest *request)
 {
@@ -34,13 +47,14 @@
 static void
 finish_batch (BatchRequest *batch, gboolean applied, const char *conflicted_ref)
 {
-  FtNode *node = batch->base.node;
+  FtLeaderBatches *batches = batch->base.owner;
+  FtScheduler *scheduler = batches->term->scheduler;
   gint64 now = g_get_monotonic_time ();
-  set_state (node, FT_BATCH_IDLE);
+  batches->state = FT_BATCH_IDLE;
   if (applied)
-    ft_scheduler_writes_committed (node->leader.scheduler, batch->writes, now);
+    ft_scheduler_writes_committed (scheduler, batch->writes, now);
   else
-    ft_scheduler_writes_failed (node->leader.scheduler, batch->writes, conflicted_ref, now);
+    ft_scheduler_writes_failed (scheduler, batch->writes, conflicted_ref, now);
 }
 
 /* ---- a batch whose outcome is not known ---- */
@@ -51,18 +65,18 @@
 on_journal (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   BatchRequest *batch = (BatchRequest *) request;
-  FtNode *node = request->node;
+  FtLeaderBatches *batches = request->owner;
   FtRow row;
   if (ft_store_read_row (result, body, &row) != FT_STORE_OK)
     return FT_LEADER_OUTCOME_RETRY;
   guint64 token, number;
   ft_row_journal_parse (row.value, &token, &number);
-  if (token != ft_lease_token (node->lease)) {
+  if (token != ft_lease_token (request->term->node->lease)) {
     request->superseded_reason = "the journal row carries another leader's fencing token";
     return FT_LEADER_OUTCOME_SUPERSEDED;
   }
   gboolean applied = number == batch->number;
-  node->leader.batches.journal_revision = row.revision;
+  batches->journal_revision = row.revision;
   finish_batch (batch, applied, NULL);
   return FT_LEADER_OUTCOME_PROGRESS;
 }
@@ -70,7 +84,7 @@
 static void
 send_journal_request (FtLeaderRequest *request)
 {
-  ft_store_client_get (request->node->store, FT_KEY_JOURNAL, FT_STORE_PRIORITY_COMMIT,
+  ft_store_client_get (request->term->node->store, FT_KEY_JOURNAL, FT_STORE_PRIORITY_COMMIT,
                        ft_leader_request_on_store_answer, request);
 }
 
@@ -84,11 +98,11 @@
 static FtLeaderOutcome
 decide_by_journal (const BatchRequest *batch)
 {
-  FtNode *node = batch->base.node;
-  BatchRequest *reading = ft_leader_request_new (node, &journal_kind);
+  FtLeaderBatches *batches = batch->base.owner;
+  BatchRequest *reading = ft_leader_request_new (batches->term, &journal_kind, batches);
   reading->writes = g_ptr_array_ref (batch->writes);
   reading->number = batch->number;
-  set_state (node, FT_BATCH_UNCERTAIN);
+  batches->state = FT_BATCH_UNCERTAIN;
   ft_leader_request_send (&reading->base);
   return FT_LEADER_OUTCOME_DONE;
 }
@@ -99,7 +113,7 @@
 on_conflicted_job (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   const char *ref = ((ConflictedJobRequest *) request)->ref;
-  FtScheduler *scheduler = request->node->leader.scheduler;
+  FtScheduler *scheduler = request->term->scheduler;
   FtRow row;
   FtJobRow job;
   if (ft_store_read_job (result, body, &row, &job) != FT_STORE_OK)
@@ -116,7 +130,8 @@
 send_conflicted_job_request (FtLeaderRequest *request)
 {
   g_autofree char *key = ft_key_job (((ConflictedJobRequest *) request)->ref);
-  ft_store_client_get (request->node->store, key, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_store_answer, request);
+  ft_store_client_get (request->term->node->store, key, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_store_answer,
+                       request);
 }
 
 static void
@@ -133,9 +148,9 @@
 };
 
 static void
-read_conflicted_job (FtNode *node, const char *ref)
+read_conflicted_job (FtLeaderBatches *batches, const char *ref)
 {
-  ConflictedJobRequest *request = ft_leader_request_new (node, &conflicted_job_kind);
+  ConflictedJobRequest *request = ft_leader_request_new (batches->term, &conflicted_job_kind, batches);
   request->ref = g_strdup (ref);
   ft_leader_request_send (&request->base);
 }
@@ -154,15 +169,15 @@
     return decide_by_journal (batch);
   const char *ref = ft_store_conflicted_job (body, batch->writes);
   if (ref != NULL)
-    read_conflicted_job (batch->base.node, ref);
+    read_conflicted_job (batch->base.owner, ref);
   finish_batch (batch, FALSE, ref);
   return FT_LEADER_OUTCOME_PROGRESS;
 }
 
 static void
-shrink_batches (FtNode *node)
+shrink (FtLeaderBatches *batches)
 {
-  node->leader.batches.most_operations = MAX (FT_TXN_OPS_MIN, node->leader.batches.most_operations / 2);
+  batches->most_operations = MAX (FT_TXN_OPS_MIN, batches->most_operations / 2);
 }
 
 /* The store will not accept it, however often it is sent: its limits may have changed. The
@@ -170,13 +185,14 @@
 static FtLeaderOutcome
 on_batch_invalid (BatchRequest *batch)
 {
-  FtNode *node = batch->base.node;
+  FtLeaderBatches *batches = batch->base.owner;
+  const FtNode *node = batches->term->node;
   ft_metrics_count (node->metrics, FT_COUNT_BATCHES_INVALID);
   g_warning ("node %s: the key-value store refused a batch of %u writes as invalid: batches get smaller",
              node->config->member, batch->writes->len);
-  shrink_batches (node);
-  ft_scheduler_lower_value_limit (node->leader.scheduler);
-  node->leader.batches.not_before = g_get_monotonic_time () + (gint64) (FT_BATCH_INVALID_PAUSE_S * FT_SECOND);
+  shrink (batches);
+  ft_scheduler_lower_value_limit (batches->term->scheduler);
+  batches->not_before = g_get_monotonic_time () + (gint64) (FT_BATCH_INVALID_PAUSE_S * FT_SECOND);
   finish_batch (batch, FALSE, NULL);
   return FT_LEADER_OUTCOME_PROGRESS;
 }
@@ -186,10 +202,10 @@
 static FtLeaderOutcome
 on_batch_not_executed (BatchRequest *batch, gboolean too_large)
 {
-  FtNode *node = batch->base.node;
+  FtLeaderBatches *batches = batch->base.owner;
   if (too_large)
-    shrink_batches (node);
-  node->leader.batches.not_before = ft_leader_first_retry_at (node);
+    shrink (batches);
+  batches->not_before = ft_leader_first_retry_at (batches->term);
   finish_batch (batch, FALSE, NULL);
   return FT_LEADER_OUTCOME_PROGRESS;
 }
@@ -197,8 +213,9 @@
 static FtLeaderOutcome
 on_batch_committed (BatchRequest *batch, guint64 revision)
 {
-  FtNode *node = batch->base.node;
-  node->leader.batches.journal_revision = revision;
+  FtLeaderBatches *batches = batch->base.owner;
+  const FtNode *node = batches->term->node;
+  batches->journal_revision = revision;
   ft_metrics_count (node->metrics, FT_COUNT_BATCHES);
   ft_metrics_time (node->metrics, FT_TIME_BATCH, g_get_monotonic_time () - batch->base.created_at);
   finish_batch (batch, TRUE, NULL);
@@ -227,7 +244,7 @@
   case FT_STORE_FAILED:
   case FT_STORE_MALFORMED:
   default:
-    ft_metrics_count (request->node->metrics, FT_COUNT_BATCHES_UNCERTAIN);
+    ft_metrics_count (request->term->node->metrics, FT_COUNT_BATCHES_UNCERTAIN);
     return decide_by_journal (batch);
   }
 }
@@ -238,14 +255,15 @@
 send_batch_request (FtLeaderRequest *request)
 {
   const BatchRequest *batch = (const BatchRequest *) request;
-  FtNode *node = request->node;
+  FtLeaderBatches *batches = request->owner;
+  const FtNode *node = request->term->node;
   json_t *txn = ft_txn_new ();
   ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
-  ft_txn_if (txn, FT_KEY_JOURNAL, node->leader.batches.journal_revision);
+  ft_txn_if (txn, FT_KEY_JOURNAL, batches->journal_revision);
   ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (ft_lease_token (node->lease), batch->number));
   for (guint i = 0; i < batch->writes->len; i++)
     ft_txn_add_write (txn, g_ptr_array_index (batch->writes, i), g_get_real_time () / FT_MILLISECOND);
-  set_state (node, FT_BATCH_COMMITTING);
+  batches->state = FT_BATCH_COMMITTING;
   ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_store_answer, request);
   json_decref (txn);
 }
@@ -257,27 +275,41 @@
   .clear = batch_request_clear,
 };
 
+FtLeaderBatches *
+ft_leader_batches_new (FtLeaderTerm *term)
+{
+  FtLeaderBatches *batches = g_new0 (FtLeaderBatches, 1);
+  batches->term = term;
+  return batches;
+}
+
+void
+ft_leader_batches_free (FtLeaderBatches *batches)
+{
+  g_free (batches);
+}
+
 void
-ft_leader_batches_begin (FtNode *node, guint64 journal_revision)
+ft_leader_batches_begin (FtLeaderBatches *batches, guint64 journal_revision)
 {
-  node->leader.batches = (FtLeaderBatches){
+  *batches = (FtLeaderBatches){
+    .term = batches->term,
     .journal_revision = journal_revision,
-    .most_operations = node->config->core.txn_ops,
+    .most_operations = batches->term->node->config->core.txn_ops,
   };
 }
 
 void
-ft_leader_batches_commit (FtNode *node, gint64 now)
+ft_leader_batches_commit (FtLeaderBatches *batches, gint64 now)
 {
-  FtLeaderBatches *batches = &node->leader.batches;
   if (batches->state != FT_BATCH_IDLE || now < batches->not_before)
     return;
   guint most_writes = batches->most_operations - 1; /* one operation is the journal row's */
-  g_autoptr (GPtrArray) writes
-      = ft_scheduler_next_writes (node->leader.scheduler, most_writes, ft_store_client_spare_writes (node->store), now);
+  guint spare_writes = ft_store_client_spare_writes (batches->term->node->store);
+  g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (batches->term->scheduler, most_writes, spare_writes, now);
   if (writes->len == 0)
     return;
-  BatchRequest *batch = ft_leader_request_new (node, &batch_kind);
+  BatchRequest *batch = ft_leader_request_new (batches->term, &batch_kind, batches);
   batch->writes = g_steal_pointer (&writes);
   batch->number = ++batches->last_number;
   ft_leader_request_send (&batch->base);
--- a/src/net/leader_batches.h
+++ b/src/net/leader_batches.h
@@ -5,37 +5,23 @@
  * it, so a batch whose answer was lost is decided by reading it, and a late copy of a batch
  * can no longer be applied once the next one has been. */
 #pragma once
-#include <glib.h>
+#include "net/leader_term.h"
 
-typedef struct _FtNode FtNode;
+typedef struct _FtLeaderBatches FtLeaderBatches;
 
 /**
- * FtBatchState:
- * @FT_BATCH_IDLE: none is under way
- * @FT_BATCH_COMMITTING: one was sent, and its answer is awaited
- * @FT_BATCH_UNCERTAIN: its answer was lost or contradicts us: the journal row is being read
+ * ft_leader_batches_new:
+ * @term: borrowed for life
+ *
+ * Returns: (transfer full): the batches of a controller that does not lead
  */
-typedef enum {
-  FT_BATCH_IDLE,
-  FT_BATCH_COMMITTING,
-  FT_BATCH_UNCERTAIN,
-} FtBatchState;
+FtLeaderBatches *ft_leader_batches_new (FtLeaderTerm *term);
 
 /**
- * FtLeaderBatches:
- * @state: of the batch under way
- * @journal_revision: of the journal row, on which the next batch is conditional
- * @last_number: of the last batch that was sent in this term
- * @most_operations: in a batch, the journal's row included; lowered when the store refuses large ones
- * @not_before: the next batch is not sent before; monotonic, microseconds
+ * ft_leader_batches_free:
+ * @batches: (nullable) (transfer full): no answer may come any more
  */
-typedef struct {
-  FtBatchState state;
-  guint64 journal_revision;
-  guint64 last_number;
-  guint most_operations;
-  gint64 not_before;
-} FtLeaderBatches;
+void ft_leader_batches_free (FtLeaderBatches *batches);
 
 /**
  * ft_leader_batches_begin:
@@ -43,13 +29,13 @@
  *
  * Prepares for a term; no batch is under way.
  */
-void ft_leader_batches_begin (FtNode *node, guint64 journal_revision);
+void ft_leader_batches_begin (FtLeaderBatches *batches, guint64 journal_revision);
 
 /**
  * ft_leader_batches_commit:
- * @node: a controller that leads
  * @now: monotonic time in microseconds
  *
- * Sends what the scheduler wants stored, if no batch is under way and none must wait.
+ * Sends what the scheduler wants stored, if no batch is under way and none must wait. To be called
+ * while this controller leads.
  */
-void ft_leader_batches_commit (FtNode *node, gint64 now);
+void ft_leader_batches_commit (FtLeaderBatches *batches, gint64 now);
--- a/src/net/leader_cloud.c
+++ b/src/net/leader_cloud.c
@@ -1,14 +1,24 @@
 #include "net/leader_cloud.h"
 
 #include "core/constants.h"
+#include "net/budget.h"
+#include "net/http.h"
 #include "net/leader_request.h"
-#include "net/node.h"
+#include "net/malformed.h"
 #include "wire/cloud.h"
 
+struct _FtLeaderCloud {
+  FtLeaderTerm *term;      /* borrowed */
+  FtBudget budget;         /* requests to the cloud; outlasts the terms */
+  guint calls_in_flight;   /* of scaling out and in */
+  gboolean list_in_flight; /* a page of the list awaits its answer */
+  gint64 next_list_at;     /* monotonic, microseconds */
+};
+
 /* Scaling out or in. */
 typedef struct {
   FtLeaderRequest base;
-  FtCloudCall *cloud; /* owned */
+  FtCloudCall *call; /* owned */
 } ScaleRequest;
 
 /* A page of the list of rented machines. */
@@ -20,9 +30,9 @@
 /* ---- scaling ---- */
 
 static FtCloudResult
-scale_result (guint status, const json_t *body, FtCloudCall *cloud)
+scale_result (guint status, const json_t *body, FtCloudCall *call)
 {
-  if (status == FT_HTTP_OK && (cloud->op == FT_CLOUD_SCALE_IN || ft_cloud_launched (body, cloud)))
+  if (status == FT_HTTP_OK && (call->op == FT_CLOUD_SCALE_IN || ft_cloud_launched (body, call)))
     return FT_CLOUD_OK;
   if (status == FT_HTTP_BAD_REQUEST)
     return FT_CLOUD_REFUSED;
@@ -35,24 +45,24 @@
 static FtLeaderOutcome
 on_scaled (FtLeaderRequest *request, guint status, const json_t *body)
 {
-  FtCloudCall *cloud = ((ScaleRequest *) request)->cloud;
-  FtNode *node = request->node;
-  FtCloudResult result = scale_result (status, body, cloud);
-  node->leader.cloud.calls_in_flight--;
+  FtCloudCall *call = ((ScaleRequest *) request)->call;
+  FtLeaderCloud *cloud = request->owner;
+  FtCloudResult result = scale_result (status, body, call);
+  cloud->calls_in_flight--;
   if (status == FT_HTTP_OK && result == FT_CLOUD_FAILED)
-    ft_node_malformed (node, FT_COUNT_MALFORMED_CLOUD, "answer to a rental");
-  ft_scheduler_cloud_done (node->leader.scheduler, cloud, result, g_get_monotonic_time ());
+    ft_malformed_log_add (cloud->term->node->malformed, FT_COUNT_MALFORMED_CLOUD, "answer to a rental");
+  ft_scheduler_cloud_done (cloud->term->scheduler, call, result, g_get_monotonic_time ());
   return FT_LEADER_OUTCOME_PROGRESS;
 }
 
 static void
 send_scale_request (FtLeaderRequest *request)
 {
-  const FtCloudCall *cloud = ((ScaleRequest *) request)->cloud;
-  FtNode *node = request->node;
-  gboolean scale_out = cloud->op == FT_CLOUD_SCALE_OUT;
+  const FtCloudCall *call = ((ScaleRequest *) request)->call;
+  const FtNode *node = request->term->node;
+  gboolean scale_out = call->op == FT_CLOUD_SCALE_OUT;
   const char *path = scale_out ? "/rentals" : "/rentals/return";
-  json_t *body = scale_out ? ft_cloud_scale_out_body (cloud) : ft_cloud_scale_in_body (cloud);
+  json_t *body = scale_out ? ft_cloud_scale_out_body (call) : ft_cloud_scale_in_body (call);
   ft_http_send (node->cloud_client, "POST", node->config->cloud_addr, path, FT_BODY_CBOR, body, FT_CLOUD_TIMEOUT_S,
                 FALSE, ft_leader_request_on_cloud_answer, request);
   json_decref (body);
@@ -61,7 +71,7 @@
 static void
 scale_request_clear (FtLeaderRequest *request)
 {
-  ft_cloud_call_free (((ScaleRequest *) request)->cloud);
+  ft_cloud_call_free (((ScaleRequest *) request)->call);
 }
 
 static const FtLeaderRequestKind scale_kind = {
@@ -72,43 +82,42 @@
 };
 
 void
-ft_leader_cloud_scale (FtNode *node, gint64 now)
+ft_leader_cloud_scale (FtLeaderCloud *cloud, gint64 now)
 {
-  FtLeaderCloud *state = &node->leader.cloud;
-  while (state->calls_in_flight < FT_CLOUD_CALLS_MAX && ft_budget_has (&state->budget, 1, now)) {
-    FtCloudCall *cloud = ft_scheduler_next_cloud (node->leader.scheduler, now);
-    if (cloud == NULL)
+  while (cloud->calls_in_flight < FT_CLOUD_CALLS_MAX && ft_budget_has (&cloud->budget, 1, now)) {
+    FtCloudCall *call = ft_scheduler_next_cloud (cloud->term->scheduler, now);
+    if (call == NULL)
       return;
-    ScaleRequest *request = ft_leader_request_new (node, &scale_kind);
-    request->cloud = cloud;
-    state->calls_in_flight++;
-    ft_budget_take (&state->budget, 1);
+    ScaleRequest *request = ft_leader_request_new (cloud->term, &scale_kind, cloud);
+    request->call = call;
+    cloud->calls_in_flight++;
+    ft_budget_take (&cloud->budget, 1);
     ft_leader_request_send (&request->base);
   }
 }
 
 /* ---- the list ---- */
 
-static void read_list (FtNode *node, GArray *machines);
+static void read_list (FtLeaderCloud *cloud, GArray *machines);
 
 static FtLeaderOutcome
 on_list (FtLeaderRequest *request, guint status, const json_t *body)
 {
   GArray *machines = ((ListRequest *) request)->machines;
-  FtNode *node = request->node;
+  FtLeaderCloud *cloud = request->owner;
   gboolean more = FALSE;
-  node->leader.cloud.list_in_flight = FALSE;
+  cloud->list_in_flight = FALSE;
   if (status != FT_HTTP_OK)
     return FT_LEADER_OUTCOME_DONE;
   if (!ft_cloud_list (body, machines, &more)) {
-    ft_node_malformed (node, FT_COUNT_MALFORMED_CLOUD, "list of machines");
+    ft_malformed_log_add (cloud->term->node->malformed, FT_COUNT_MALFORMED_CLOUD, "list of machines");
     return FT_LEADER_OUTCOME_DONE;
   }
   if (more && machines->len > 0) {
-    read_list (node, g_array_ref (machines));
+    read_list (cloud, g_array_ref (machines));
     return FT_LEADER_OUTCOME_DONE;
   }
-  ft_scheduler_listed (node->leader.scheduler, machines, g_get_monotonic_time ());
+  ft_scheduler_listed (cloud->term->scheduler, machines, g_get_monotonic_time ());
   return FT_LEADER_OUTCOME_PROGRESS;
 }
 
@@ -124,7 +133,7 @@
 static void
 send_list_request (FtLeaderRequest *request)
 {
-  FtNode *node = request->node;
+  const FtNode *node = request->term->node;
   g_autofree char *path = list_path (((ListRequest *) request)->machines);
   ft_http_send (node->cloud_client, "GET", node->config->cloud_addr, path, FT_BODY_CBOR, NULL, FT_CLOUD_TIMEOUT_S,
                 FALSE, ft_leader_request_on_cloud_answer, request);
@@ -145,45 +154,53 @@
 
 /* Reads the next page. Takes `machines`, the pages read so far. */
 static void
-read_list (FtNode *node, GArray *machines)
+read_list (FtLeaderCloud *cloud, GArray *machines)
 {
-  ListRequest *request = ft_leader_request_new (node, &list_kind);
+  ListRequest *request = ft_leader_request_new (cloud->term, &list_kind, cloud);
   request->machines = machines;
-  node->leader.cloud.list_in_flight = TRUE;
-  ft_budget_take (&node->leader.cloud.budget, 1);
+  cloud->list_in_flight = TRUE;
+  ft_budget_take (&cloud->budget, 1);
   ft_leader_request_send (&request->base);
 }
 
 void
-ft_leader_cloud_tick (FtNode *node, gint64 now)
+ft_leader_cloud_tick (FtLeaderCloud *cloud, gint64 now)
 {
-  FtLeaderCloud *state = &node->leader.cloud;
-  if (now < state->next_list_at || state->list_in_flight)
+  if (now < cloud->next_list_at || cloud->list_in_flight)
     return;
-  if (!ft_budget_has (&state->budget, 1, now) || !ft_scheduler_is_loaded (node->leader.scheduler))
+  if (!ft_budget_has (&cloud->budget, 1, now) || !ft_scheduler_is_loaded (cloud->term->scheduler))
     return;
-  state->next_list_at = now + (gint64) (FT_LIST_EVERY_S * FT_SECOND);
-  read_list (node, ft_listed_new ());
+  cloud->next_list_at = now + (gint64) (FT_LIST_EVERY_S * FT_SECOND);
+  read_list (cloud, ft_listed_new ());
 }
 
 /* ---- life ---- */
 
+FtLeaderCloud *
+ft_leader_cloud_new (FtLeaderTerm *term, gint64 now)
+{
+  FtLeaderCloud *cloud = g_new0 (FtLeaderCloud, 1);
+  double rate = term->node->config->core.cloud_rps;
+  cloud->term = term;
+  ft_budget_init (&cloud->budget, rate * FT_CLOUD_SHARE, rate, now);
+  return cloud;
+}
+
 void
-ft_leader_cloud_init (FtNode *node, gint64 now)
+ft_leader_cloud_free (FtLeaderCloud *cloud)
 {
-  double rate = node->config->core.cloud_rps;
-  ft_budget_init (&node->leader.cloud.budget, rate * FT_CLOUD_SHARE, rate, now);
+  g_free (cloud);
 }
 
 void
-ft_leader_cloud_begin (FtNode *node, gint64 now)
+ft_leader_cloud_begin (FtLeaderCloud *cloud, gint64 now)
 {
-  node->leader.cloud.next_list_at = now;
+  cloud->next_list_at = now;
 }
 
 void
-ft_leader_cloud_end (FtNode *node)
+ft_leader_cloud_end (FtLeaderCloud *cloud)
 {
-  node->leader.cloud.list_in_flight = FALSE;
-  node->leader.cloud.calls_in_flight = 0;
+  cloud->list_in_flight = FALSE;
+  cloud->calls_in_flight = 0;
 }
--- a/src/net/leader_commands.c
+++ b/src/net/leader_commands.c
@@ -1,10 +1,18 @@
 #include "net/leader_commands.h"
 
 #include "core/constants.h"
+#include "core/lease.h"
+#include "net/http.h"
 #include "net/leader_request.h"
-#include "net/node.h"
+#include "net/malformed.h"
+#include "net/metrics.h"
 #include "wire/messages.h"
 
+struct _FtLeaderCommands {
+  FtLeaderTerm *term; /* borrowed */
+  guint in_flight;    /* that await an answer */
+};
+
 typedef struct {
   FtLeaderRequest base;
   FtDirect *direct; /* owned */
@@ -23,18 +31,19 @@
 on_command_answer (FtLeaderRequest *request, guint status, const guint8 *body, gsize size)
 {
   const FtDirect *direct = ((CommandRequest *) request)->direct;
-  FtNode *node = request->node;
+  FtLeaderCommands *commands = request->owner;
+  const FtNode *node = request->term->node;
   gboolean has_heartbeat = status == FT_HTTP_OK || status == FT_HTTP_CONFLICT;
   g_autoptr (FtWorkerHeartbeat) heartbeat = has_heartbeat ? ft_message_worker_heartbeat_read (body, size) : NULL;
   FtDirectResult result = command_result (status, heartbeat);
-  node->leader.commands_in_flight--;
+  commands->in_flight--;
   if (has_heartbeat && heartbeat == NULL)
-    ft_node_malformed (node, FT_COUNT_MALFORMED_WORKERS, "answer to a command");
+    ft_malformed_log_add (node->malformed, FT_COUNT_MALFORMED_WORKERS, "answer to a command");
   if (result == FT_DIRECT_UNANSWERED)
     ft_metrics_count (node->metrics, FT_COUNT_DIRECT_UNANSWERED);
   else
     ft_metrics_time (node->metrics, FT_TIME_DIRECT, g_get_monotonic_time () - request->created_at);
-  if (!ft_scheduler_direct_done (node->leader.scheduler, direct, result, heartbeat, g_get_monotonic_time ())) {
+  if (!ft_scheduler_direct_done (request->term->scheduler, direct, result, heartbeat, g_get_monotonic_time ())) {
     request->superseded_reason = "a worker has seen a higher token";
     return FT_LEADER_OUTCOME_SUPERSEDED;
   }
@@ -45,7 +54,7 @@
 send_command_request (FtLeaderRequest *request)
 {
   const FtDirect *direct = ((CommandRequest *) request)->direct;
-  FtNode *node = request->node;
+  const FtNode *node = request->term->node;
   json_t *body = ft_message_commands (ft_lease_token (node->lease), direct->incarnation, direct->commands);
   ft_http_send_raw (node->worker_client, "POST", direct->addr, "/commands", FT_BODY_CBOR, body, FT_COMMAND_TIMEOUT_S,
                     TRUE, ft_leader_request_on_worker_answer, request);
@@ -65,16 +74,36 @@
   .clear = command_request_clear,
 };
 
+FtLeaderCommands *
+ft_leader_commands_new (FtLeaderTerm *term)
+{
+  FtLeaderCommands *commands = g_new0 (FtLeaderCommands, 1);
+  commands->term = term;
+  return commands;
+}
+
+void
+ft_leader_commands_free (FtLeaderCommands *commands)
+{
+  g_free (commands);
+}
+
+void
+ft_leader_commands_end (FtLeaderCommands *commands)
+{
+  commands->in_flight = 0;
+}
+
 void
-ft_leader_commands_send (FtNode *node, gint64 now)
+ft_leader_commands_send (FtLeaderCommands *commands, gint64 now)
 {
-  while (node->leader.commands_in_flight < FT_DIRECT_MAX) {
-    FtDirect *direct = ft_scheduler_next_direct (node->leader.scheduler, now);
+  while (commands->in_flight < FT_DIRECT_MAX) {
+    FtDirect *direct = ft_scheduler_next_direct (commands->term->scheduler, now);
     if (direct == NULL)
       return;
-    CommandRequest *request = ft_leader_request_new (node, &command_kind);
+    CommandRequest *request = ft_leader_request_new (commands->term, &command_kind, commands);
     request->direct = direct;
-    node->leader.commands_in_flight++;
+    commands->in_flight++;
     ft_leader_request_send (&request->base);
   }
 }
--- a/src/net/leader_dependencies.c
+++ b/src/net/leader_dependencies.c
@@ -2,11 +2,17 @@
 
 #include "core/constants.h"
 #include "net/leader_request.h"
-#include "net/node.h"
+#include "net/store_client.h"
+#include "wire/store.h"
 
 /* What the scheduler takes for the age of an end whose row does not tell its time. */
 #define AGE_UNKNOWN (-1)
 
+struct _FtLeaderDependencies {
+  FtLeaderTerm *term; /* borrowed */
+  guint in_flight;    /* that await an answer */
+};
+
 typedef struct {
   FtLeaderRequest base;
   char *ref; /* owned */
@@ -25,14 +31,14 @@
 on_dependency (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   const char *ref = ((DependencyRequest *) request)->ref;
-  FtNode *node = request->node;
+  FtLeaderDependencies *dependencies = request->owner;
   FtRow row;
   FtJobRow job;
-  node->leader.dependency_reads_in_flight--;
+  dependencies->in_flight--;
   /* Open, or not answered: the scheduler names it again. */
   if (ft_store_read_job (result, body, &row, &job) != FT_STORE_OK || job.open)
     return FT_LEADER_OUTCOME_DONE;
-  ft_scheduler_job_end_read (node->leader.scheduler, ref, job.end, age_of_end_us (&job), g_get_monotonic_time ());
+  ft_scheduler_job_end_read (request->term->scheduler, ref, job.end, age_of_end_us (&job), g_get_monotonic_time ());
   return FT_LEADER_OUTCOME_PROGRESS;
 }
 
@@ -40,7 +46,8 @@
 send_dependency_request (FtLeaderRequest *request)
 {
   g_autofree char *key = ft_key_job (((DependencyRequest *) request)->ref);
-  ft_store_client_get (request->node->store, key, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_store_answer, request);
+  ft_store_client_get (request->term->node->store, key, FT_STORE_PRIORITY_COMMIT, ft_leader_request_on_store_answer,
+                       request);
 }
 
 static void
@@ -56,16 +63,36 @@
   .clear = dependency_request_clear,
 };
 
+FtLeaderDependencies *
+ft_leader_dependencies_new (FtLeaderTerm *term)
+{
+  FtLeaderDependencies *dependencies = g_new0 (FtLeaderDependencies, 1);
+  dependencies->term = term;
+  return dependencies;
+}
+
+void
+ft_leader_dependencies_free (FtLeaderDependencies *dependencies)
+{
+  g_free (dependencies);
+}
+
+void
+ft_leader_dependencies_end (FtLeaderDependencies *dependencies)
+{
+  dependencies->in_flight = 0;
+}
+
 void
-ft_leader_dependencies_read (FtNode *node, gint64 now)
+ft_leader_dependencies_read (FtLeaderDependencies *dependencies, gint64 now)
 {
-  while (node->leader.dependency_reads_in_flight < FT_DEPENDENCY_READS_MAX) {
-    const char *ref = ft_scheduler_next_unread_job (node->leader.scheduler, now);
+  while (dependencies->in_flight < FT_DEPENDENCY_READS_MAX) {
+    const char *ref = ft_scheduler_next_unread_job (dependencies->term->scheduler, now);
     if (ref == NULL)
       return;
-    DependencyRequest *request = ft_leader_request_new (node, &dependency_kind);
+    DependencyRequest *request = ft_leader_request_new (dependencies->term, &dependency_kind, dependencies);
     request->ref = g_strdup (ref);
-    node->leader.dependency_reads_in_flight++;
+    dependencies->in_flight++;
     ft_leader_request_send (&request->base);
   }
 }
--- a/src/net/leader_recovery.c
+++ b/src/net/leader_recovery.c
@@ -2,9 +2,13 @@
 
 #include <string.h>
 
+#include "core/lease.h"
 #include "net/leader_request.h"
 #include "net/leader_rows.h"
-#include "net/node.h"
+#include "net/malformed.h"
+#include "net/metrics.h"
+#include "net/store_client.h"
+#include "wire/store.h"
 
 /* What a new leader reads, in this order. The open jobs come first: the watch goes on from
  * the revision of their first page. */
@@ -18,45 +22,49 @@
   char *after;                /* the last key of the page before, owned; NULL: this is the first page */
   gint64 first_page_asked_at; /* monotonic, microseconds */
   FtLeaderRecovered recovered;
+  gpointer recovered_data;
 } PageRequest;
 
 static const FtLeaderRequestKind page_kind;
 
 static PageRequest *
-page_request_new (FtNode *node, guint prefix_index, FtLeaderRecovered recovered)
+page_request_new (FtLeaderRows *rows, guint prefix_index, FtLeaderRecovered recovered, gpointer data)
 {
-  PageRequest *page = ft_leader_request_new (node, &page_kind);
+  PageRequest *page = ft_leader_request_new (ft_leader_rows_term (rows), &page_kind, rows);
   page->prefix_index = prefix_index;
   page->first_page_asked_at = page->base.created_at;
   page->recovered = recovered;
+  page->recovered_data = data;
   return page;
 }
 
 static void
-ask_first_page (FtNode *node, guint prefix_index, FtLeaderRecovered recovered)
+ask_first_page (FtLeaderRows *rows, guint prefix_index, FtLeaderRecovered recovered, gpointer data)
 {
-  PageRequest *page = page_request_new (node, prefix_index, recovered);
+  PageRequest *page = page_request_new (rows, prefix_index, recovered, data);
   ft_leader_request_send (&page->base);
 }
 
 static void
 ask_page_after (const PageRequest *page, const char *last_key)
 {
-  PageRequest *next = page_request_new (page->base.node, page->prefix_index, page->recovered);
+  PageRequest *next = page_request_new (page->base.owner, page->prefix_index, page->recovered, page->recovered_data);
   next->after = g_strdup (last_key);
   next->first_page_asked_at = page->first_page_asked_at;
   ft_leader_request_send (&next->base);
 }
 
 static void
-recovery_finished (FtNode *node, FtLeaderRecovered recovered)
+recovery_finished (const PageRequest *last_page)
 {
-  ft_scheduler_loaded (node->leader.scheduler, g_get_monotonic_time ());
+  const FtLeaderTerm *term = last_page->base.term;
+  const FtNode *node = term->node;
+  ft_scheduler_loaded (term->scheduler, g_get_monotonic_time ());
   /* Only now: without the registry a cancelled task that is known of cannot be stopped, and
    * each answer to its worker would keep it alive. */
-  ft_leader_cancellations_known (node, node->leader.rows.cancellations_read_at);
-  ft_metrics_time (node->metrics, FT_TIME_RECOVERY, g_get_monotonic_time () - node->leader.led_since);
-  recovered (node);
+  ft_leader_rows_reading_complete (last_page->base.owner);
+  ft_metrics_time (node->metrics, FT_TIME_RECOVERY, g_get_monotonic_time () - term->led_since);
+  last_page->recovered (last_page->recovered_data);
   g_message ("node %s: leader under fencing token %" G_GUINT64_FORMAT ", recovered its state from the key-value store",
              node->config->member, ft_lease_token (node->lease));
 }
@@ -64,37 +72,46 @@
 static void
 prefix_finished (const PageRequest *page)
 {
-  FtNode *node = page->base.node;
+  FtLeaderRows *rows = page->base.owner;
   /* The pages differ in age, and an outage may lie between them: what is known is
    * known as of the first. Later changes come by the watch. */
   if (page->prefix_index == 0)
-    node->leader.rows.cancellations_read_at = page->first_page_asked_at;
-  if (ft_scheduler_is_loaded (node->leader.scheduler)) {
-    ft_leader_cancellations_known (node, node->leader.rows.cancellations_read_at);
-    page->recovered (node);
+    ft_leader_rows_set_read_at (rows, page->first_page_asked_at);
+  if (ft_scheduler_is_loaded (page->base.term->scheduler)) {
+    ft_leader_rows_reading_complete (rows);
+    page->recovered (page->recovered_data);
   } else if (page->prefix_index + 1 < G_N_ELEMENTS (recovery_prefixes)) {
-    ask_first_page (node, page->prefix_index + 1, page->recovered);
+    ask_first_page (rows, page->prefix_index + 1, page->recovered, page->recovered_data);
   } else {
-    recovery_finished (node, page->recovered);
+    recovery_finished (page);
   }
 }
 
+/* Changes since the first page come by the watch. */
+static void
+note_first_page (FtLeaderRows *rows, const json_t *body)
+{
+  guint64 revision;
+  if (ft_store_revision (body, &revision))
+    ft_leader_rows_set_known_revision (rows, revision);
+}
+
 static FtLeaderOutcome
 on_page (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   const PageRequest *page = (const PageRequest *) request;
-  FtNode *node = request->node;
+  FtLeaderRows *known = request->owner;
   gboolean more = FALSE;
   g_autoptr (GArray) rows = NULL;
   FtStoreResult read = ft_store_read_rows (result, body, &rows, &more);
   if (read == FT_STORE_MALFORMED)
-    ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of rows");
+    ft_malformed_log_add (request->term->node->malformed, FT_COUNT_MALFORMED_STORE, "list of rows");
   if (read != FT_STORE_OK)
     return FT_LEADER_OUTCOME_RETRY;
   if (page->prefix_index == 0 && page->after == NULL)
-    ft_store_revision (body, &node->leader.rows.known_revision); /* changes since the first page come by the watch */
+    note_first_page (known, body);
   for (guint i = 0; i < rows->len; i++)
-    ft_leader_take_row (node, &g_array_index (rows, FtRow, i));
+    ft_leader_rows_take (known, &g_array_index (rows, FtRow, i));
   if (more && rows->len > 0)
     ask_page_after (page, g_array_index (rows, FtRow, rows->len - 1).key);
   else
@@ -106,7 +123,7 @@
 send_page_request (FtLeaderRequest *request)
 {
   const PageRequest *page = (const PageRequest *) request;
-  ft_store_client_list (request->node->store, recovery_prefixes[page->prefix_index], page->after,
+  ft_store_client_list (request->term->node->store, recovery_prefixes[page->prefix_index], page->after,
                         FT_STORE_PRIORITY_LEASE, ft_leader_request_on_store_answer, request);
 }
 
@@ -124,7 +141,7 @@
 };
 
 void
-ft_leader_recovery_start (FtNode *node, FtLeaderRecovered recovered)
+ft_leader_recovery_start (FtLeaderRows *rows, FtLeaderRecovered recovered, gpointer data)
 {
-  ask_first_page (node, 0, recovered);
+  ask_first_page (rows, 0, recovered, data);
 }
--- a/src/net/leader_request.c
+++ b/src/net/leader_request.c
@@ -1,15 +1,15 @@
 #include "net/leader_request.h"
 
 #include "core/constants.h"
-#include "net/node.h"
 
 gpointer
-ft_leader_request_new (FtNode *node, const FtLeaderRequestKind *kind)
+ft_leader_request_new (FtLeaderTerm *term, const FtLeaderRequestKind *kind, gpointer owner)
 {
   FtLeaderRequest *request = g_malloc0 (kind->size);
   request->kind = kind;
-  request->node = node;
-  request->term = node->leader.term;
+  request->term = term;
+  request->term_number = term->number;
+  request->owner = owner;
   request->created_at = g_get_monotonic_time ();
   return request;
 }
@@ -25,7 +25,7 @@
 static gboolean
 term_is_over (const FtLeaderRequest *request)
 {
-  return request->term != request->node->leader.term || request->node->leader.scheduler == NULL;
+  return request->term_number != request->term->number || request->term->scheduler == NULL;
 }
 
 void
@@ -50,7 +50,7 @@
 {
   double pause_s
       = MIN (FT_BACKOFF_FIRST_S * (1u << MIN (request->retries, FT_BACKOFF_DOUBLINGS_MAX)), FT_BACKOFF_LONGEST_S);
-  pause_s *= g_rand_double_range (request->node->random, FT_BACKOFF_JITTER_LEAST, FT_BACKOFF_JITTER_MOST);
+  pause_s *= g_rand_double_range (request->term->node->random, FT_BACKOFF_JITTER_LEAST, FT_BACKOFF_JITTER_MOST);
   request->retries++;
   g_timeout_add ((guint) (pause_s * FT_MS_PER_SECOND), on_retry_timer, request);
 }
@@ -63,13 +63,13 @@
     retry_later (request);
     return;
   }
-  FtNode *node = request->node;
+  const FtLeaderTerm *term = request->term;
   const char *superseded_reason = request->superseded_reason;
   request_free (request);
   if (outcome == FT_LEADER_OUTCOME_PROGRESS)
-    ft_leader_pump (node, g_get_monotonic_time ());
+    term->progress (term->progress_data);
   else if (outcome == FT_LEADER_OUTCOME_SUPERSEDED)
-    node->leader.superseded (node, superseded_reason);
+    term->superseded (superseded_reason, term->superseded_data);
 }
 
 void
@@ -103,9 +103,9 @@
 }
 
 gint64
-ft_leader_first_retry_at (FtNode *node)
+ft_leader_first_retry_at (const FtLeaderTerm *term)
 {
   double pause_s
-      = g_rand_double_range (node->random, FT_BACKOFF_JITTER_LEAST, FT_BACKOFF_JITTER_MOST) * FT_BACKOFF_FIRST_S;
+      = g_rand_double_range (term->node->random, FT_BACKOFF_JITTER_LEAST, FT_BACKOFF_JITTER_MOST) * FT_BACKOFF_FIRST_S;
   return g_get_monotonic_time () + (gint64) (pause_s * FT_SECOND);
 }
--- a/src/net/leader_request.h
+++ b/src/net/leader_request.h
@@ -11,9 +11,9 @@
 #include <glib.h>
 #include <jansson.h>
 
+#include "net/leader_term.h"
 #include "net/store_client.h"
 
-typedef struct _FtNode FtNode;
 typedef struct _FtLeaderRequest FtLeaderRequest;
 
 /**
@@ -59,8 +59,9 @@
 /**
  * FtLeaderRequest:
  * @kind: static
- * @node: borrowed; it outlives its requests
- * @term: the leader's term in which the request was made
+ * @term: borrowed; it outlives its requests
+ * @term_number: of the term in which the request was made
+ * @owner: borrowed: the part of the leader that made the request, for its own handlers
  * @created_at: when it was made
  * @retries: how often it was sent again
  * @superseded_reason: static text, set by a handler with %FT_LEADER_OUTCOME_SUPERSEDED
@@ -69,8 +70,9 @@
  */
 struct _FtLeaderRequest {
   const FtLeaderRequestKind *kind;
-  FtNode *node;
-  guint term;
+  FtLeaderTerm *term;
+  guint term_number;
+  gpointer owner;
   gint64 created_at;
   guint retries;
   const char *superseded_reason;
@@ -78,13 +80,14 @@
 
 /**
  * ft_leader_request_new:
- * @node: a controller that leads
+ * @term: the present term, of a controller that leads
  * @kind: static
+ * @owner: (nullable): borrowed; outlives the request
  *
  * Returns: (transfer full): a zeroed context of the kind's derived type, of the present term; to
  *     be handed to ft_leader_request_send()
  */
-gpointer ft_leader_request_new (FtNode *node, const FtLeaderRequestKind *kind);
+gpointer ft_leader_request_new (FtLeaderTerm *term, const FtLeaderRequestKind *kind, gpointer owner);
 
 /**
  * ft_leader_request_send:
@@ -122,4 +125,4 @@
  * Returns: the monotonic time at which something that failed now is worth another attempt: after
  *     the first pause of the backoff, jittered
  */
-gint64 ft_leader_first_retry_at (FtNode *node);
+gint64 ft_leader_first_retry_at (const FtLeaderTerm *term);
--- a/src/net/leader_watch.c
+++ b/src/net/leader_watch.c
@@ -2,44 +2,77 @@
 
 #include "net/leader_recovery.h"
 #include "net/leader_request.h"
-#include "net/leader_rows.h"
-#include "net/node.h"
+#include "net/malformed.h"
+#include "net/store_client.h"
+#include "wire/store.h"
+
+struct _FtLeaderWatch {
+  FtLeaderTerm *term; /* borrowed */
+  FtLeaderRows *rows; /* borrowed */
+  gboolean in_flight; /* a poll awaits its answer */
+  gint64 not_before;  /* the next one is not sent before; monotonic, microseconds */
+};
+
+FtLeaderWatch *
+ft_leader_watch_new (FtLeaderTerm *term, FtLeaderRows *rows)
+{
+  FtLeaderWatch *watch = g_new0 (FtLeaderWatch, 1);
+  watch->term = term;
+  watch->rows = rows;
+  return watch;
+}
+
+void
+ft_leader_watch_free (FtLeaderWatch *watch)
+{
+  g_free (watch);
+}
+
+void
+ft_leader_watch_end (FtLeaderWatch *watch)
+{
+  watch->in_flight = FALSE;
+  watch->not_before = 0;
+}
 
 void
-ft_leader_watch_resume (FtNode *node)
+ft_leader_watch_resume (gpointer data)
 {
-  node->leader.watch.not_before = 0;
+  FtLeaderWatch *watch = data;
+  watch->not_before = 0;
 }
 
 static FtLeaderOutcome
 on_events (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
-  FtNode *node = request->node;
-  node->leader.watch.in_flight = FALSE;
+  FtLeaderWatch *watch = request->owner;
+  watch->in_flight = FALSE;
   if (result == FT_STORE_COMPACTED) {
     /* The store no longer has all changes since the known revision. */
-    ft_leader_recovery_start (node, ft_leader_watch_resume);
+    ft_leader_recovery_start (watch->rows, ft_leader_watch_resume, watch);
     return FT_LEADER_OUTCOME_DONE;
   }
   g_autoptr (GArray) rows = NULL;
-  FtStoreResult read = ft_store_read_events (result, body, &rows, &node->leader.rows.known_revision);
+  guint64 revision;
+  FtStoreResult read = ft_store_read_events (result, body, &rows, &revision);
   if (read == FT_STORE_MALFORMED)
-    ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of events");
+    ft_malformed_log_add (watch->term->node->malformed, FT_COUNT_MALFORMED_STORE, "list of events");
   if (read != FT_STORE_OK) {
-    node->leader.watch.not_before = ft_leader_first_retry_at (node);
+    watch->not_before = ft_leader_first_retry_at (watch->term);
     return FT_LEADER_OUTCOME_DONE;
   }
+  ft_leader_rows_set_known_revision (watch->rows, revision);
   for (guint i = 0; i < rows->len; i++)
-    ft_leader_take_open_row (node, &g_array_index (rows, FtRow, i), TRUE);
-  ft_leader_cancellations_known (node, request->created_at);
+    ft_leader_rows_take_open (watch->rows, &g_array_index (rows, FtRow, i), TRUE);
+  ft_leader_rows_cancellations_known (watch->rows, request->created_at);
   return FT_LEADER_OUTCOME_PROGRESS;
 }
 
 static void
 send_watch_request (FtLeaderRequest *request)
 {
-  FtNode *node = request->node;
-  ft_store_client_follow (node->store, FT_PREFIX_OPEN, node->leader.rows.known_revision,
+  const FtLeaderWatch *watch = request->owner;
+  ft_store_client_follow (request->term->node->store, FT_PREFIX_OPEN, ft_leader_rows_known_revision (watch->rows),
                           ft_leader_request_on_store_answer, request);
 }
 
@@ -50,11 +83,10 @@
 };
 
 void
-ft_leader_watch_tick (FtNode *node, gint64 now)
+ft_leader_watch_tick (FtLeaderWatch *watch, gint64 now)
 {
-  FtLeaderWatch *watch = &node->leader.watch;
-  if (watch->in_flight || now < watch->not_before || !ft_scheduler_is_loaded (node->leader.scheduler))
+  if (watch->in_flight || now < watch->not_before || !ft_scheduler_is_loaded (watch->term->scheduler))
     return;
   watch->in_flight = TRUE;
-  ft_leader_request_send (ft_leader_request_new (node, &watch_kind));
+  ft_leader_request_send (ft_leader_request_new (watch->term, &watch_kind, watch));
 }
--- a/src/net/leader_watch.h
+++ b/src/net/leader_watch.h
@@ -1,31 +1,44 @@
 /* The watch: a long poll by which the leader learns of jobs that were accepted or cancelled. */
 #pragma once
-#include <glib.h>
+#include "net/leader_rows.h"
 
-typedef struct _FtNode FtNode;
+typedef struct _FtLeaderWatch FtLeaderWatch;
 
 /**
- * FtLeaderWatch:
- * @in_flight: a poll awaits its answer
- * @not_before: the next one is not sent before; monotonic, microseconds
+ * ft_leader_watch_new:
+ * @term: borrowed for life
+ * @rows: borrowed for life; takes what the watch brings
+ *
+ * Returns: (transfer full): the watch of a controller that does not lead
+ */
+FtLeaderWatch *ft_leader_watch_new (FtLeaderTerm *term, FtLeaderRows *rows);
+
+/**
+ * ft_leader_watch_free:
+ * @watch: (nullable) (transfer full): no answer may come any more
+ */
+void ft_leader_watch_free (FtLeaderWatch *watch);
+
+/**
+ * ft_leader_watch_end:
+ *
+ * The term is over: an answer that is still awaited will be dropped.
  */
-typedef struct {
-  gboolean in_flight;
-  gint64 not_before;
-} FtLeaderWatch;
+void ft_leader_watch_end (FtLeaderWatch *watch);
 
 /**
  * ft_leader_watch_tick:
- * @node: a controller that leads
  * @now: monotonic time in microseconds
  *
- * Starts the next poll if none is under way, it is due and the scheduler is loaded.
+ * Starts the next poll if none is under way, it is due and the scheduler is loaded. To be called
+ * while this controller leads.
  */
-void ft_leader_watch_tick (FtNode *node, gint64 now);
+void ft_leader_watch_tick (FtLeaderWatch *watch, gint64 now);
 
 /**
  * ft_leader_watch_resume:
+ * @watch: the FtLeaderWatch
  *
  * The rows have been read (an FtLeaderRecovered): the next poll need not wait.
  */
-void ft_leader_watch_resume (FtNode *node);
+void ft_leader_watch_resume (gpointer watch);
--- a/src/net/leadership.c
+++ b/src/net/leadership.c
@@ -1,7 +1,14 @@
 #include "net/leadership.h"
 
 #include "core/constants.h"
-#include "net/node.h"
+#include "core/lease.h"
+#include "net/heartbeat_queue.h"
+#include "net/leader.h"
+#include "net/malformed.h"
+#include "net/metrics.h"
+#include "net/peers.h"
+#include "net/store_client.h"
+#include "wire/store.h"
 
 struct _FtLeadership {
   FtNode *node; /* borrowed */
@@ -19,20 +26,26 @@
   guint term;
 } LeaseRequest;
 
+static guint
+term_number (const FtLeadership *leadership)
+{
+  return ft_leader_term_number (leadership->node->leader);
+}
+
 static LeaseRequest *
 lease_request_new (FtLeadership *leadership)
 {
   LeaseRequest *request = g_new0 (LeaseRequest, 1);
   request->leadership = leadership;
   request->sent_at = g_get_monotonic_time ();
-  request->term = leadership->node->leader.term;
+  request->term = term_number (leadership);
   return request;
 }
 
 static gboolean
 leads (const FtLeadership *leadership)
 {
-  return leadership->node->leader.scheduler != NULL;
+  return ft_leader_scheduler (leadership->node->leader) != NULL;
 }
 
 static gint64
@@ -46,15 +59,15 @@
 static void
 end_term (FtLeadership *leadership)
 {
-  ft_leader_end (leadership->node);
-  leadership->node->heartbeat_queue.overrun_since = 0;
+  ft_leader_end (leadership->node->leader);
+  ft_heartbeat_queue_forget_overrun (leadership->node->heartbeat_queue);
 }
 
 static void
 begin_term (FtLeadership *leadership, guint64 revision)
 {
-  leadership->node->heartbeat_queue.overrun_since = 0;
-  ft_leader_begin (leadership->node, revision);
+  ft_heartbeat_queue_forget_overrun (leadership->node->heartbeat_queue);
+  ft_leader_begin (leadership->node->leader, revision);
 }
 
 void
@@ -68,9 +81,9 @@
 }
 
 static void
-on_superseded (FtNode *node, const char *reason)
+on_superseded (const char *reason, gpointer data)
 {
-  ft_leadership_step_down (node->leadership, reason);
+  ft_leadership_step_down (data, reason);
 }
 
 /* ---- the sweep: reading the lease's rows ---- */
@@ -91,7 +104,7 @@
   else
     ft_lease_sweep_failed (node->lease, now);
   if (read == FT_STORE_MALFORMED)
-    ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of rows");
+    ft_malformed_log_add (node->malformed, FT_COUNT_MALFORMED_STORE, "list of rows");
   ft_lease_rows_clear (&seen);
 }
 
@@ -145,7 +158,7 @@
   g_autofree LeaseRequest *request = data;
   FtLeadership *leadership = request->leadership;
   FtLease *lease = leadership->node->lease;
-  if (request->term != leadership->node->leader.term)
+  if (request->term != term_number (leadership))
     return;
   leadership->renewal_term = 0;
   if (result == FT_STORE_OK)
@@ -178,13 +191,13 @@
 static gboolean
 renewal_in_flight (const FtLeadership *leadership)
 {
-  return leadership->renewal_term != 0 && leadership->renewal_term == leadership->node->leader.term;
+  return leadership->renewal_term != 0 && leadership->renewal_term == term_number (leadership);
 }
 
 static void
 renew (FtLeadership *leadership, gint64 now)
 {
-  leadership->renewal_term = leadership->node->leader.term;
+  leadership->renewal_term = term_number (leadership);
   ft_lease_renew_sent (leadership->node->lease, now);
   write_renewal (leadership, FALSE, on_renewed);
 }
@@ -199,14 +212,15 @@
   gint64 longest_gap = seconds (node->config->core.heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S);
   /* While it answers nobody the workers ask elsewhere: after an outage a leader gave up
    * the lease that it had just renewed, and nobody led for another takeover. */
-  gint64 answering_since = MAX (node->leader.led_since, leadership->answering_since);
+  gint64 answering_since = MAX (ft_leader_led_since (node->leader), leadership->answering_since);
   if (now - answering_since < seconds (FT_CUT_OFF_GRACE_S))
     return FALSE;
   /* What was not received while this process stood still proves nothing. */
   gint64 receiving_since = MAX (answering_since, leadership->on_time_since);
-  gint64 heard_at = MAX (receiving_since, ft_scheduler_last_heard (node->leader.scheduler));
+  const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
+  gint64 heard_at = MAX (receiving_since, ft_scheduler_last_heard (scheduler));
   return node->config->peers->len > 0 && now - heard_at > longest_gap
-         && ft_scheduler_up (node->leader.scheduler) >= FT_CUT_OFF_MACHINES;
+         && ft_scheduler_up (scheduler) >= FT_CUT_OFF_MACHINES;
 }
 
 /* A controller that computes slower than before falls behind its workers, and another may not.
@@ -217,9 +231,10 @@
 is_overrun (const FtLeadership *leadership, gint64 now)
 {
   const FtNode *node = leadership->node;
-  gint64 overrun_since = node->heartbeat_queue.overrun_since;
+  gint64 overrun_since = ft_heartbeat_queue_overrun_since (node->heartbeat_queue);
   return overrun_since > 0 && ft_peers_any_served (node->peers, now - seconds (FT_PEER_FRESH_S), now)
-         && now - overrun_since > seconds (FT_OVERRUN_S) && now - node->leader.led_since > seconds (FT_OVERRUN_LED_S);
+         && now - overrun_since > seconds (FT_OVERRUN_S)
+         && now - ft_leader_led_since (node->leader) > seconds (FT_OVERRUN_LED_S);
 }
 
 /* Why another controller should lead, for the log line; NULL: no reason is known. */
@@ -248,7 +263,7 @@
 {
   const FtNode *node = leadership->node;
   /* Requests that failed while this process stood still are no sign of a cut network. */
-  gint64 steady_since = MAX (node->leader.led_since, leadership->on_time_since);
+  gint64 steady_since = MAX (ft_leader_led_since (node->leader), leadership->on_time_since);
   return ft_lease_state (node->lease) == FT_LEASE_HOLDING && now > steady_since + seconds (FT_CUT_OFF_GRACE_S)
          && ft_leadership_store_unreachable_alone (leadership, now);
 }
@@ -292,6 +307,16 @@
   return leadership->gave_way_at > 0 && now - leadership->gave_way_at < seconds (FT_YIELD_ADVERTISED_S);
 }
 
+const char *
+ft_leadership_known_leader (const FtLeadership *leadership)
+{
+  const FtNode *node = leadership->node;
+  if (leads (leadership))
+    return node->config->member;
+  const char *named_by_peers = ft_peers_leader (node->peers);
+  return named_by_peers != NULL ? named_by_peers : ft_lease_holder (node->lease);
+}
+
 /* ---- the timer ---- */
 
 static void
@@ -302,7 +327,7 @@
     return;
   leadership->answering_since = now;
   if (leads (leadership))
-    ft_scheduler_unanswering (node->leader.scheduler, now);
+    ft_scheduler_unanswering (ft_leader_scheduler (node->leader), now);
 }
 
 static void
@@ -345,7 +370,7 @@
 {
   FtLeadership *leadership = g_new0 (FtLeadership, 1);
   leadership->node = node;
-  node->leader.superseded = on_superseded;
+  ft_leader_set_superseded (node->leader, on_superseded, leadership);
   return leadership;
 }
 
--- a/src/net/leadership.h
+++ b/src/net/leadership.h
@@ -4,9 +4,7 @@
  * A leader gives its lease up (resigns) when another controller would do better, and yields when
  * the key-value store serves others but not it. Times are monotonic, in microseconds. */
 #pragma once
-#include <glib.h>
-
-typedef struct _FtNode FtNode;
+#include "net/node.h"
 
 /**
  * FtLeadership:
@@ -18,7 +16,7 @@
 
 /**
  * ft_leadership_new:
- * @node: borrowed for life; it has its lease, store client, peers and metrics already
+ * @node: borrowed for life; it has its lease, store client, peers, leader and metrics already
  *
  * Returns: (transfer full): the leadership of a controller that does not lead
  */
@@ -74,3 +72,10 @@
  * Returns: whether the key-value store serves a peer but not this controller
  */
 gboolean ft_leadership_store_unreachable_alone (const FtLeadership *leadership, gint64 now);
+
+/**
+ * ft_leadership_known_leader:
+ *
+ * Returns: (transfer none) (nullable): the member that leads, as far as this controller knows
+ */
+const char *ft_leadership_known_leader (const FtLeadership *leadership);
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -1,102 +1,72 @@
-/* A controller, one per process: it makes the modules of src/net and owns them, and its timer
- * drives them. What every endpoint shares is declared here too.
+/* The parts of a controller, borrowed by its modules.
  *
- * The modules, from low to high; each calls only those before it, and reports to later ones by
- * result, callback or hook:
- *   budget, metrics, malformed, http
- *   store_client, catalog_cache
- *   job_cache, polls, peers, ancestors
- *   leader (leader_*.c)
- *   leadership, node_peers
- *   the endpoints (user_api, worker_endpoint, admin), front
- *   node
- * Private to src/net, but for ft_node_new() and ft_node_free(). */
+ * A plain list: controller.c makes and owns the parts and alone changes it. A module that uses a
+ * part includes that part's header, so that the order of the modules, .ci/layers.txt, shows in
+ * their includes. Private to src/net. */
 #pragma once
+#include <glib.h>
+
 #include "config.h"
-#include "core/lease.h"
-#include "core/scheduler.h"
-#include "net/budget.h"
-#include "net/catalog_cache.h"
-#include "net/heartbeat_queue.h"
-#include "net/http.h"
-#include "net/job_cache.h"
-#include "net/leader.h"
-#include "net/leadership.h"
-#include "net/malformed.h"
-#include "net/metrics.h"
-#include "net/node_peers.h"
-#include "net/peers.h"
-#include "net/settings_reader.h"
-#include "net/store_client.h"
 
-typedef struct _FtNode FtNode;
+typedef struct _FtCatalogCache FtCatalogCache;
+typedef struct _FtHeartbeatQueue FtHeartbeatQueue;
+typedef struct _FtHttpClient FtHttpClient;
+typedef struct _FtHttpServer FtHttpServer;
+typedef struct _FtJobCache FtJobCache;
+typedef struct _FtLeader FtLeader;
+typedef struct _FtLeadership FtLeadership;
+typedef struct _FtLease FtLease;
+typedef struct _FtMalformedLog FtMalformedLog;
+typedef struct _FtMetrics FtMetrics;
+typedef struct _FtPeers FtPeers;
 typedef struct _FtPolls FtPolls;
+typedef struct _FtSettingsReader FtSettingsReader;
+typedef struct _FtStoreClient FtStoreClient;
 
-struct _FtNode {
-  const FtConfig *config; /* borrowed */
-  guint64 incarnation;    /* drawn anew by every process */
+/**
+ * FtNode:
+ * @config: what the controller was started with
+ * @incarnation: drawn anew by every process
+ * @answer_grace_us: answer grace period, in microseconds
+ * @random: the process's random numbers
+ * @lease: whether this controller may lead
+ * @store: to the key-value store
+ * @worker_client: to the workers, for direct commands
+ * @cloud_client: to the cloud
+ * @front: listens for users, workers and the balancer
+ * @peer_server: listens for peers and operators
+ * @metrics: counters and times
+ * @malformed: messages that were refused as a whole
+ * @leadership: claims, renews and gives up the lease
+ * @leader: what is done while leading
+ * @heartbeat_queue: worker heartbeats that wait
+ * @peers: the other controllers
+ * @settings: the operators' settings in force
+ * @catalog_cache: the cloud's machine types
+ * @polls: users' polls of open jobs
+ * @job_cache: jobs that were read from the key-value store
+ *
+ * All are borrowed and live as long as the controller.
+ */
+typedef struct _FtNode {
+  const FtConfig *config;
+  guint64 incarnation;
   gint64 answer_grace_us;
   GRand *random;
   FtLease *lease;
   FtStoreClient *store;
-  FtHttpClient *worker_client, *cloud_client;
-  FtHttpServer *front;       /* listens for users, workers and the balancer */
-  FtHttpServer *peer_server; /* listens for peers and operators */
+  FtHttpClient *worker_client;
+  FtHttpClient *cloud_client;
+  FtHttpServer *front;
+  FtHttpServer *peer_server;
   FtMetrics *metrics;
   FtMalformedLog *malformed;
   FtLeadership *leadership;
-  FtLeader leader;
-  FtHeartbeatQueue heartbeat_queue;
+  FtLeader *leader;
+  FtHeartbeatQueue *heartbeat_queue;
   FtPeers *peers;
-  FtSettingsReader settings;
+  FtSettingsReader *settings;
   FtCatalogCache *catalog_cache;
   FtPolls *polls;
   FtJobCache *job_cache;
-  guint timer;
-  gint64 last_tick; /* of the timer; monotonic, microseconds, 0: none yet */
-};
-
-/**
- * ft_node_new:
- * @config: borrowed for the node's life
- * @error: that of ft_http_server_new(), if an address cannot be listened on
- *
- * Starts a controller in the default main context.
- *
- * Returns: (transfer full): the controller, or NULL with @error set
- */
-FtNode *ft_node_new (const FtConfig *config, GError **error);
-
-/**
- * ft_node_free:
- * @node: (nullable) (transfer full): the controller
- *
- * Stops it: requests that wait are refused, and the lease is left to expire. The main loop must
- * not run any more.
- */
-void ft_node_free (FtNode *node);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtNode, ft_node_free)
-
-/**
- * ft_node_pump:
- *
- * Carries out what the scheduler wants now, if this controller leads: placement, commands,
- * commits, cloud calls. To be called after the scheduler was given news.
- */
-void ft_node_pump (FtNode *node);
-
-/**
- * ft_node_malformed:
- * @source: one of FT_COUNT_MALFORMED_*
- * @what: the kind of message, for the log line
- *
- * A message was refused as a whole; see ft_malformed_log_add().
- */
-void ft_node_malformed (FtNode *node, FtCounter source, const char *what);
-
-/**
- * ft_node_leader:
- *
- * Returns: (transfer none) (nullable): the member that leads, as far as this controller knows
- */
-const char *ft_node_leader (const FtNode *node);
+} FtNode;
--- a/src/net/node_peers.c
+++ b/src/net/node_peers.c
@@ -1,8 +1,11 @@
-/* What this controller tells its peers of itself, and what it does about their heartbeats. */
-#include "core/constants.h"
-#include "net/node.h"
 #include "net/node_peers.h"
 
+#include "core/constants.h"
+#include "core/lease.h"
+#include "net/leader.h"
+#include "net/leadership.h"
+#include "net/store_client.h"
+
 /* ---- our heartbeat ---- */
 
 static void
@@ -24,10 +27,11 @@
   heartbeat->served = served_at > 0;
   heartbeat->served_ms_ago = heartbeat->served ? (guint64) (now - served_at) / FT_MILLISECOND : 0;
   heartbeat->yields = ft_leadership_gave_way (node->leadership, now);
-  if (node->leader.scheduler == NULL)
+  FtScheduler *scheduler = ft_leader_scheduler (node->leader);
+  if (scheduler == NULL)
     return;
   heartbeat->token = ft_lease_token (node->lease);
-  ft_scheduler_each_job (node->leader.scheduler, add_job, heartbeat);
+  ft_scheduler_each_job (scheduler, add_job, heartbeat);
 }
 
 /* ---- theirs ---- */
@@ -35,8 +39,9 @@
 static void
 apply_advisory_cancellation (FtNode *node, const char *ref)
 {
-  if (node->leader.scheduler != NULL)
-    ft_scheduler_cancellation_advised (node->leader.scheduler, ref, g_get_monotonic_time ());
+  FtScheduler *scheduler = ft_leader_scheduler (node->leader);
+  if (scheduler != NULL)
+    ft_scheduler_cancellation_advised (scheduler, ref, g_get_monotonic_time ());
 }
 
 static void
@@ -45,7 +50,7 @@
   for (guint i = 0; i < refs->len; i++)
     apply_advisory_cancellation (node, g_ptr_array_index (refs, i));
   if (refs->len > 0)
-    ft_node_pump (node);
+    ft_leader_pump (node->leader, g_get_monotonic_time ());
 }
 
 static void
@@ -53,7 +58,7 @@
 {
   FtNode *node = data;
   /* Only a controller that has moved the fence leads under a higher token: it succeeds us. */
-  if (node->leader.scheduler != NULL && heartbeat->token > ft_lease_token (node->lease))
+  if (ft_leader_scheduler (node->leader) != NULL && heartbeat->token > ft_lease_token (node->lease))
     ft_leadership_step_down (node->leadership, "a peer leads under a higher token");
   apply_advisory_cancellations (node, heartbeat->cancellations);
   if (heartbeat->yields)
@@ -78,5 +83,5 @@
 {
   ft_peers_add_cancellation (node->peers, ref);
   apply_advisory_cancellation (node, ref);
-  ft_node_pump (node);
+  ft_leader_pump (node->leader, g_get_monotonic_time ());
 }
--- a/src/net/node_peers.h
+++ b/src/net/node_peers.h
@@ -1,9 +1,8 @@
 /* What this controller tells its peers of itself, and what it does about their heartbeats. */
 #pragma once
+#include "net/node.h"
 #include "net/peers.h"
 
-typedef struct _FtNode FtNode;
-
 /**
  * ft_node_peers_hooks:
  *
--- a/src/net/polls.c
+++ b/src/net/polls.c
@@ -1,6 +1,8 @@
 #include "net/polls.h"
 
 #include "core/constants.h"
+#include "net/job_cache.h"
+#include "net/store_client.h"
 #include "wire/store.h"
 
 struct _FtPolls {
--- a/src/net/submission.c
+++ b/src/net/submission.c
@@ -3,8 +3,14 @@
 #include "core/admission.h"
 #include "core/constants.h"
 #include "net/ancestors.h"
+#include "net/catalog_cache.h"
 #include "net/idempotent_request.h"
+#include "net/job_cache.h"
 #include "net/job_status.h"
+#include "net/leader.h"
+#include "net/metrics.h"
+#include "net/peers.h"
+#include "net/store_client.h"
 #include "wire/messages.h"
 #include "wire/store.h"
 
@@ -50,10 +56,11 @@
 static gboolean
 is_overloaded (const FtNode *node)
 {
+  const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   return !ft_store_client_contact (node->store, g_get_monotonic_time ())
          || ft_store_client_queued (node->store) > FT_STORE_QUEUE_MAX
          || ft_store_client_write_wait_s (node->store) > FT_SUBMIT_WAIT_MAX_S
-         || (node->leader.scheduler != NULL && ft_scheduler_open_tasks (node->leader.scheduler) > FT_OPEN_TASKS_MAX);
+         || (scheduler != NULL && ft_scheduler_open_tasks (scheduler) > FT_OPEN_TASKS_MAX);
 }
 
 /* A job with dependencies is safe only with controllers that know of them: an older leader would
--- a/src/net/user_api.h
+++ b/src/net/user_api.h
@@ -1,6 +1,7 @@
 /* The users' endpoint: its routes. Any controller serves users' requests, whether it leads or not,
  * by compare-and-swap commits and fresh reads; memory serves only what is final. */
 #pragma once
+#include "net/http.h"
 #include "net/node.h"
 
 /**
--- a/src/net/user_request.c
+++ b/src/net/user_request.c
@@ -1,6 +1,7 @@
 #include "net/user_request.h"
 
 #include "core/constants.h"
+#include "net/metrics.h"
 
 FtUserRequest *
 ft_user_request_new (FtNode *node, FtHttpRequest *http, const char *ref)
--- a/src/net/user_request.h
+++ b/src/net/user_request.h
@@ -8,6 +8,7 @@
  * Private to the user endpoint: user_api.c, submission.c, cancellation.c, job_status.c and
  * idempotent_request.c. Used on the main loop's thread only. */
 #pragma once
+#include "net/http.h"
 #include "net/node.h"
 
 /**
--- a/src/net/worker_endpoint.h
+++ b/src/net/worker_endpoint.h
@@ -1,21 +1,22 @@
 /* The workers' endpoint: heartbeats, which the leader answers and every other controller redirects.
  *
  * Heartbeats are served at once while few come in a turn of the HTTP server; the others wait in the
- * node's FtHeartbeatQueue, so that lease renewals and the balancer's probes are not held up by them. */
+ * controller's FtHeartbeatQueue. */
 #pragma once
+#include "net/heartbeat_queue.h"
 #include "net/node.h"
 
 /**
- * ft_worker_handle_heartbeat:
- * @request: (transfer full): POST /checkin
+ * ft_worker_queue_hooks:
  *
- * Answers a heartbeat now, or takes it into the queue.
+ * For the controller's FtHeartbeatQueue; the hooks' data is the FtNode.
  */
-void ft_worker_handle_heartbeat (FtNode *node, FtHttpRequest *request);
+extern const FtHeartbeatQueueHooks ft_worker_queue_hooks;
 
 /**
- * ft_worker_refuse_all:
+ * ft_worker_handle_heartbeat:
+ * @request: (transfer full): POST /checkin
  *
- * Answers the queued heartbeats with 503, for the end of the node.
+ * Answers a heartbeat now, or takes it into the queue.
  */
-void ft_worker_refuse_all (FtNode *node);
+void ft_worker_handle_heartbeat (FtNode *node, FtHttpRequest *request);
--- a/tests/test_user_request.cpp
+++ b/tests/test_user_request.cpp
@@ -9,7 +9,11 @@
 #include "loopback.hpp"
 
 extern "C" {
+#include "net/catalog_cache.h"
+#include "net/controller.h"
 #include "net/front.h"
+#include "net/metrics.h"
+#include "net/store_client.h"
 #include "wire/messages.h"
 #include "wire/store.h"
 
@@ -203,7 +207,8 @@
   ScriptedServices services;
   std::string front = free_address ();
   FtConfig *config = nullptr;
-  FtNode *node = nullptr;
+  FtController *controller = nullptr;
+  const FtNode *node = nullptr;
   size_t asked = 0;
 
   void
@@ -225,8 +230,9 @@
     config = ft_config_parse (text, strlen (text), &error);
     free (text);
     ASSERT_NE (config, nullptr) << error->message;
-    node = ft_node_new (config, &error);
-    ASSERT_NE (node, nullptr) << error->message;
+    controller = ft_controller_new (config, &error);
+    ASSERT_NE (controller, nullptr) << error->message;
+    node = ft_controller_node (controller);
     ASSERT_TRUE (wait_for ([&] { return ft_store_client_contact (node->store, g_get_monotonic_time ()); }));
     ASSERT_TRUE (
         wait_for ([&] { return !services.has_catalog || ft_catalog_cache_get (node->catalog_cache) != nullptr; }));
@@ -239,7 +245,7 @@
     EXPECT_EQ (arrivals.size (), asked) << "requests that were counted";
     for (const Arrival &arrival : arrivals)
       EXPECT_EQ (arrival.answers, 1u) << arrival.what;
-    ft_node_free (node);
+    ft_controller_free (controller);
     ft_config_free (config);
   }
   // Sends one request and says how it was answered, having checked that it was once, and that all
