--- a/.ci/check_layers.py
+++ b/.ci/check_layers.py
@@ -2,8 +2,9 @@
 """Checks that no module of src includes a module above it.
 
 .ci/layers.txt lists the modules from low to high. A module is a path below src without its
-ending. It may include its own headers and those of modules listed before it. Lines that begin
-with "allow:" name the includes that still break the order; one that is no longer needed fails.
+ending; a header X_private.h belongs to the module X. A module may include its own headers and
+those of modules listed before it. Lines that begin with "allow:" name the includes that still break
+the order; one that is no longer needed fails, and so does a listed module that does not exist.
 """
 import re
 import subprocess
@@ -23,20 +24,26 @@
     return position, allowed
 
 
+def module_of(path):
+    """The module of a path below src, given without its ending."""
+    return re.sub("_private$", "", path)
+
+
 def includes(path):
     with open(path, encoding="utf-8") as stream:
         for number, line in enumerate(stream, 1):
             match = re.match(r'#include "(.+)\.h"', line)
             if match:
-                yield number, match.group(1)
+                yield number, module_of(match.group(1))
 
 
 def main():
     position, allowed = read_layers(".ci/layers.txt")
     listed = subprocess.run(["git", "ls-files", "src/*.[ch]"], capture_output=True, text=True, check=True)
-    errors, used = [], set()
+    errors, used, found = [], set(), set()
     for path in listed.stdout.split():
-        module = re.sub(r"^src/|\.[ch]$", "", path)
+        module = module_of(re.sub(r"^src/|\.[ch]$", "", path))
+        found.add(module)
         if module not in position:
             errors.append(f"{path}: the module {module} is not in .ci/layers.txt")
             continue
@@ -48,6 +55,7 @@
             else:
                 errors.append(f"{path}:{number}: {module} must not include {target}, which is above it")
     errors += [f".ci/layers.txt: {a} -> {b} is allowed but not needed" for a, b in sorted(allowed - used)]
+    errors += [f".ci/layers.txt: there is no module {module}" for module in position if module not in found]
     print("\n".join(errors) if errors else f"{len(position)} modules in order, {len(allowed)} allowed exceptions")
     return 1 if errors else 0
 
