--- a/src/net/leader_rows.c
+++ b/src/net/leader_rows.c
@@ -1,7 +1,53 @@
 #include "net/leader_rows.h"
 
 #include "core/constants.h"
-#include "net/node.h"
+#include "core/lease.h"
+
+struct _FtLeaderRows {
+  FtLeaderTerm *term;     /* borrowed */
+  guint64 known_revision; /* of the store, up to which the open jobs' rows are known */
+  gint64 read_at;         /* when the last reading of all of them was begun; monotonic, microseconds */
+};
+
+FtLeaderRows *
+ft_leader_rows_new (FtLeaderTerm *term)
+{
+  FtLeaderRows *rows = g_new0 (FtLeaderRows, 1);
+  rows->term = term;
+  return rows;
+}
+
+void
+ft_leader_rows_free (FtLeaderRows *rows)
+{
+  g_free (rows);
+}
+
+FtLeaderTerm *
+ft_leader_rows_term (const FtLeaderRows *rows)
+{
+  return rows->term;
+}
+
+guint64
+ft_leader_rows_known_revision (const FtLeaderRows *rows)
+{
+  return rows->known_revision;
+}
+
+void
+ft_leader_rows_set_known_revision (FtLeaderRows *rows, guint64 revision)
+{
+  rows->known_revision = revision;
+}
+
+void
+ft_leader_rows_set_read_at (FtLeaderRows *rows, gint64 at)
+{
+  rows->read_at = at;
+}
+
+/* ---- taking rows ---- */
 
 static gint64
 wall_ms (void)
@@ -10,33 +56,39 @@
 }
 
 static void
-warn_unreadable (const FtNode *node, const GError *error)
+warn_unreadable (const FtLeaderRows *rows, const GError *error)
 {
-  g_warning ("node %s: row skipped: %s", node->config->member, error->message);
+  g_warning ("node %s: row skipped: %s", rows->term->node->config->member, error->message);
 }
 
 void
-ft_leader_take_open_row (FtNode *node, const FtRow *row, gboolean accepted_since)
+ft_leader_rows_take_open (FtLeaderRows *rows, const FtRow *row, gboolean accepted_since)
 {
   g_autoptr (GError) error = NULL;
   gint64 now = g_get_monotonic_time ();
-  if (!ft_row_take_open (node->leader.scheduler, row, accepted_since, now, wall_ms (), &error))
-    warn_unreadable (node, error);
+  if (!ft_row_take_open (rows->term->scheduler, row, accepted_since, now, wall_ms (), &error))
+    warn_unreadable (rows, error);
 }
 
 void
-ft_leader_take_row (FtNode *node, const FtRow *row)
+ft_leader_rows_take (FtLeaderRows *rows, const FtRow *row)
 {
   g_autoptr (GError) error = NULL;
   gint64 now = g_get_monotonic_time ();
   /* When a watch fell behind, the rows are read again: only jobs accepted meanwhile are new. */
-  if (!ft_row_take (node->leader.scheduler, row, now, wall_ms (), &error))
-    warn_unreadable (node, error);
+  if (!ft_row_take (rows->term->scheduler, row, now, wall_ms (), &error))
+    warn_unreadable (rows, error);
+}
+
+void
+ft_leader_rows_cancellations_known (FtLeaderRows *rows, gint64 at)
+{
+  ft_lease_cancellations_known (rows->term->node->lease, at);
+  ft_scheduler_cancellations_known (rows->term->scheduler, at);
 }
 
 void
-ft_leader_cancellations_known (FtNode *node, gint64 at)
+ft_leader_rows_reading_complete (FtLeaderRows *rows)
 {
-  ft_lease_cancellations_known (node->lease, at);
-  ft_scheduler_cancellations_known (node->leader.scheduler, at);
+  ft_leader_rows_cancellations_known (rows, rows->read_at);
 }
--- a/src/net/submission.c
+++ b/src/net/submission.c
@@ -3,8 +3,15 @@
 #include "core/admission.h"
 #include "core/constants.h"
 #include "net/ancestors.h"
+#include "net/catalog_cache.h"
 #include "net/idempotent_request.h"
+#include "net/job_answer.h"
+#include "net/job_cache.h"
 #include "net/job_status.h"
+#include "net/leader.h"
+#include "net/metrics.h"
+#include "net/peers.h"
+#include "net/store_client.h"
 #include "wire/messages.h"
 #include "wire/store.h"
 
@@ -50,10 +57,11 @@
 static gboolean
 is_overloaded (const FtNode *node)
 {
+  const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   return !ft_store_client_contact (node->store, g_get_monotonic_time ())
          || ft_store_client_queued (node->store) > FT_STORE_QUEUE_MAX
          || ft_store_client_write_wait_s (node->store) > FT_SUBMIT_WAIT_MAX_S
-         || (node->leader.scheduler != NULL && ft_scheduler_open_tasks (node->leader.scheduler) > FT_OPEN_TASKS_MAX);
+         || (scheduler != NULL && ft_scheduler_open_tasks (scheduler) > FT_OPEN_TASKS_MAX);
 }
 
 /* A job with dependencies is safe only with controllers that know of them: an older leader would
@@ -134,7 +142,7 @@
   FtUserRequest *request = data;
   guint64 revision;
   if (result != FT_STORE_OK) {
-    ft_idempotent_request_read_after_commit (request, result);
+    ft_job_status_read_after_commit (request, result);
     return;
   }
   if (ft_store_revision (body, &revision))
@@ -158,13 +166,13 @@
   guint tasks = request->spec->tasks;
   (void) body;
   if (result != FT_STORE_OK) {
-    ft_idempotent_request_read_after_commit (request, result);
+    ft_job_status_read_after_commit (request, result);
     return;
   }
   g_message ("job %s: accepted as cancelled, since one of its ancestors is", request->ref);
   ft_metrics_count (request->node->metrics, FT_COUNT_CANCELLED_BY_DEPENDENCY);
   ft_job_cache_ended (request->node->job_cache, request->ref, FT_JOB_END_CANCELLED, tasks);
-  json_t *state = ft_job_status_ended_body (request->ref, FT_JOB_END_CANCELLED, tasks);
+  json_t *state = ft_job_answer_ended (request->ref, FT_JOB_END_CANCELLED, tasks);
   ft_user_request_answer (request, FT_HTTP_CREATED, state);
 }
 
