--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -468,7 +468,7 @@
 /* First and longest pause in seconds between attempts at a service that fails; each is twice the one before. */
 #define FT_BACKOFF_FIRST_S 0.15
 #define FT_BACKOFF_LONGEST_S 1.0
-/* Doublings of the pause that are counted: the longest is reached before, and the shift stays small. */
+/* Doublings of the pause that are counted: the longest pause is reached before. */
 #define FT_BACKOFF_DOUBLINGS_MAX 8
 /* Shares between which a pause is spread, so that controllers that failed together do not repeat together. */
 #define FT_BACKOFF_JITTER_LEAST 0.5
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -178,7 +178,7 @@
 {
   scheduler->context.now = now;
   scheduler->context.may_start = may_start;
-  /* Many reports come between two passes; what each has freed is filled by its
+  /* Many heartbeats come between two passes; what each has freed is filled by its
    * answer, without one. */
   if (scheduler->context.placement_due && now >= scheduler->placement.next_pass)
     ft_placement_pass (&scheduler->placement);
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -68,12 +68,12 @@
 gboolean ft_scheduler_heartbeat (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now);
 /* Whether the lease is valid now; kept until the next such call, place or tick. */
 void ft_scheduler_allow (FtScheduler *scheduler, gboolean may_start);
-/* The commands for the answer to this report. `starts`: the lease allows it. */
+/* The commands for the answer to this heartbeat. `starts`: the lease allows it. */
 GArray *ft_scheduler_answer (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* The next request to send, or NULL. */
 FtDirect *ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now);
-/* `report` may be NULL. Returns FALSE if a higher token was seen. */
+/* `heartbeat` may be NULL. Returns FALSE if a higher token was seen. */
 gboolean ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirect *direct, FtDirectResult result,
                                    const FtWorkerHeartbeat *heartbeat, gint64 now);
 
--- a/src/net/heartbeat_queue.c
+++ b/src/net/heartbeat_queue.c
@@ -54,7 +54,7 @@
 
 /* While the backlog is late the newest heartbeats are answered first, so that some workers get an
  * answer in time instead of none. The old ones are taken in all the same: without them their
- * machines would be taken for lost and given back. */
+ * machines would be taken for lost and terminated. */
 static gboolean
 on_heartbeats_waiting (gpointer data)
 {
--- a/src/net/leadership.c
+++ b/src/net/leadership.c
@@ -203,7 +203,7 @@
   const FtNode *node = leadership->node;
   gint64 longest_gap = seconds (node->config->core.heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S);
   /* While it answers nobody the workers ask elsewhere: after an outage a leader gave up
-   * the lease that it had just renewed, and nobody led for another takeover. */
+   * the lease that it had just renewed, and nobody led for another failover. */
   gint64 answering_since = MAX (ft_leader_led_since (node->leader), leadership->answering_since);
   if (now - answering_since < seconds (FT_CUT_OFF_GRACE_S))
     return FALSE;
@@ -271,7 +271,7 @@
 
 /* The leader keeps its state, and the workers' leases alive within the answer grace period: the
  * store may fail for everybody a second later, and then nobody would succeed it, nobody stop
- * what users have cancelled, and nobody give back machines whose tasks hang. */
+ * what users have cancelled, and nobody terminate machines whose tasks hang. */
 static void
 yield_leadership (FtLeadership *leadership, gint64 now)
 {
