--- a/src/config.c
+++ b/src/config.c
@@ -153,7 +153,7 @@
   FtSettings *s = &c->core;
   return limits != NULL && whole (params, "settings", "size", 1, &s->size, error)
          && amount (params, "settings", "skew_ms", 0, &c->clock_off_ms, error)
-         && amount (workers, "settings.workers", "report_s", 0.01, &s->report_s, error)
+         && amount (workers, "settings.workers", "report_s", 0.01, &s->heartbeat_s, error)
          && amount (workers, "settings.workers", "lease_s", 0.1, &s->lease_s, error)
          && amount (workers, "settings.workers", "cancel_s", 0.1, &s->cancel_s, error)
          && read_store_limits (state, s, error) && amount (cloud, "settings.cloud", "rps", 0.01, &s->cloud_rps, error)
--- a/src/core/fleet.c
+++ b/src/core/autoscaler.c
@@ -1,4 +1,4 @@
-#include "core/fleet.h"
+#include "core/autoscaler.h"
 
 #include <math.h>
 
@@ -24,7 +24,7 @@
 }
 
 GHashTable *
-ft_fleet_pools_new (void)
+ft_autoscaler_pools_new (void)
 {
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) pool_free);
 }
@@ -230,7 +230,7 @@
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *m = value;
-    if (m->state == FT_MACHINE_GONE || m->state == FT_MACHINE_RETURNING)
+    if (m->state == FT_MACHINE_GONE || m->state == FT_MACHINE_TERMINATING)
       continue;
     all++;
     spot += m->spot;
@@ -251,7 +251,7 @@
     for (int spot = spot_ok ? 1 : 0; spot >= 0; spot--) {
       FtPool *pool = get_pool (s, dependency->type->name, zone, spot);
       if (pool->booking != NULL || pool->refused_until > s->now
-          || ft_zone_rentable (ft_zone_get (s->zones, zone), s->now) == 0)
+          || ft_zone_launchable (ft_zone_get (s->zones, zone), s->now) == 0)
         continue;
       double cost = (spot ? dependency->type->spot_price : dependency->type->price) * FT_POOL_PRICE_WEIGHT
                     + machines_in (s, pool);
@@ -265,14 +265,14 @@
 }
 
 static void
-rent (FtScheduler *s, const Demand *dependency, guint count)
+scale_out (FtScheduler *s, const Demand *dependency, guint count)
 {
   FtPool *pool = best_pool (s, dependency);
   if (pool == NULL || count == 0)
     return;
   FtZone *zone = ft_zone_get (s->zones, pool->zone);
-  pool->asked = MIN (MIN (count, FT_RENT_MAX), ft_zone_rentable (zone, s->now));
-  ft_zone_rented (zone, s->now);
+  pool->asked = MIN (MIN (count, FT_SCALE_OUT_MAX), ft_zone_launchable (zone, s->now));
+  ft_zone_launched (zone, s->now);
   if (pool->spot && s->tuning.spot_share < 1)
     pool->asked = 1; /* one at a time, to keep within the share */
   /* The token makes the name unique for ever: no other leadership has it. */
@@ -297,7 +297,7 @@
 
 /* The most wanted machine type gets the idle reserve. */
 static void
-plan_rentals (FtScheduler *s)
+plan_scale_out (FtScheduler *s)
 {
   g_autoptr (GArray) dependencies = find_demand (s);
   for (guint i = 0; i < dependencies->len; i++) {
@@ -308,19 +308,19 @@
     /* A small rest waits for room to come free, unless none can come: the one
      * small job of a site without a machine must get one too. */
     gboolean stuck = dependency->blocked && supply.booting < 1 && (supply.in_use <= 0 || blocked_long (s, dependency));
-    if (want > FT_RENT_FROM || stuck)
-      rent (s, dependency, (guint) MAX (1, ceil (want)));
+    if (want > FT_SCALE_OUT_FROM || stuck)
+      scale_out (s, dependency, (guint) MAX (1, ceil (want)));
   }
 }
 
 /* ---- returns ---- */
 
 static void
-return_machine (FtScheduler *s, FtMachine *machine, const char *why)
+terminate (FtScheduler *s, FtMachine *machine, const char *why)
 {
   g_message ("machine %s: to be returned (%s)", machine->name, why);
-  ft_machine_set_state (machine, FT_MACHINE_RETURNING);
-  machine->return_at = s->now;
+  ft_machine_set_state (machine, FT_MACHINE_TERMINATING);
+  machine->terminate_at = s->now;
 }
 
 static gboolean
@@ -328,7 +328,7 @@
 {
   double boot = machine->type != NULL ? machine->type->boot_s : FT_BOOT_UNKNOWN_S;
   gint64 limit = (gint64) ((boot * FT_BOOT_FACTOR + FT_BOOT_PLUS_S) * FT_SECOND);
-  return machine->state == FT_MACHINE_BOOTING && s->now - machine->rented_at > limit;
+  return machine->state == FT_MACHINE_BOOTING && s->now - machine->launched_at > limit;
 }
 
 /* The store has been seen since the zone was heard last: it is the zone that is cut off. */
@@ -346,19 +346,19 @@
 static gboolean
 may_give_up (FtScheduler *s, const FtMachine *machine, guint up, guint lost)
 {
-  if (s->now - s->silent_window_at > (gint64) (FT_SILENT_RETURN_WINDOW_S * FT_SECOND)) {
+  if (s->now - s->silent_window_at > (gint64) (FT_SILENT_SCALE_IN_WINDOW_S * FT_SECOND)) {
     s->silent_window_at = s->now;
-    s->silent_returned = 0;
+    s->silent_terminated = 0;
   }
-  guint most = MAX (FT_SILENT_RETURN_MIN, (guint) (FT_SILENT_RETURN_SHARE * (up + lost)));
+  guint most = MAX (FT_SILENT_SCALE_IN_MIN, (guint) (FT_SILENT_SCALE_IN_SHARE * (up + lost)));
   gint64 long_silent = (gint64) (2 * s->settings->lease_s * FT_SECOND);
   if (s->now - s->cancellations_known_until > (gint64) (FT_GIVE_UP_STORE_SEEN_S * FT_SECOND))
     return FALSE;
-  if (lost > up && s->now - ft_machine_unreported_since (s, machine) <= long_silent)
+  if (lost > up && s->now - ft_machine_no_heartbeat_since (s, machine) <= long_silent)
     return FALSE;
   if (machine->zone_view->unreachable)
     return zone_alone_lost (s, machine->zone_view);
-  return s->silent_returned < most;
+  return s->silent_terminated < most;
 }
 
 static gboolean
@@ -374,7 +374,7 @@
 static gboolean
 not_reporting_long (const FtScheduler *s, const FtMachine *m)
 {
-  return ft_machine_not_reporting (s, m) && s->now - ft_machine_unreported_since (s, m) > ft_machine_lease_us (s);
+  return ft_machine_not_reporting (s, m) && s->now - ft_machine_no_heartbeat_since (s, m) > ft_machine_lease_us (s);
 }
 
 /* Why a machine is of no use, and may be given up; NULL: it is of use. */
@@ -470,7 +470,7 @@
 }
 
 /* A cancelled task whose direct start got no answer may still start, late, as
- * long as the machine's session lasts: such a machine is emptied and returned. */
+ * long as the machine's incarnation lasts: such a machine is emptied and returned. */
 static double
 doubt_age (const FtScheduler *s, const FtMachine *machine, gboolean *others)
 {
@@ -498,7 +498,7 @@
     return FALSE; /* nearly all: their attempts need no look */
   double age = doubt_age (s, machine, &others);
   if (age > FT_DOUBT_S)
-    machine->faulty = TRUE; /* no more starts */
+    machine->quarantined = TRUE; /* no more starts */
   return age > FT_DOUBT_S && (!others || age > FT_DOUBT_MAX * s->settings->cancel_s);
 }
 
@@ -514,32 +514,32 @@
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *m = value;
-    if (m->state == FT_MACHINE_RETURNING || m->state == FT_MACHINE_GONE)
+    if (m->state == FT_MACHINE_TERMINATING || m->state == FT_MACHINE_GONE)
       continue;
     const char *lost_why = why_lost (s, m);
     gint64 taken = m->notice_until + (gint64) (FT_NOTICE_MARGIN_S * FT_SECOND);
-    if (m->notice_until > 0 && s->now > taken && m->last_report < m->notice_until) {
-      return_machine (s, m, "taken by the cloud");
+    if (m->notice_until > 0 && s->now > taken && m->last_status_at < m->notice_until) {
+      terminate (s, m, "taken by the cloud");
     } else if (lost_why != NULL && (may_hold_cancelled (s, m) || may_give_up (s, m, up, lost))) {
-      s->silent_returned += !m->zone_view->unreachable;
-      return_machine (s, m, lost_why);
+      s->silent_terminated += !m->zone_view->unreachable;
+      terminate (s, m, lost_why);
     } else if (boot_failed (s, m)) {
-      return_machine (s, m, "did not come up");
+      terminate (s, m, "did not come up");
     } else if (in_doubt (s, m)) {
-      return_machine (s, m, "a withdrawn start in doubt");
-    } else if (m->faulty && m->reconciled && ft_fault_proven (m) && ft_machine_idle (m)) {
+      terminate (s, m, "a withdrawn start in doubt");
+    } else if (m->quarantined && m->reconciled && ft_fault_proven (m) && ft_machine_idle (m)) {
       /* What ran before it became faulty may well complete. */
-      return_machine (s, m, "faulty");
+      terminate (s, m, "faulty");
     }
   }
 }
 
 static gboolean
-returnable (const FtScheduler *s, const FtMachine *m)
+terminable (const FtScheduler *s, const FtMachine *m)
 {
   double idle_s = m->spot ? s->tuning.idle_spot_s : s->tuning.idle_ordinary_s;
   return ft_machine_usable (s, m) && ft_machine_idle (m) && s->now - m->idle_since > (gint64) (idle_s * FT_SECOND)
-         && s->now - m->rented_at > (gint64) (FT_LEAST_CHARGED_S * FT_SECOND) && !m->command_in_flight;
+         && s->now - m->launched_at > (gint64) (FT_LEAST_CHARGED_S * FT_SECOND) && !m->command_in_flight;
 }
 
 /* Ordinary machines first, they cost more; among equals the longest idle. */
@@ -553,7 +553,7 @@
 }
 
 static void
-return_idle (FtScheduler *s)
+scale_in_idle (FtScheduler *s)
 {
   Supply supply = find_supply (s, NULL);
   /* One machine stands by while there is work, none on a site without any. */
@@ -566,20 +566,20 @@
   gpointer value;
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    if (returnable (s, value))
+    if (terminable (s, value))
       g_ptr_array_add (idle, value);
   g_ptr_array_sort (idle, worst_first);
   for (guint i = 0; i < idle->len && spare >= 1; i++, spare--)
-    return_machine (s, g_ptr_array_index (idle, i), "idle");
+    terminate (s, g_ptr_array_index (idle, i), "idle");
 }
 
 /* After a takeover the fleet is known once all reports have had their time; a few
- * machines that nobody can account for must not keep others from being rented. */
+ * machines that nobody can account for must not keep others from being launched. */
 static gboolean
-fleet_known (const FtScheduler *s)
+machines_known (const FtScheduler *s)
 {
-  double reports = s->settings->report_s * FT_REPORT_GAP + FT_WORKER_TIMEOUT_S;
-  return s->recovered || s->now - s->took_over_at > (gint64) (reports * FT_SECOND);
+  double heartbeats = s->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S;
+  return s->recovered || s->now - s->took_over_at > (gint64) (heartbeats * FT_SECOND);
 }
 
 /* Counts the time for which spot machines have been up. */
@@ -601,15 +601,15 @@
 }
 
 void
-ft_fleet_tick (FtScheduler *s)
+ft_autoscaler_tick (FtScheduler *s)
 {
   give_up_machines (s);
-  if (!s->may_start || s->now < s->next_fleet || !fleet_known (s))
+  if (!s->may_start || s->now < s->next_autoscale || !machines_known (s))
     return;
-  s->next_fleet = s->now + (gint64) (FT_FLEET_EVERY_S * FT_SECOND);
+  s->next_autoscale = s->now + (gint64) (FT_AUTOSCALE_EVERY_S * FT_SECOND);
   observe_spot (s);
-  plan_rentals (s);
-  return_idle (s);
+  plan_scale_out (s);
+  scale_in_idle (s);
 }
 
 /* ---- calls ---- */
@@ -640,19 +640,19 @@
  * must be gone in time, and a machine that hangs cannot drop them. That is no placing,
  * and a successor that returns the same machines again changes nothing. */
 static FtCloudCall *
-next_return (FtScheduler *s)
+next_scale_in (FtScheduler *s)
 {
   FtCloudCall *call = NULL;
-  for (GList *l = s->returning.head; l != NULL; l = l->next) {
+  for (GList *l = s->terminating.head; l != NULL; l = l->next) {
     FtMachine *m = l->data;
     s->looked_at++;
-    if (m->return_in_flight || m->return_at > s->now || (!s->may_start && !may_hold_cancelled (s, m)))
+    if (m->terminate_in_flight || m->terminate_at > s->now || (!s->may_start && !may_hold_cancelled (s, m)))
       continue;
     if (call == NULL)
-      call = call_new (FT_CLOUD_RETURN);
-    if (call->names->len == FT_RETURN_MAX)
+      call = call_new (FT_CLOUD_SCALE_IN);
+    if (call->names->len == FT_SCALE_IN_MAX)
       break;
-    m->return_in_flight = TRUE;
+    m->terminate_in_flight = TRUE;
     g_ptr_array_add (call->names, g_strdup (m->name));
   }
   return call;
@@ -662,7 +662,7 @@
 ft_scheduler_next_cloud (FtScheduler *s, gint64 now)
 {
   s->now = now;
-  FtCloudCall *call = next_return (s);
+  FtCloudCall *call = next_scale_in (s);
   if (call != NULL || !s->may_start)
     return call;
   GHashTableIter it;
@@ -673,7 +673,7 @@
     if (pool->booking == NULL || pool->in_flight || pool->retry_at > now)
       continue;
     pool->in_flight = TRUE;
-    call = call_new (FT_CLOUD_RENT);
+    call = call_new (FT_CLOUD_SCALE_OUT);
     call->booking = g_strdup (pool->booking);
     call->type = g_strdup (pool->type);
     call->zone = g_strdup (pool->zone);
@@ -685,7 +685,7 @@
 }
 
 static void
-rented (FtScheduler *s, FtPool *pool, const FtCloudCall *call)
+launched (FtScheduler *s, FtPool *pool, const FtCloudCall *call)
 {
   for (guint i = 0; i < call->names->len; i++) {
     const char *name = g_ptr_array_index (call->names, i);
@@ -702,14 +702,14 @@
 }
 
 static void
-rent_done (FtScheduler *s, const FtCloudCall *call, FtCloudResult result)
+scale_out_done (FtScheduler *s, const FtCloudCall *call, FtCloudResult result)
 {
   FtPool *pool = get_pool (s, call->type, call->zone, call->spot);
   pool->in_flight = FALSE;
   if (g_strcmp0 (pool->booking, call->booking) != 0)
     return;
   if (result == FT_CLOUD_OK) {
-    rented (s, pool, call);
+    launched (s, pool, call);
   } else if (result == FT_CLOUD_REFUSED) {
     pool->refused_until = s->now + (gint64) (FT_REFUSED_PAUSE_S * FT_SECOND);
     g_clear_pointer (&pool->booking, g_free);
@@ -717,18 +717,18 @@
     /* Perhaps carried out: the same booking is repeated until it is answered. */
     pool->retry_at = s->now + FT_SECOND;
   }
-  s->next_fleet = s->now;
+  s->next_autoscale = s->now;
 }
 
 static void
-return_done (FtScheduler *s, const FtCloudCall *call, FtCloudResult result)
+scale_in_done (FtScheduler *s, const FtCloudCall *call, FtCloudResult result)
 {
   for (guint i = 0; i < call->names->len; i++) {
     FtMachine *m = g_hash_table_lookup (s->machines, g_ptr_array_index (call->names, i));
     if (m == NULL)
       continue;
-    m->return_in_flight = FALSE;
-    m->return_at = s->now + (gint64) (FT_RETURN_RETRY_S * FT_SECOND);
+    m->terminate_in_flight = FALSE;
+    m->terminate_at = s->now + (gint64) (FT_TERMINATE_RETRY_S * FT_SECOND);
     if (result == FT_CLOUD_OK && m->state != FT_MACHINE_GONE)
       ft_machine_gone (s, m, "returned");
   }
@@ -741,10 +741,10 @@
   s->now = now;
   if (result != FT_CLOUD_FAILED)
     s->cloud_answered_at = now;
-  if (call->op == FT_CLOUD_RENT)
-    rent_done (s, call, result);
+  if (call->op == FT_CLOUD_SCALE_OUT)
+    scale_out_done (s, call, result);
   else
-    return_done (s, call, result);
+    scale_in_done (s, call, result);
 }
 
 /* ---- the cloud's list ---- */
@@ -755,7 +755,7 @@
   if (entry->state == FT_LISTED_FAILED)
     return;
   FtMachine *m = ft_machine_new (s, entry->name, entry->addr, entry->type, entry->zone, entry->spot);
-  m->rented_at = s->now - (gint64) (entry->age_s * FT_SECOND);
+  m->launched_at = s->now - (gint64) (entry->age_s * FT_SECOND);
   ft_machine_set_reconciled (m); /* in no registry: never sent a command */
   m->listed_running = entry->state == FT_LISTED_RUNNING;
   g_hash_table_insert (s->machines, m->name, m);
@@ -767,13 +767,13 @@
 {
   if (entry->state == FT_LISTED_FAILED && m->state != FT_MACHINE_GONE) {
     /* It stopped on its own and comes back no more. */
-    if (m->state != FT_MACHINE_RETURNING)
-      return_machine (s, m, "failed");
-    ft_machine_end_session (s, m);
+    if (m->state != FT_MACHINE_TERMINATING)
+      terminate (s, m, "failed");
+    ft_machine_end_incarnation (s, m);
     ft_machine_set_reconciled (m);
   }
-  /* A machine known from the registry or a report is older than this leadership. */
-  m->rented_at = MIN (m->rented_at, s->now - (gint64) (entry->age_s * FT_SECOND));
+  /* A machine known from the registry or a heartbeat is older than this leadership. */
+  m->launched_at = MIN (m->launched_at, s->now - (gint64) (entry->age_s * FT_SECOND));
   if (m->addr == NULL && entry->addr != NULL)
     m->addr = g_strdup (entry->addr);
 }
--- a/src/core/commands.c
+++ b/src/core/commands.c
@@ -1,4 +1,4 @@
-/* What workers are told: commands in the answers to their reports, and directly. */
+/* What workers are told: commands in the answers to their heartbeats, and directly. */
 #include "core/model.h"
 
 static void
@@ -12,7 +12,7 @@
 wants_start (const FtScheduler *s, const FtMachine *machine, const FtAttempt *a)
 {
   return s->may_start && machine->registered && a->bound && a->index < a->job->spec->dispatch_watermark && !a->shown
-         && !a->exited && !a->stop_wanted && machine->state != FT_MACHINE_RETURNING && a->job->state == FT_JOB_OPEN;
+         && !a->exited && !a->stop_wanted && machine->state != FT_MACHINE_TERMINATING && a->job->state == FT_JOB_OPEN;
 }
 
 /* A copy of a direct start may come late. While the worker knows the attempt it
@@ -33,25 +33,25 @@
 }
 
 GArray *
-ft_scheduler_answer (FtScheduler *s, const FtReport *report, gint64 now)
+ft_scheduler_answer (FtScheduler *s, const FtWorkerHeartbeat *heartbeat, gint64 now)
 {
   GArray *commands = ft_commands_new ();
-  FtMachine *machine = g_hash_table_lookup (s->machines, report->machine);
+  FtMachine *machine = g_hash_table_lookup (s->machines, heartbeat->machine);
   s->now = now;
   if (machine == NULL)
     return commands;
   machine->last_answer = now;
-  /* It shows our token in its next report, in half a second. */
+  /* It shows our token in its next heartbeat, in half a second. */
   if (!machine->reconciled)
     machine->probe_at = MAX (machine->probe_at, now + ft_seconds (FT_PROBE_FIRST_S));
-  if (report->session != machine->session || report->sequence != machine->sequence || report->token < s->token
-      || machine->session <= machine->lapsed_session) {
-    if (report->session == machine->session)
-      machine->answered = MAX (machine->answered, report->sequence);
+  if (heartbeat->incarnation != machine->incarnation || heartbeat->sequence != machine->sequence
+      || heartbeat->token < s->token || machine->incarnation <= machine->expired_incarnation) {
+    if (heartbeat->incarnation == machine->incarnation)
+      machine->answered = MAX (machine->answered, heartbeat->sequence);
     return commands;
   }
-  machine->answered = report->sequence;
-  /* What the report has freed is filled by this very answer. */
+  machine->answered = heartbeat->sequence;
+  /* What the heartbeat has freed is filled by this very answer. */
   ft_placement_fill (s, machine);
   GHashTableIter it;
   gpointer value;
@@ -68,7 +68,7 @@
     FtAttempt *a = value;
     if (!wants_start (s, machine, a))
       continue;
-    a->sent_sequence = report->sequence;
+    a->sent_sequence = heartbeat->sequence;
     add_command (commands, FT_COMMAND_START, a);
   }
   return commands;
@@ -94,7 +94,7 @@
   FtDirect *direct = g_new0 (FtDirect, 1);
   direct->machine = g_strdup (machine->name);
   direct->addr = g_strdup (machine->addr);
-  direct->session = machine->session;
+  direct->incarnation = machine->incarnation;
   direct->commands = commands;
   machine->command_in_flight = TRUE;
   return direct;
@@ -103,11 +103,11 @@
 gint64
 ft_machine_silent_since (const FtScheduler *s, const FtMachine *machine)
 {
-  return MAX (machine->last_report, s->on_time_since);
+  return MAX (machine->last_status_at, s->on_time_since);
 }
 
 gboolean
-ft_machine_report_overdue (const FtScheduler *s, const FtMachine *machine)
+ft_machine_heartbeat_overdue (const FtScheduler *s, const FtMachine *machine)
 {
   return s->now - ft_machine_silent_since (s, machine) > ft_machine_overdue_us (s);
 }
@@ -116,7 +116,7 @@
 ft_machine_wants_probe (const FtScheduler *s, const FtMachine *machine)
 {
   gboolean ask = !machine->reconciled || ft_machine_not_receiving (machine)
-                 || (machine->state == FT_MACHINE_UP && ft_machine_report_overdue (s, machine));
+                 || (machine->state == FT_MACHINE_UP && ft_machine_heartbeat_overdue (s, machine));
   return ask && s->now >= machine->probe_at && machine->addr != NULL && !machine->command_in_flight
          && machine->state != FT_MACHINE_GONE;
 }
@@ -135,7 +135,7 @@
 {
   if (machine->command_in_flight || machine->addr == NULL)
     return NULL;
-  if (machine->state != FT_MACHINE_UP || !machine->reconciled || machine->session <= machine->lapsed_session)
+  if (machine->state != FT_MACHINE_UP || !machine->reconciled || machine->incarnation <= machine->expired_incarnation)
     return NULL;
   GArray *commands = ft_commands_new ();
   GHashTableIter it;
@@ -190,37 +190,37 @@
     if (a == NULL || c->op != FT_COMMAND_START)
       continue;
     a->direct_in_flight = FALSE;
-    if (result == FT_DIRECT_UNANSWERED && a->session == direct->session)
+    if (result == FT_DIRECT_UNANSWERED && a->incarnation == direct->incarnation)
       a->direct_unanswered = machine->in_doubt = TRUE;
     /* Refused as a whole: this copy was not executed and never will be. */
     if (result == FT_DIRECT_CONFLICT && a->stop_wanted && !a->shown && a->sent_sequence == 0 && !a->exited)
-      ft_attempt_over (s, a);
+      ft_attempt_end (s, a);
   }
 }
 
 gboolean
-ft_scheduler_direct_done (FtScheduler *s, const FtDirect *direct, FtDirectResult result, const FtReport *report,
-                          gint64 now)
+ft_scheduler_direct_done (FtScheduler *s, const FtDirect *direct, FtDirectResult result,
+                          const FtWorkerHeartbeat *heartbeat, gint64 now)
 {
   s->now = now;
   FtMachine *machine = g_hash_table_lookup (s->machines, direct->machine);
   if (direct->commands->len == 0)
     s->probes_in_flight--;
-  if (report != NULL && report->token > s->token)
+  if (heartbeat != NULL && heartbeat->token > s->token)
     return FALSE;
   if (machine == NULL)
     return TRUE;
   machine->command_in_flight = FALSE;
   ft_machine_queue_direct (machine); /* what has come up meanwhile */
   if (result == FT_DIRECT_UNANSWERED
-      && (ft_machine_report_overdue (s, machine) || !machine->reconciled || ft_machine_not_receiving (machine)))
+      && (ft_machine_heartbeat_overdue (s, machine) || !machine->reconciled || ft_machine_not_receiving (machine)))
     machine->probe_fails++;
   settle_direct (s, machine, direct, result);
-  if (report == NULL || g_strcmp0 (report->machine, machine->name) != 0)
+  if (heartbeat == NULL || g_strcmp0 (heartbeat->machine, machine->name) != 0)
     return TRUE;
-  if (machine->state != FT_MACHINE_RETURNING || !machine->reconciled)
-    ft_machine_apply_report (s, machine, report, FALSE);
-  /* Refused for its session: ask again at once with the right one. */
+  if (machine->state != FT_MACHINE_TERMINATING || !machine->reconciled)
+    ft_machine_apply_status (s, machine, heartbeat, FALSE);
+  /* Refused for its incarnation: ask again at once with the right one. */
   if (result == FT_DIRECT_CONFLICT && !machine->reconciled) {
     machine->probe_at = now;
     ft_machine_queue_probe (machine);
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -34,10 +34,10 @@
 /* Seconds kept off the longest hold, for timers that fire late. */
 #define FT_ANSWER_GRACE_MARGIN_S 2.0
 
-/* Seconds without any report, beyond the longest ordinary gap, after which a
+/* Seconds without any heartbeat, beyond the longest ordinary gap, after which a
  * leader takes itself for cut off from the workers and gives the lease up. */
 #define FT_CUT_OFF_MARGIN_S 1.5
-/* Seconds of reports that wait too long after which a leader takes itself for too slow;
+/* Seconds of heartbeats that wait too long after which a leader takes itself for too slow;
  * seconds it must have led by then, since a takeover is busy and its successor may be no
  * quicker; and seconds for which it tells its peers that it has given up. */
 #define FT_OVERRUN_S 4.0
@@ -75,18 +75,18 @@
 #define FT_RENEW_SLACK_S 0.5
 
 /* ---- workers ---- */
-/* Seconds a worker waits for an answer to its report (protocol). */
+/* Seconds a worker waits for an answer to its heartbeat (protocol). */
 #define FT_WORKER_TIMEOUT_S 4.0
 /* Seconds added to a worker lease before its tasks are counted as over. */
 #define FT_WORKER_LEASE_MARGIN_S 1.0
-/* Longest ordinary gap between two reports, in report intervals (protocol: an
+/* Longest ordinary gap between two heartbeats, in heartbeat intervals (protocol: an
  * interval is moved by up to a quarter). */
-#define FT_REPORT_GAP 1.25
-/* Seconds by which a report may be overdue on a machine that still gets work. */
+#define FT_HEARTBEAT_GAP 1.25
+/* Seconds by which a heartbeat may be overdue on a machine that still gets work. */
 #define FT_USABLE_MARGIN_S 3.0
 /* Seconds a direct command may take before it counts as unanswered. */
 #define FT_COMMAND_TIMEOUT_S 2.0
-/* Seconds without a report, beyond the longest ordinary gap, after which a
+/* Seconds without a heartbeat, beyond the longest ordinary gap, after which a
  * machine counts as silent. */
 #define FT_SILENCE_MARGIN_S 2.0
 /* Seconds between two probes of a machine not heard since the takeover. */
@@ -94,16 +94,16 @@
 /* Seconds after a takeover, or after an answer, until a machine that is not reconciled
  * is probed: most report by themselves meanwhile, at a third of the cost. */
 #define FT_PROBE_FIRST_S 1.5
-/* Seconds beyond the longest ordinary gap after which a report is overdue. */
+/* Seconds beyond the longest ordinary gap after which a heartbeat is overdue. */
 #define FT_OVERDUE_MARGIN_S 1.0
 /* Longest pause between probes of a machine that does not answer, in doublings of the
  * first; probes under way at once: a cut zone's must not keep out the others. */
 #define FT_PROBE_DOUBLINGS 3
 #define FT_PROBES_MAX 48
-/* Reports in a row that show nothing of our answers, after which a machine counts as
+/* Heartbeats in a row that show nothing of our answers, after which a machine counts as
  * not receiving: a lost packet may explain one. */
 #define FT_UNACKNOWLEDGED_MAX 3
-/* Seconds a not receiving machine is probed before it is returned. */
+/* Seconds a not receiving machine is probed before it is terminated. */
 #define FT_NOT_RECEIVING_SCALE_IN_S 10.0
 /* Worker leases for which a copy of a direct start may come late, and an attempt without
  * a result stays known to its worker. */
@@ -111,24 +111,24 @@
 /* Seconds between two ticks from which this controller was late itself, and what it
  * has not heard meanwhile counts against no machine. */
 #define FT_LATE_TICK_S 1.5
-/* Probes without answer, once the report is overdue, after which a machine counts
+/* Probes without answer, once the heartbeat is overdue, after which a machine counts
  * as silent; and the same for a machine not heard since the takeover. */
 #define FT_PROBES 1
 #define FT_PROBES_TAKEOVER 2
-/* Share of the machines that may be returned for silence within the window. */
-#define FT_SILENT_RETURN_SHARE 0.2
-/* Machines that may always be returned for silence within the window. */
-#define FT_SILENT_RETURN_MIN 2
-/* Window in seconds in which the returns for silence are bounded. */
-#define FT_SILENT_RETURN_WINDOW_S 20.0
+/* Share of the machines that may be terminated for silence within the window. */
+#define FT_SILENT_SCALE_IN_SHARE 0.2
+/* Machines that may always be terminated for silence within the window. */
+#define FT_SILENT_SCALE_IN_MIN 2
+/* Window in seconds in which the terminations for silence are bounded. */
+#define FT_SILENT_SCALE_IN_WINDOW_S 20.0
 /* Seconds after which a cancelled start without an answer keeps its machine from
- * new work, and share of cancel_s after which the machine is returned as it is. */
+ * new work, and share of cancel_s after which the machine is terminated as it is. */
 #define FT_DOUBT_S 5.0
 #define FT_DOUBT_MAX 0.5
 /* Machines of a zone that must all be unheard for the zone to count as unreachable: of
  * fewer, each may have failed for itself. */
 #define FT_ZONE_MEMBERS 3
-/* Seconds between two rentals in an unreachable zone, which show whether it is back. */
+/* Seconds between two launches in an unreachable zone, which show whether it is back. */
 #define FT_ZONE_PROBE_EVERY_S 20.0
 /* Seconds since the store was last seen after which a leader gives up no machine for its
  * silence: it may be cut off itself. A watch tells, when it ends, what was known when it was
@@ -147,8 +147,8 @@
 /* Attempts of a job looked at to see whether one does well: bounds the cost of a failure. */
 #define FT_FAULT_ATTEMPTS 256
 /* Machines that may be shunned at once: at least, and as a share of all. */
-#define FT_FAULTY_MIN 2
-#define FT_FAULTY_SHARE 0.25
+#define FT_QUARANTINE_MIN 2
+#define FT_QUARANTINE_SHARE 0.25
 /* Bits of an attempt number below the token, so that attempts rise with it. */
 #define FT_ATTEMPT_BITS 24
 
@@ -170,7 +170,7 @@
 #define FT_PREEMPT_RAN_SHARE 0.25
 #define FT_PREEMPT_SLACK 1.3
 /* Share of cancel_s after which a machine that cannot be asked, and may hold a cancelled
- * task, is returned whatever the bound on returns: the rest is for the cloud. */
+ * task, is terminated whatever the bound on returns: the rest is for the cloud. */
 #define FT_CANCELLED_SCALE_IN_SHARE 0.5
 /* Machines heard for each one that is not, for a leader without the store to conclude
  * that the machine, not itself, is cut off. */
@@ -198,7 +198,7 @@
  * it had. */
 #define FT_TOO_LATE_SHARE 0.3
 #define FT_TOO_LATE_PATIENCE 3.0
-/* Least seconds between two placement passes: a report that frees room on a machine
+/* Least seconds between two placement passes: a heartbeat that frees room on a machine
  * has it filled without one. */
 #define FT_PASS_EVERY_S 0.1
 /* Jobs looked at to fill one machine. */
@@ -217,11 +217,11 @@
 
 /* ---- fleet ---- */
 /* Seconds between two looks at what to rent and return. */
-#define FT_FLEET_EVERY_S 1.0
+#define FT_AUTOSCALE_EVERY_S 1.0
 /* Seconds between two reads of the machine list and of the catalog. */
 #define FT_LIST_EVERY_S 4.0
 #define FT_CATALOG_EVERY_S 60.0
-/* Seconds a spot and an ordinary machine stand idle before they are returned. */
+/* Seconds a spot and an ordinary machine stand idle before they are terminated. */
 #define FT_IDLE_SPOT_S 40.0
 #define FT_IDLE_ORDINARY_S 25.0
 /* Idle capacity kept, as a share of what is in use, for each second that a
@@ -233,14 +233,14 @@
  * seconds below, is taken for one that never comes up. */
 #define FT_BOOT_FACTOR 3.0
 #define FT_BOOT_PLUS_S 20.0
-/* Share of a machine that must be wanted before one is rented. */
-#define FT_RENT_FROM 0.2
+/* Share of a machine that must be wanted before one is launched. */
+#define FT_SCALE_OUT_FROM 0.2
 /* Nominal boot time in seconds of a type that is not in the catalog. */
 #define FT_BOOT_UNKNOWN_S 60.0
 /* Machines in a pool that weigh as much as a price of one an hour: the price
  * decides, the number of machines only among equal prices. */
 #define FT_POOL_PRICE_WEIGHT 1000.0
-/* Machines asked for in one rental request (protocol: at most 50). */
+/* Machines asked for in one launch request (protocol: at most 50). */
 /* Least seconds charged for a machine (protocol): no earlier return saves. */
 #define FT_LEAST_CHARGED_S 60.0
 /* A task that will have run less than this share of its estimate when its spot
@@ -250,10 +250,10 @@
  * since counts as taken. */
 #define FT_NOTICE_MARGIN_S 0.5
 /* Seconds before a return that failed is tried again. */
-#define FT_RETURN_RETRY_S 1.0
-#define FT_RENT_MAX 50
+#define FT_TERMINATE_RETRY_S 1.0
+#define FT_SCALE_OUT_MAX 50
 /* Machines named in one return request (protocol: at most 100). */
-#define FT_RETURN_MAX 100
+#define FT_SCALE_IN_MAX 100
 
 /* What a machine of a type not in the catalog may hold, in CPUs or GPUs: above any
  * team's limit, so that what it may run unseen counts in full. */
@@ -403,10 +403,10 @@
 #define FT_TICK_MS 100
 /* Seconds between two ticks of the scheduler. */
 #define FT_SCHEDULER_TICK_S 0.5
-/* Reports handled without a look at the timers, and seconds of waiting from which the
+/* Heartbeats handled without a look at the timers, and seconds of waiting from which the
  * newest go first: a worker gives up after four, and an answer then is in vain. */
-#define FT_REPORTS_AT_ONCE 32
-#define FT_REPORT_LATE_S 2.0
+#define FT_HEARTBEATS_AT_ONCE 32
+#define FT_HEARTBEAT_LATE_S 2.0
 /* Direct commands under way at once. */
 #define FT_DIRECT_MAX 96
 /* Cloud calls under way at once. */
--- a/src/core/explain.c
+++ b/src/core/explain.c
@@ -69,7 +69,7 @@
 {
   if (m->drained)
     return "drained by an operator";
-  if (m->faulty)
+  if (m->quarantined)
     return "tasks failed on it that were not to blame";
   if (m->notice_until > 0)
     return "the cloud takes it back";
@@ -88,7 +88,7 @@
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtMachine *m = value;
-    visit (m->name, ft_machine_state_name (m->state), m->type_name, m->zone, m->spot, m->session,
+    visit (m->name, ft_machine_state_name (m->state), m->type_name, m->zone, m->spot, m->incarnation,
            g_hash_table_size (m->attempts), why_unused (s, m), data);
   }
 }
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -59,8 +59,8 @@
   gpointer value;
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    shunned += ((const FtMachine *) value)->faulty;
-  return shunned < MAX (FT_FAULTY_MIN, FT_FAULTY_SHARE * g_hash_table_size (s->machines));
+    shunned += ((const FtMachine *) value)->quarantined;
+  return shunned < MAX (FT_QUARANTINE_MIN, FT_QUARANTINE_SHARE * g_hash_table_size (s->machines));
 }
 
 void
@@ -73,9 +73,9 @@
   if (counts_against (s, job, machine))
     machine->faults++;
   machine->last_failed = job->revision;
-  if (machine->faulty || !ft_fault_proven (machine) || !may_shun_one_more (s))
+  if (machine->quarantined || !ft_fault_proven (machine) || !may_shun_one_more (s))
     return;
-  machine->faulty = TRUE;
+  machine->quarantined = TRUE;
   g_warning ("machine %s: faulty, %u tasks failed on it that were not to blame", machine->name, machine->faults);
 }
 
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -63,7 +63,7 @@
 void
 ft_job_queue_write (FtJob *job)
 {
-  if (job->write_queued || job->scheduler == NULL || job->state == FT_JOB_CLOSED)
+  if (job->write_queued || job->scheduler == NULL || job->state == FT_JOB_ENDED)
     return;
   job->write_queued = TRUE;
   g_queue_push_tail (&job->scheduler->pending_jobs, job);
@@ -73,7 +73,7 @@
 ft_job_live (const FtJob *job)
 {
   return job->counts[FT_TASK_STARTING] + job->counts[FT_TASK_FETCHING] + job->counts[FT_TASK_RUNNING]
-         + job->counts[FT_TASK_SAVING];
+         + job->counts[FT_TASK_CHECKPOINTING];
 }
 
 guint
--- a/src/core/journal.c
+++ b/src/core/journal.c
@@ -18,7 +18,7 @@
 {
   switch (write->kind) {
   case FT_WRITE_JOB_DONE:
-  case FT_WRITE_JOB_GONE:
+  case FT_WRITE_JOB_STOPPED:
   case FT_WRITE_JOB_CANCELLED:
     return 2; /* the job's own row or the dispatch watermark of its cancellation, and the row of an open job */
   default:
@@ -85,7 +85,7 @@
 /* Rows go only after the watch has shown the cancellation: a wrong hint must not drop an
  * open job, and an older event of the job that comes later must not bring it back. */
 static gboolean
-job_all_gone (const FtJob *job)
+job_stopped (const FtJob *job)
 {
   if (job->state != FT_JOB_CANCELLING || !job->cancellation_read)
     return FALSE;
@@ -163,7 +163,7 @@
 job_ends (const FtJob *job)
 {
   return !job->final_in_flight && !job->conflicted
-         && (job_complete (job) || job_all_gone (job) || cancelled_by_dependency (job));
+         && (job_complete (job) || job_stopped (job) || cancelled_by_dependency (job));
 }
 
 static FtWriteKind
@@ -171,7 +171,7 @@
 {
   if (job_complete (job))
     return FT_WRITE_JOB_DONE;
-  return cancelled_by_dependency (job) ? FT_WRITE_JOB_CANCELLED : FT_WRITE_JOB_GONE;
+  return cancelled_by_dependency (job) ? FT_WRITE_JOB_CANCELLED : FT_WRITE_JOB_STOPPED;
 }
 
 static void
@@ -244,7 +244,7 @@
     FtAttempt *a = task->attempt;
     if (a != NULL) {
       a->forget_ok = TRUE;
-      ft_attempt_over (s, a);
+      ft_attempt_end (s, a);
     }
   }
 }
@@ -268,11 +268,11 @@
 {
   gboolean done = kind == FT_WRITE_JOB_DONE;
   g_message ("job %s: %s committed", job->spec->ref,
-             done                        ? "done"
-             : kind == FT_WRITE_JOB_GONE ? "end of withdrawal"
-                                         : "cancelled with a job that it needs");
+             done                           ? "done"
+             : kind == FT_WRITE_JOB_STOPPED ? "end of withdrawal"
+                                            : "cancelled with a job that it needs");
   leave_chunks (s, job);
-  ft_job_close (s, job, done ? FT_JOB_END_DONE : FT_JOB_END_CANCELLED);
+  ft_job_end (s, job, done ? FT_JOB_END_DONE : FT_JOB_END_CANCELLED);
 }
 
 static void
@@ -292,7 +292,7 @@
     chunk_written (s, write);
     break;
   case FT_WRITE_JOB_DONE:
-  case FT_WRITE_JOB_GONE:
+  case FT_WRITE_JOB_STOPPED:
   case FT_WRITE_JOB_CANCELLED:
     if (job != NULL)
       end_written (s, job, write->kind);
@@ -303,7 +303,7 @@
 }
 
 void
-ft_scheduler_written (FtScheduler *s, GPtrArray *writes, gint64 now)
+ft_scheduler_writes_committed (FtScheduler *s, GPtrArray *writes, gint64 now)
 {
   s->now = now;
   for (guint i = 0; i < writes->len; i++)
@@ -342,7 +342,7 @@
     break;
   }
   case FT_WRITE_JOB_DONE:
-  case FT_WRITE_JOB_GONE:
+  case FT_WRITE_JOB_STOPPED:
   case FT_WRITE_JOB_CANCELLED:
     if (job == NULL)
       break;
@@ -353,14 +353,14 @@
 }
 
 void
-ft_scheduler_unwritten (FtScheduler *s, GPtrArray *writes, const char *conflicted, gint64 now)
+ft_scheduler_writes_failed (FtScheduler *s, GPtrArray *writes, const char *conflicted, gint64 now)
 {
   s->now = now;
   for (guint i = 0; i < writes->len; i++)
     write_undone (s, g_ptr_array_index (writes, i));
   FtJob *job = conflicted != NULL ? g_hash_table_lookup (s->jobs, conflicted) : NULL;
   if (job != NULL)
-    job->conflicted = TRUE; /* until ft_scheduler_job_resolved() */
+    job->conflicted = TRUE; /* until ft_scheduler_job_conflict_resolved() */
 }
 
 /* What its row says is known again; NULL: the job is not. */
@@ -377,7 +377,7 @@
 }
 
 void
-ft_scheduler_job_stands (FtScheduler *s, const char *ref, guint64 revision, gint64 now)
+ft_scheduler_job_still_open (FtScheduler *s, const char *ref, guint64 revision, gint64 now)
 {
   FtJob *job = conflict_over (s, ref, now);
   if (job == NULL)
@@ -387,7 +387,7 @@
 }
 
 void
-ft_scheduler_job_resolved (FtScheduler *s, const char *ref, gboolean done, gint64 now)
+ft_scheduler_job_conflict_resolved (FtScheduler *s, const char *ref, gboolean done, gint64 now)
 {
   FtJob *job = conflict_over (s, ref, now);
   if (job == NULL)
@@ -397,5 +397,5 @@
     return;
   }
   leave_chunks (s, job);
-  ft_job_close (s, job, FT_JOB_END_DONE);
+  ft_job_end (s, job, FT_JOB_END_DONE);
 }
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -46,7 +46,7 @@
   machine->zone_view = ft_zone_get (s->zones, zone);
   machine->spot = spot;
   machine->type = ft_catalog_find (s->catalog, type);
-  machine->rented_at = machine->idle_since = s->now;
+  machine->launched_at = machine->idle_since = s->now;
   machine->drained = g_hash_table_contains (s->drained, name);
   machine->attempts = g_hash_table_new_full (attempt_hash, attempt_equal, NULL, (GDestroyNotify) attempt_free);
   machine->images = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
@@ -112,14 +112,15 @@
   if (from == to)
     return TRUE;
   /* What is being returned comes back to no other state; gone is the end. */
-  if (from == FT_MACHINE_GONE || (from == FT_MACHINE_RETURNING && to != FT_MACHINE_GONE) || to == FT_MACHINE_BOOTING) {
+  if (from == FT_MACHINE_GONE || (from == FT_MACHINE_TERMINATING && to != FT_MACHINE_GONE)
+      || to == FT_MACHINE_BOOTING) {
     g_warning ("machine %s: refused move %s -> %s", machine->name, names[from], names[to]);
     return FALSE;
   }
   g_message ("machine %s: %s -> %s", machine->name, names[from], names[to]);
   machine->state = to;
-  if (to == FT_MACHINE_RETURNING)
-    g_queue_push_tail (&machine->scheduler->returning, machine);
+  if (to == FT_MACHINE_TERMINATING)
+    g_queue_push_tail (&machine->scheduler->terminating, machine);
   return TRUE;
 }
 
@@ -128,13 +129,13 @@
 {
   return machine->state == FT_MACHINE_UP && machine->registered && machine->reconciled && machine->acknowledged_token
          && !ft_machine_not_receiving (machine) && !ft_machine_not_reporting (s, machine) && machine->type != NULL
-         && !machine->drained && !machine->faulty && machine->notice_until == 0
-         && machine->session > machine->lapsed_session
-         && s->now - machine->last_report
-                < (gint64) ((s->settings->report_s * FT_REPORT_GAP + FT_USABLE_MARGIN_S) * FT_SECOND);
+         && !machine->drained && !machine->quarantined && machine->notice_until == 0
+         && machine->incarnation > machine->expired_incarnation
+         && s->now - machine->last_status_at
+                < (gint64) ((s->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_USABLE_MARGIN_S) * FT_SECOND);
 }
 
-/* Its reports come, but neither answers nor commands seem to reach it. */
+/* Its heartbeats come, but neither answers nor commands seem to reach it. */
 gboolean
 ft_machine_not_receiving (const FtMachine *machine)
 {
@@ -150,28 +151,29 @@
 gint64
 ft_machine_silence_us (const FtScheduler *s)
 {
-  return (gint64) ((s->settings->report_s * FT_REPORT_GAP + FT_WORKER_TIMEOUT_S + FT_SILENCE_MARGIN_S) * FT_SECOND);
+  return (gint64) ((s->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S + FT_SILENCE_MARGIN_S)
+                   * FT_SECOND);
 }
 
 gint64
 ft_machine_overdue_us (const FtScheduler *s)
 {
-  return (gint64) ((s->settings->report_s * FT_REPORT_GAP + FT_OVERDUE_MARGIN_S) * FT_SECOND);
+  return (gint64) ((s->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_OVERDUE_MARGIN_S) * FT_SECOND);
 }
 
 gint64
-ft_machine_unreported_since (const FtScheduler *s, const FtMachine *machine)
+ft_machine_no_heartbeat_since (const FtScheduler *s, const FtMachine *machine)
 {
-  return MAX (machine->last_checkin, MAX (s->on_time_since, s->answering_since));
+  return MAX (machine->last_heartbeat_at, MAX (s->on_time_since, s->answering_since));
 }
 
-/* Commands reach it, but its reports reach nobody: whatever is started there dies with
- * its lease. Counted from its own reports alone, while we were there to answer them. */
+/* Commands reach it, but its heartbeats reach nobody: whatever is started there dies with
+ * its lease. Counted from its own heartbeats alone, while we were there to answer them. */
 gboolean
 ft_machine_not_reporting (const FtScheduler *s, const FtMachine *machine)
 {
   return machine->state == FT_MACHINE_UP
-         && s->now - ft_machine_unreported_since (s, machine) > ft_machine_silence_us (s);
+         && s->now - ft_machine_no_heartbeat_since (s, machine) > ft_machine_silence_us (s);
 }
 
 gboolean
@@ -229,7 +231,7 @@
   a->job_ref = g_strdup (ref);
   a->index = index;
   a->machine = machine;
-  a->session = machine->session;
+  a->incarnation = machine->incarnation;
   if (job != NULL) {
     a->team = job->team;
     a->cpus = job->spec->cpus;
@@ -292,7 +294,7 @@
   task->attempt = NULL;
   if (task->state == FT_TASK_FINISHED || task->state == FT_TASK_DONE)
     return;
-  ft_task_set_state (job, attempt->index, job->state < FT_JOB_CANCELLING ? FT_TASK_QUEUED : FT_TASK_DROPPED);
+  ft_task_set_state (job, attempt->index, job->state < FT_JOB_CANCELLING ? FT_TASK_QUEUED : FT_TASK_CANCELLED);
 }
 
 void
@@ -307,7 +309,7 @@
 }
 
 void
-ft_attempt_over (FtScheduler *s, FtAttempt *attempt)
+ft_attempt_end (FtScheduler *s, FtAttempt *attempt)
 {
   FtMachine *machine = attempt->machine;
   ft_attempt_release (attempt);
@@ -319,26 +321,26 @@
     g_hash_table_remove (machine->attempts, attempt);
 }
 
-/* Everything that ran in the sessions so far is over. */
+/* Everything that ran in the incarnations so far is over. */
 void
-ft_machine_end_session (FtScheduler *s, FtMachine *machine)
+ft_machine_end_incarnation (FtScheduler *s, FtMachine *machine)
 {
   g_autoptr (GList) all = g_hash_table_get_values (machine->attempts);
   for (GList *l = all; l != NULL; l = l->next) {
     FtAttempt *a = l->data;
     a->listed = FALSE;
-    ft_attempt_over (s, a);
+    ft_attempt_end (s, a);
   }
-  machine->lapsed_session = MAX (machine->lapsed_session, machine->session);
+  machine->expired_incarnation = MAX (machine->expired_incarnation, machine->incarnation);
 }
 
 void
 ft_machine_gone (FtScheduler *s, FtMachine *machine, const char *why)
 {
   g_message ("machine %s: gone (%s)", machine->name, why);
-  ft_machine_end_session (s, machine);
+  ft_machine_end_incarnation (s, machine);
   ft_machine_set_reconciled (machine);
-  g_queue_remove (&s->returning, machine);
+  g_queue_remove (&s->terminating, machine);
   ft_machine_set_state (machine, FT_MACHINE_GONE);
   g_hash_table_add (s->gone, g_strdup (machine->name));
   ft_registry_remove (s, machine);
--- a/src/core/open_jobs.c
+++ b/src/core/open_jobs.c
@@ -41,7 +41,7 @@
     *end = FT_JOB_END_CANCELLED;
     return job->state == FT_JOB_CANCELLING && job->cancellation_read;
   }
-  if (!ft_recent_map_find (s->closed, ref, &value))
+  if (!ft_recent_map_find (s->ended_jobs, ref, &value))
     return FALSE;
   *end = (FtJobEnd) value;
   return TRUE;
@@ -82,7 +82,7 @@
   /* An open job's end comes by its own write, or with its cancellation. */
   if (g_hash_table_contains (s->jobs, ref))
     return;
-  ft_recent_map_add (s->closed, ref, end);
+  ft_recent_map_add (s->ended_jobs, ref, end);
   ft_dependency_graph_settle (s->dependencies, ref, end, age_us >= 0 ? now - age_us : 0);
 }
 
@@ -92,7 +92,7 @@
 ft_open_jobs_init (FtScheduler *s)
 {
   s->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_job_free);
-  s->closed = ft_recent_map_new (FT_JOB_CACHE_ENDED_MAX);
+  s->ended_jobs = ft_recent_map_new (FT_JOB_CACHE_ENDED_MAX);
   s->dependencies = ft_dependency_graph_new (on_dependency_changed, s);
 }
 
@@ -100,7 +100,7 @@
 ft_open_jobs_clear (FtScheduler *s)
 {
   g_hash_table_unref (s->jobs);
-  ft_recent_map_free (s->closed);
+  ft_recent_map_free (s->ended_jobs);
   ft_dependency_graph_free (s->dependencies);
 }
 
@@ -108,7 +108,7 @@
 add_job (FtScheduler *s, FtJobSpec *spec, guint64 revision, FtTaskState initial, gint64 wall_ms)
 {
   /* An event of the watch may be older than the job's end: a job ends once. */
-  if (g_hash_table_contains (s->jobs, spec->ref) || ft_recent_map_find (s->closed, spec->ref, NULL)) {
+  if (g_hash_table_contains (s->jobs, spec->ref) || ft_recent_map_find (s->ended_jobs, spec->ref, NULL)) {
     ft_job_spec_free (spec);
     return NULL;
   }
@@ -174,13 +174,13 @@
   for (guint i = 0; i < job->spec->tasks; i++) {
     FtAttempt *a = job->tasks[i].attempt;
     if (job->tasks[i].state == FT_TASK_QUEUED)
-      ft_task_set_state (job, i, FT_TASK_DROPPED);
+      ft_task_set_state (job, i, FT_TASK_CANCELLED);
     if (a == NULL || a->exited)
       continue;
     ft_attempt_want_stop (a, 0);
     /* A start that never left this process needs no stop. */
     if (!a->shown && a->sent_sequence == 0 && !a->direct_in_flight && !a->direct_unanswered)
-      ft_attempt_over (s, a);
+      ft_attempt_end (s, a);
   }
   s->placement_due = TRUE;
 }
@@ -208,11 +208,11 @@
 }
 
 void
-ft_job_close (FtScheduler *s, FtJob *job, FtJobEnd end)
+ft_job_end (FtScheduler *s, FtJob *job, FtJobEnd end)
 {
   g_autoptr (GList) all = g_hash_table_get_keys (job->attempts);
-  ft_job_set_state (job, FT_JOB_CLOSED);
-  ft_recent_map_add (s->closed, job->spec->ref, end);
+  ft_job_set_state (job, FT_JOB_ENDED);
+  ft_recent_map_add (s->ended_jobs, job->spec->ref, end);
   for (GList *l = all; l != NULL; l = l->next) {
     FtAttempt *attempt = l->data;
     attempt->job = NULL;
@@ -223,7 +223,7 @@
   }
   for (guint i = 0; i < job->spec->tasks && job->counts[FT_TASK_UNKNOWN] > 0; i++)
     if (job->tasks[i].state == FT_TASK_UNKNOWN)
-      ft_task_set_state (job, i, FT_TASK_DROPPED);
+      ft_task_set_state (job, i, FT_TASK_CANCELLED);
   s->open_tasks -= job->spec->tasks;
   s->placement_due = TRUE;
   ft_placement_forget (s, job);
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -267,7 +267,7 @@
   for (guint i = 0; i < job->spec->tasks; i++) {
     FtAttempt *a = job->tasks[i].attempt;
     if (a != NULL && a->placed_pass == s->pass)
-      ft_attempt_over (s, a);
+      ft_attempt_end (s, a);
   }
 }
 
--- a/src/core/recovery.c
+++ b/src/core/recovery.c
@@ -50,7 +50,7 @@
 static void
 requeue_unknown_tasks (FtJob *job)
 {
-  FtTaskState to = job->state < FT_JOB_CANCELLING ? FT_TASK_QUEUED : FT_TASK_DROPPED;
+  FtTaskState to = job->state < FT_JOB_CANCELLING ? FT_TASK_QUEUED : FT_TASK_CANCELLED;
   for (guint i = 0; i < job->spec->tasks && job->counts[FT_TASK_UNKNOWN] > 0; i++)
     if (job->tasks[i].state == FT_TASK_UNKNOWN)
       ft_task_set_state (job, i, to);
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -1,6 +1,6 @@
 #include "core/scheduler.h"
 
-#include "core/fleet.h"
+#include "core/autoscaler.h"
 #include "core/model.h"
 
 /* ---- life ---- */
@@ -27,14 +27,14 @@
   s->machines = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_machine_free);
   s->zones = ft_zones_new ();
   s->gone = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  s->pools = ft_fleet_pools_new ();
+  s->pools = ft_autoscaler_pools_new ();
   s->order = g_ptr_array_new ();
   s->waiting = g_ptr_array_new ();
   s->rows = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, (GDestroyNotify) ft_registry_row_free);
   g_queue_init (&s->pending_jobs);
   g_queue_init (&s->directs);
   g_queue_init (&s->probes);
-  g_queue_init (&s->returning);
+  g_queue_init (&s->terminating);
   g_queue_init (&s->pending_rows);
   g_queue_init (&s->drain_deletions);
   g_queue_init (&s->chunk_deletions);
@@ -59,7 +59,7 @@
   g_queue_clear (&s->pending_jobs);
   g_queue_clear (&s->directs);
   g_queue_clear (&s->probes);
-  g_queue_clear (&s->returning);
+  g_queue_clear (&s->terminating);
   g_queue_clear (&s->pending_rows);
   g_queue_clear_full (&s->drain_deletions, g_free);
   g_queue_clear_full (&s->chunk_deletions, (GDestroyNotify) ft_write_free);
@@ -127,7 +127,7 @@
   ft_registry_loaded (s, row, machine);
   /* A former leader that lost the store may have answered it until then. */
   machine->last_answer = s->took_over_at + s->answer_grace_us;
-  machine->last_report = s->now;
+  machine->last_status_at = s->now;
   g_hash_table_insert (s->machines, machine->name, machine);
 }
 
@@ -142,7 +142,7 @@
   g_hash_table_iter_init (&it, s->machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
-    machine->last_report = machine->last_checkin = now; /* silence counts from here */
+    machine->last_status_at = machine->last_heartbeat_at = now; /* silence counts from here */
     machine->probe_at = now + ft_seconds (FT_PROBE_FIRST_S);
     machine->last_answer = MAX (machine->last_answer, now); /* it may have been answered while we read */
     if (machine->state == FT_MACHINE_BOOTING && machine->registered)
@@ -166,17 +166,17 @@
   if (machine->state == FT_MACHINE_GONE)
     return;
   /* A worker that runs has dropped its tasks by now, but one that hangs has
-   * not: what was on the machine is over only when a report of a later session
-   * comes or the machine is gone. The expired session is not used again. */
-  if (machine->session > machine->lapsed_session && machine->last_answer > 0
+   * not: what was on the machine is over only when a heartbeat of a later incarnation
+   * comes or the machine is gone. The expired incarnation is not used again. */
+  if (machine->incarnation > machine->expired_incarnation && machine->last_answer > 0
       && s->now > machine->last_answer + ft_machine_lease_us (s)) {
-    g_message ("machine %s: worker lease over, session %" G_GUINT64_FORMAT, machine->name, machine->session);
-    machine->lapsed_session = machine->session;
+    g_message ("machine %s: worker lease over, session %" G_GUINT64_FORMAT, machine->name, machine->incarnation);
+    machine->expired_incarnation = machine->incarnation;
   }
-  /* Probes alone tell nothing while a report is not due: right after a takeover
+  /* Probes alone tell nothing while a heartbeat is not due: right after a takeover
    * this controller is busy, and gives back no healthy fleet for its own lateness. */
   gboolean silent = s->now - ft_machine_silent_since (s, machine) > ft_machine_silence_us (s)
-                    || (ft_machine_report_overdue (s, machine)
+                    || (ft_machine_heartbeat_overdue (s, machine)
                         && (machine->zone_view->unreachable
                             || machine->probe_fails >= (machine->reconciled ? FT_PROBES : FT_PROBES_TAKEOVER)));
   if (machine->state == FT_MACHINE_UP && silent)
@@ -217,13 +217,13 @@
       ft_machine_queue_direct (machine);
     if (ft_machine_wants_probe (s, machine))
       ft_machine_queue_probe (machine);
-    if (machine->state == FT_MACHINE_GONE && !machine->command_in_flight && !machine->return_in_flight)
+    if (machine->state == FT_MACHINE_GONE && !machine->command_in_flight && !machine->terminate_in_flight)
       g_hash_table_iter_remove (&it);
   }
   ft_recovery_tick (s);
   ft_placement_pass (s); /* pauses end with time alone */
   if (s->loaded)
-    ft_fleet_tick (s);
+    ft_autoscaler_tick (s);
 }
 
 void
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -47,18 +47,18 @@
 FtJobProgress ft_scheduler_view (const FtScheduler *s, const char *ref);
 
 /* ---- workers ---- */
-/* A report to us. The answer carries ft_scheduler_answer()'s commands. Returns
- * FALSE if the report shows a higher token: the caller must step down. */
-gboolean ft_scheduler_report (FtScheduler *s, const FtReport *report, gint64 now);
+/* A heartbeat to us. The answer carries ft_scheduler_answer()'s commands. Returns
+ * FALSE if the heartbeat shows a higher token: the caller must step down. */
+gboolean ft_scheduler_heartbeat (FtScheduler *s, const FtWorkerHeartbeat *heartbeat, gint64 now);
 /* Whether the lease is valid now; kept until the next such call, place or tick. */
 void ft_scheduler_allow (FtScheduler *s, gboolean may_start);
 /* The commands for the answer to this report. `starts`: the lease allows it. */
-GArray *ft_scheduler_answer (FtScheduler *s, const FtReport *report, gint64 now);
+GArray *ft_scheduler_answer (FtScheduler *s, const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* A direct request to one machine. Probes have no commands. */
 typedef struct {
   char *machine, *addr;
-  guint64 session;
+  guint64 incarnation;
   GArray *commands; /* FtCommand */
 } FtDirect;
 void ft_direct_free (FtDirect *direct);
@@ -68,23 +68,23 @@
 typedef enum { FT_DIRECT_OK, FT_DIRECT_CONFLICT, FT_DIRECT_UNANSWERED } FtDirectResult;
 /* `report` may be NULL. Returns FALSE if a higher token was seen. */
 gboolean ft_scheduler_direct_done (FtScheduler *s, const FtDirect *direct, FtDirectResult result,
-                                   const FtReport *report, gint64 now);
+                                   const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* ---- cloud ---- */
 void ft_scheduler_listed (FtScheduler *s, GArray *list, gint64 now);
-typedef enum { FT_CLOUD_RENT, FT_CLOUD_RETURN } FtCloudOp;
+typedef enum { FT_CLOUD_SCALE_OUT, FT_CLOUD_SCALE_IN } FtCloudOp;
 typedef struct {
   FtCloudOp op;
   char *booking, *type, *zone;
   gboolean spot;
   guint count;
-  GPtrArray *names; /* to return, or rented */
+  GPtrArray *names; /* to return, or launched */
 } FtCloudCall;
 void ft_cloud_call_free (FtCloudCall *call);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtCloudCall, ft_cloud_call_free)
 FtCloudCall *ft_scheduler_next_cloud (FtScheduler *s, gint64 now);
 typedef enum { FT_CLOUD_OK, FT_CLOUD_REFUSED, FT_CLOUD_FAILED } FtCloudResult;
-/* For a rental that went through, `call->names` are the machines. A call that
+/* For a launch that went through, `call->names` are the machines. A call that
  * failed is to be repeated by the caller of ft_scheduler_next_cloud(). */
 void ft_scheduler_cloud_done (FtScheduler *s, const FtCloudCall *call, FtCloudResult result, gint64 now);
 
@@ -97,7 +97,7 @@
   FT_WRITE_CHUNK,               /* a chunk of a job's done-set */
   FT_WRITE_CHUNK_DELETE,
   FT_WRITE_JOB_DONE,      /* conditional on the job's revision */
-  FT_WRITE_JOB_GONE,      /* all tasks of a cancelled job are gone */
+  FT_WRITE_JOB_STOPPED,   /* all tasks of a cancelled job are gone */
   FT_WRITE_JOB_CANCELLED, /* a job that it needs is cancelled; conditional on its revision */
 } FtWriteKind;
 typedef struct {
@@ -116,16 +116,16 @@
  * service takes more changes than are urgent, so that what can wait may go as well.
  * Each batch ends with one of the two calls below before the next is asked for. */
 GPtrArray *ft_scheduler_next_writes (FtScheduler *s, guint ops, gboolean spare, gint64 now);
-void ft_scheduler_written (FtScheduler *s, GPtrArray *writes, gint64 now);
+void ft_scheduler_writes_committed (FtScheduler *s, GPtrArray *writes, gint64 now);
 /* `conflicted` names the job whose row has changed, or is NULL: try again. */
-void ft_scheduler_unwritten (FtScheduler *s, GPtrArray *writes, const char *conflicted, gint64 now);
+void ft_scheduler_writes_failed (FtScheduler *s, GPtrArray *writes, const char *conflicted, gint64 now);
 /* The state service has refused a batch as invalid: its values may be above a limit that has
  * changed. Rows of the registry are written at half the size from now on. */
 void ft_scheduler_lower_value_limit (FtScheduler *s);
 /* What the row of a conflicted job says: final done, or cancelled. */
 /* It says open, at this revision: neither done nor cancelled. */
-void ft_scheduler_job_stands (FtScheduler *s, const char *ref, guint64 revision, gint64 now);
-void ft_scheduler_job_resolved (FtScheduler *s, const char *ref, gboolean done, gint64 now);
+void ft_scheduler_job_still_open (FtScheduler *s, const char *ref, guint64 revision, gint64 now);
+void ft_scheduler_job_conflict_resolved (FtScheduler *s, const char *ref, gboolean done, gint64 now);
 
 /* ---- time ---- */
 /* `may_start`: the lease is valid now. Placement, timeouts, fleet. */
@@ -137,13 +137,13 @@
 void ft_scheduler_cancellation_advised (FtScheduler *s, const char *ref, gint64 now);
 /* All cancellations committed before `at` have been passed on. */
 void ft_scheduler_cancellations_known (FtScheduler *s, gint64 at);
-/* This controller answers no reports now: that none come proves nothing. */
+/* This controller answers no heartbeats now: that none come proves nothing. */
 void ft_scheduler_unanswering (FtScheduler *s, gint64 now);
-/* This controller is behind with its reports: silence up to now proves nothing. */
+/* This controller is behind with its heartbeats: silence up to now proves nothing. */
 void ft_scheduler_late (FtScheduler *s, gint64 now);
 /* When a worker last showed our token; 0: none has yet. */
 gint64 ft_scheduler_last_heard (const FtScheduler *s);
-/* Machines, jobs and attempts looked at so far, in whatever is done for reports. */
+/* Machines, jobs and attempts looked at so far, in whatever is done for heartbeats. */
 guint ft_scheduler_looked_at (const FtScheduler *s);
 guint ft_scheduler_open_tasks (const FtScheduler *s);
 /* Machines that should be reporting. */
@@ -164,7 +164,8 @@
 /* Jobs that are known to be open, and of them those that wait for others. */
 void ft_scheduler_count_jobs (const FtScheduler *s, guint *open, guint *waiting);
 typedef void (*FtMachineVisitor) (const char *name, const char *state, const char *type, const char *zone,
-                                  gboolean spot, guint64 session, guint tasks, const char *unused_why, gpointer data);
+                                  gboolean spot, guint64 incarnation, guint tasks, const char *unused_why,
+                                  gpointer data);
 void ft_scheduler_each_machine (FtScheduler *s, FtMachineVisitor visit, gpointer data);
 typedef void (*FtTeamVisitor) (const FtTeamLimit *limit, double cpus, double gpus, gpointer data);
 void ft_scheduler_each_team (FtScheduler *s, FtTeamVisitor visit, gpointer data);
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -4,9 +4,9 @@
     = { "unknown", "queued", "starting", "fetching", "running", "saving", "finished", "done", "dropped" };
 
 #define BIT(state) (1u << (state))
-#define LIVE (BIT (FT_TASK_STARTING) | BIT (FT_TASK_FETCHING) | BIT (FT_TASK_RUNNING) | BIT (FT_TASK_SAVING))
+#define LIVE (BIT (FT_TASK_STARTING) | BIT (FT_TASK_FETCHING) | BIT (FT_TASK_RUNNING) | BIT (FT_TASK_CHECKPOINTING))
 
-/* States from which each state may be reached. A report may be the first to
+/* States from which each state may be reached. A heartbeat may be the first to
  * tell of several steps at once, so steps on a machine can be skipped. */
 static const guint allowed_from[] = {
   [FT_TASK_UNKNOWN] = 0,
@@ -14,11 +14,11 @@
   [FT_TASK_STARTING] = BIT (FT_TASK_QUEUED) | BIT (FT_TASK_FETCHING),
   [FT_TASK_FETCHING] = BIT (FT_TASK_UNKNOWN) | BIT (FT_TASK_QUEUED) | BIT (FT_TASK_STARTING),
   [FT_TASK_RUNNING] = BIT (FT_TASK_UNKNOWN) | BIT (FT_TASK_QUEUED) | BIT (FT_TASK_STARTING) | BIT (FT_TASK_FETCHING),
-  [FT_TASK_SAVING] = BIT (FT_TASK_UNKNOWN) | BIT (FT_TASK_QUEUED) | BIT (FT_TASK_STARTING) | BIT (FT_TASK_FETCHING)
-                     | BIT (FT_TASK_RUNNING),
+  [FT_TASK_CHECKPOINTING] = BIT (FT_TASK_UNKNOWN) | BIT (FT_TASK_QUEUED) | BIT (FT_TASK_STARTING)
+                            | BIT (FT_TASK_FETCHING) | BIT (FT_TASK_RUNNING),
   [FT_TASK_FINISHED] = BIT (FT_TASK_UNKNOWN) | BIT (FT_TASK_QUEUED) | LIVE,
   [FT_TASK_DONE] = BIT (FT_TASK_UNKNOWN) | BIT (FT_TASK_FINISHED),
-  [FT_TASK_DROPPED] = BIT (FT_TASK_UNKNOWN) | BIT (FT_TASK_QUEUED) | LIVE | BIT (FT_TASK_FINISHED),
+  [FT_TASK_CANCELLED] = BIT (FT_TASK_UNKNOWN) | BIT (FT_TASK_QUEUED) | LIVE | BIT (FT_TASK_FINISHED),
 };
 
 static void
@@ -48,7 +48,7 @@
   job->counts[from]--;
   job->counts[to]++;
   task->state = to;
-  if (to != FT_TASK_QUEUED && to != FT_TASK_DROPPED)
+  if (to != FT_TASK_QUEUED && to != FT_TASK_CANCELLED)
     job->begun = TRUE;
   if (to >= FT_TASK_FINISHED)
     ft_job_queue_write (job);
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -66,32 +66,32 @@
 }
 
 static void
-reported_task_clear (FtReportedTask *task)
+task_status_clear (FtTaskStatus *task)
 {
   g_free (task->job);
 }
 
-FtReport *
-ft_report_new (void)
+FtWorkerHeartbeat *
+ft_worker_heartbeat_new (void)
 {
-  FtReport *report = g_new0 (FtReport, 1);
-  report->notice_s = -1;
-  report->tasks = g_array_new (FALSE, TRUE, sizeof (FtReportedTask));
-  g_array_set_clear_func (report->tasks, (GDestroyNotify) reported_task_clear);
-  return report;
+  FtWorkerHeartbeat *heartbeat = g_new0 (FtWorkerHeartbeat, 1);
+  heartbeat->notice_s = -1;
+  heartbeat->tasks = g_array_new (FALSE, TRUE, sizeof (FtTaskStatus));
+  g_array_set_clear_func (heartbeat->tasks, (GDestroyNotify) task_status_clear);
+  return heartbeat;
 }
 
 void
-ft_report_free (FtReport *report)
+ft_worker_heartbeat_free (FtWorkerHeartbeat *heartbeat)
 {
-  if (report == NULL)
+  if (heartbeat == NULL)
     return;
-  g_free (report->machine);
-  g_free (report->addr);
-  g_free (report->type);
-  g_free (report->zone);
-  g_array_unref (report->tasks);
-  g_free (report);
+  g_free (heartbeat->machine);
+  g_free (heartbeat->addr);
+  g_free (heartbeat->type);
+  g_free (heartbeat->zone);
+  g_array_unref (heartbeat->tasks);
+  g_free (heartbeat);
 }
 
 static void
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,5 +1,5 @@
 /* Types shared by the modules of the core and by the layers round it.
- * Standard terms only: machine, token, session, sequence, team, attempt. */
+ * Standard terms only: machine, token, incarnation, sequence, team, attempt. */
 #pragma once
 #include <glib.h>
 
@@ -26,8 +26,8 @@
   char *member;
   FtTeamLimit *teams;
   guint n_teams;
-  double report_s, lease_s, cancel_s; /* workers */
-  double list_lag_s, cloud_rps;       /* cloud */
+  double heartbeat_s, lease_s, cancel_s; /* workers */
+  double list_lag_s, cloud_rps;          /* cloud */
   /* Limits of the state service: the lower of those in force and of those announced for later. */
   double store_rps, store_write_rps;
   double value_kb; /* largest value of a row */
@@ -85,45 +85,45 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtCatalog, ft_catalog_unref)
 
 typedef enum {
-  FT_REPORTED_FETCHING,
-  FT_REPORTED_WAITING, /* has its image, waits for the rest of its gang */
-  FT_REPORTED_RUNNING,
-  FT_REPORTED_SAVING,
-  FT_REPORTED_EXITED,
-} FtReportedState;
+  FT_TASK_PHASE_FETCHING,
+  FT_TASK_PHASE_WAITING, /* has its image, waits for the rest of its gang */
+  FT_TASK_PHASE_RUNNING,
+  FT_TASK_PHASE_CHECKPOINTING,
+  FT_TASK_PHASE_EXITED,
+} FtTaskPhase;
 
 typedef enum {
-  FT_WHY_NONE,
-  FT_WHY_DONE,
-  FT_WHY_STOPPED,
-  FT_WHY_ERROR,
-  FT_WHY_NO_ROOM,
-  FT_WHY_BUSY,
-  FT_WHY_UNKNOWN,
-  FT_WHY_PEERS, /* another task of its gang ended */
-  FT_WHY_ALONE, /* its gang did not come together in time */
-} FtWhy;
+  FT_EXIT_NONE,
+  FT_EXIT_DONE,
+  FT_EXIT_STOPPED,
+  FT_EXIT_ERROR,
+  FT_EXIT_NO_ROOM,
+  FT_EXIT_BUSY,
+  FT_EXIT_UNKNOWN,
+  FT_EXIT_PEERS, /* another task of its gang ended */
+  FT_EXIT_ALONE, /* its gang did not come together in time */
+} FtExitReason;
 
 typedef struct {
   char *job; /* job's ref */
   guint index;
   guint64 attempt;
-  FtReportedState state;
-  FtWhy why;
+  FtTaskPhase state;
+  FtExitReason exit_reason;
   gboolean saved;
-} FtReportedTask;
+} FtTaskStatus;
 
 typedef struct {
   char *machine, *addr, *type, *zone;
   gboolean spot;
-  guint64 session, sequence, token;
+  guint64 incarnation, sequence, token;
   double notice_s; /* negative: none */
-  GArray *tasks;   /* FtReportedTask */
-} FtReport;
+  GArray *tasks;   /* FtTaskStatus */
+} FtWorkerHeartbeat;
 
-FtReport *ft_report_new (void);
-void ft_report_free (FtReport *report);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtReport, ft_report_free)
+FtWorkerHeartbeat *ft_worker_heartbeat_new (void);
+void ft_worker_heartbeat_free (FtWorkerHeartbeat *heartbeat);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtWorkerHeartbeat, ft_worker_heartbeat_free)
 
 typedef enum { FT_COMMAND_START, FT_COMMAND_STOP, FT_COMMAND_FORGET } FtCommandOp;
 
--- a/src/core/worker_reports.c
+++ b/src/core/worker_heartbeats.c
@@ -3,7 +3,7 @@
 #include "core/model.h"
 
 static void
-task_failed (FtScheduler *s, FtAttempt *a, FtWhy why)
+task_failed (FtScheduler *s, FtAttempt *a, FtExitReason why)
 {
   FtJob *job = a->job;
   FtTask *task = &job->tasks[a->index];
@@ -11,12 +11,12 @@
   task->avoid = a->machine;
   double pause = MIN (FT_RETRY_FIRST_S * (1u << (task->fails - 1)), FT_RETRY_LONGEST_S);
   task->not_before = s->now + (gint64) (pause * FT_SECOND);
-  if (why == FT_WHY_ERROR)
+  if (why == FT_EXIT_ERROR)
     ft_fault_task_failed (s, a);
 }
 
 static void
-attempt_exited (FtScheduler *s, FtAttempt *a, FtWhy why)
+attempt_exited (FtScheduler *s, FtAttempt *a, FtExitReason why)
 {
   FtMachine *machine = a->machine;
   a->exited = TRUE;
@@ -24,41 +24,41 @@
   a->exited_at = s->now;
   ft_attempt_release (a);
   s->placement_due = TRUE;
-  if (a->bound && why == FT_WHY_DONE) {
+  if (a->bound && why == FT_EXIT_DONE) {
     ft_fault_task_completed (machine);
     ft_task_set_state (a->job, a->index, FT_TASK_FINISHED);
     if (a->job->state == FT_JOB_CANCELLING)
-      ft_task_set_state (a->job, a->index, FT_TASK_DROPPED);
+      ft_task_set_state (a->job, a->index, FT_TASK_CANCELLED);
     if (a->job->state != FT_JOB_OPEN) {
       a->forget_ok = TRUE;
-      ft_attempt_over (s, a);
+      ft_attempt_end (s, a);
     }
     return;
   }
   if (a->bound) {
     /* Its room is somebody else's for the moment: it does not take it back at once. */
-    if (why == FT_WHY_STOPPED && a->stop_wanted && machine->notice_until == 0)
+    if (why == FT_EXIT_STOPPED && a->stop_wanted && machine->notice_until == 0)
       a->job->tasks[a->index].not_before = s->now + (gint64) (FT_PREEMPTED_PAUSE_S * FT_SECOND);
-    gboolean blameless = why == FT_WHY_STOPPED || why == FT_WHY_PEERS || why == FT_WHY_ALONE;
+    gboolean blameless = why == FT_EXIT_STOPPED || why == FT_EXIT_PEERS || why == FT_EXIT_ALONE;
     if (!blameless && a->job->state == FT_JOB_OPEN)
       task_failed (s, a, why);
     g_message ("task %s/%u: attempt ended on %s (why %d)", a->job_ref, a->index, machine->name, why);
   }
   a->forget_ok = TRUE;
-  ft_attempt_over (s, a);
+  ft_attempt_end (s, a);
 }
 
 static void
-attempt_progress (FtScheduler *s, FtAttempt *a, FtReportedState state)
+attempt_progress (FtScheduler *s, FtAttempt *a, FtTaskPhase state)
 {
-  static const FtTaskState states[] = { FT_TASK_FETCHING, FT_TASK_FETCHING, FT_TASK_RUNNING, FT_TASK_SAVING };
+  static const FtTaskState states[] = { FT_TASK_FETCHING, FT_TASK_FETCHING, FT_TASK_RUNNING, FT_TASK_CHECKPOINTING };
   a->shown = TRUE;
-  if (state != FT_REPORTED_FETCHING && !a->has_image) {
+  if (state != FT_TASK_PHASE_FETCHING && !a->has_image) {
     a->has_image = TRUE;
     if (a->job != NULL)
       g_hash_table_add (a->machine->images, g_strdup (a->job->spec->image));
   }
-  if (state != FT_REPORTED_FETCHING && state != FT_REPORTED_WAITING && !a->running) {
+  if (state != FT_TASK_PHASE_FETCHING && state != FT_TASK_PHASE_WAITING && !a->running) {
     a->running = TRUE;
     a->running_at = s->now;
   }
@@ -66,9 +66,9 @@
     ft_task_set_state (a->job, a->index, states[state]);
 }
 
-/* An attempt in a report that this leadership did not start. */
+/* An attempt in a heartbeat that this leadership did not start. */
 static void
-adopt (FtScheduler *s, FtMachine *machine, const FtReportedTask *t)
+adopt (FtScheduler *s, FtMachine *machine, const FtTaskStatus *t)
 {
   FtJob *job = g_hash_table_lookup (s->jobs, t->job);
   if (job != NULL && t->index >= job->spec->tasks)
@@ -80,12 +80,12 @@
   gboolean open = job != NULL && job->state == FT_JOB_OPEN;
   gboolean free_task
       = open && task->attempt == NULL && (task->state == FT_TASK_UNKNOWN || task->state == FT_TASK_QUEUED);
-  if (t->state == FT_REPORTED_EXITED) {
+  if (t->state == FT_TASK_PHASE_EXITED) {
     a->exited = TRUE;
     a->exited_at = s->now;
     a->by_direct = TRUE; /* for all we know */
-    a->forget_ok = !(free_task && t->why == FT_WHY_DONE);
-    if (free_task && t->why == FT_WHY_DONE)
+    a->forget_ok = !(free_task && t->exit_reason == FT_EXIT_DONE);
+    if (free_task && t->exit_reason == FT_EXIT_DONE)
       ft_attempt_bind (a, FT_TASK_FINISHED);
     s->placement_due = TRUE;
     return;
@@ -107,7 +107,7 @@
 }
 
 static void
-apply_task (FtScheduler *s, FtMachine *machine, const FtReportedTask *t)
+apply_task (FtScheduler *s, FtMachine *machine, const FtTaskStatus *t)
 {
   FtAttempt *a = ft_machine_attempt (machine, t->job, t->index, t->attempt);
   if (a == NULL) {
@@ -117,17 +117,17 @@
   a->listed = TRUE;
   if (a->exited)
     return;
-  if (t->state != FT_REPORTED_EXITED) {
+  if (t->state != FT_TASK_PHASE_EXITED) {
     attempt_progress (s, a, t->state);
     return;
   }
   a->shown = TRUE;
-  attempt_exited (s, a, t->why);
+  attempt_exited (s, a, t->exit_reason);
 }
 
-/* An attempt that a newer report of its session does not show. */
+/* An attempt that a newer heartbeat of its incarnation does not show. */
 static void
-apply_absence (FtScheduler *s, FtAttempt *a, const FtReport *report, gboolean is_report)
+apply_absence (FtScheduler *s, FtAttempt *a, const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat)
 {
   if (a->exited) {
     if (a->bound)
@@ -139,35 +139,35 @@
     /* The protocol has no way to this; the start is repeated, on this machine. */
     g_warning ("task %s/%u: vanished from %s", a->job_ref, a->index, a->machine->name);
     if (a->stop_wanted)
-      ft_attempt_over (s, a);
+      ft_attempt_end (s, a);
     else
       a->shown = FALSE;
     return;
   }
-  /* Commands in the answer to a report are executed before the next report or
+  /* Commands in the answer to a heartbeat are executed before the next heartbeat or
    * never, but a direct start may still be on its way: then only the end of
-   * the session proves that it did not happen. */
-  gboolean certain = is_report && a->sent_sequence < report->sequence;
+   * the incarnation proves that it did not happen. */
+  gboolean certain = is_heartbeat && a->sent_sequence < heartbeat->sequence;
   if (!a->stop_wanted || !certain || a->direct_in_flight)
     return;
   if (!a->direct_unanswered)
-    ft_attempt_over (s, a);
+    ft_attempt_end (s, a);
   else if (a->bound && a->job->state == FT_JOB_OPEN)
     a->stop_wanted = FALSE; /* started after all: waiting for the lost start could last for ever */
 }
 
 static void
-apply_tasks (FtScheduler *s, FtMachine *machine, const FtReport *report, gboolean is_report)
+apply_tasks (FtScheduler *s, FtMachine *machine, const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat)
 {
   g_autoptr (GList) before = g_hash_table_get_values (machine->attempts);
   for (GList *l = before; l != NULL; l = l->next)
     ((FtAttempt *) l->data)->listed = FALSE;
-  for (guint i = 0; i < report->tasks->len; i++)
-    apply_task (s, machine, &g_array_index (report->tasks, FtReportedTask, i));
+  for (guint i = 0; i < heartbeat->tasks->len; i++)
+    apply_task (s, machine, &g_array_index (heartbeat->tasks, FtTaskStatus, i));
   g_autoptr (GList) after = g_hash_table_get_values (machine->attempts);
   for (GList *l = after; l != NULL; l = l->next)
     if (!((FtAttempt *) l->data)->listed)
-      apply_absence (s, l->data, report, is_report);
+      apply_absence (s, l->data, heartbeat, is_heartbeat);
 }
 
 /* A spot notice: no more starts; what saves is stopped in time, what is sure
@@ -175,7 +175,7 @@
 static void
 apply_notice (FtScheduler *s, FtMachine *machine, double notice_s)
 {
-  if (notice_s < 0 || machine->state == FT_MACHINE_RETURNING)
+  if (notice_s < 0 || machine->state == FT_MACHINE_TERMINATING)
     return;
   if (machine->notice_until == 0)
     g_message ("machine %s: notice, taken in %.1f s", machine->name, notice_s);
@@ -199,38 +199,39 @@
 }
 
 static FtMachine *
-machine_of_report (FtScheduler *s, const FtReport *report)
+machine_of_heartbeat (FtScheduler *s, const FtWorkerHeartbeat *heartbeat)
 {
-  FtMachine *machine = g_hash_table_lookup (s->machines, report->machine);
+  FtMachine *machine = g_hash_table_lookup (s->machines, heartbeat->machine);
   if (machine == NULL) {
     /* Rented by a former leader, or by a request executed late. It is in no
      * registry, so it has never been sent a command: it holds no task. */
-    machine = ft_machine_new (s, report->machine, report->addr, report->type, report->zone, report->spot);
+    machine
+        = ft_machine_new (s, heartbeat->machine, heartbeat->addr, heartbeat->type, heartbeat->zone, heartbeat->spot);
     ft_machine_set_reconciled (machine);
     machine->last_answer = s->now;
     g_hash_table_insert (s->machines, machine->name, machine);
     g_message ("machine %s: first heard of by its report", machine->name);
   }
-  if (g_strcmp0 (machine->addr, report->addr) != 0) {
+  if (g_strcmp0 (machine->addr, heartbeat->addr) != 0) {
     g_free (machine->addr);
-    machine->addr = g_strdup (report->addr);
+    machine->addr = g_strdup (heartbeat->addr);
   }
   return machine;
 }
 
-/* An answer is heard if the next report shows what it brought: our token, the
+/* An answer is heard if the next heartbeat shows what it brought: our token, the
  * tasks it started. A lost packet looks the same once, hence the count. */
 static void
-update_receiving (FtScheduler *s, FtMachine *machine, const FtReport *report)
+update_receiving (FtScheduler *s, FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
 {
-  gboolean missing = machine->answered > 0 && report->token < s->token;
+  gboolean missing = machine->answered > 0 && heartbeat->token < s->token;
   gboolean expected = FALSE;
   GHashTableIter it;
   gpointer value;
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *a = value;
-    gboolean sent = a->sent_sequence > 0 && a->sent_sequence < report->sequence;
+    gboolean sent = a->sent_sequence > 0 && a->sent_sequence < heartbeat->sequence;
     expected |= sent;
     missing |= sent && !a->shown && !a->exited;
   }
@@ -247,13 +248,13 @@
 }
 
 static void
-begin_session (FtScheduler *s, FtMachine *machine, guint64 session)
+begin_incarnation (FtScheduler *s, FtMachine *machine, guint64 incarnation)
 {
-  if (machine->session != 0) {
-    g_message ("machine %s: session %" G_GUINT64_FORMAT, machine->name, session);
-    ft_machine_end_session (s, machine);
+  if (machine->incarnation != 0) {
+    g_message ("machine %s: session %" G_GUINT64_FORMAT, machine->name, incarnation);
+    ft_machine_end_incarnation (s, machine);
   }
-  machine->session = session;
+  machine->incarnation = incarnation;
   machine->answered = 0;
   machine->in_doubt = FALSE;
 }
@@ -261,17 +262,17 @@
 /* Older than what is known of the machine, or a copy from before it knew us:
  * tokens only rise. Copies may come late by more than a lease. */
 static gboolean
-outdated (const FtScheduler *s, const FtMachine *machine, const FtReport *report)
+outdated (const FtScheduler *s, const FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
 {
-  return report->session <= machine->lapsed_session || report->session < machine->session
-         || (report->session == machine->session && report->sequence <= machine->sequence)
-         || (machine->acknowledged_token && report->token < s->token);
+  return heartbeat->incarnation <= machine->expired_incarnation || heartbeat->incarnation < machine->incarnation
+         || (heartbeat->incarnation == machine->incarnation && heartbeat->sequence <= machine->sequence)
+         || (machine->acknowledged_token && heartbeat->token < s->token);
 }
 
 static void
 now_up (FtScheduler *s, FtMachine *machine)
 {
-  machine->last_report = s->now;
+  machine->last_status_at = s->now;
   machine->probe_fails = 0;
   if (machine->state != FT_MACHINE_BOOTING && machine->state != FT_MACHINE_SILENT)
     return;
@@ -284,7 +285,7 @@
 /* Only what was sent after the worker saw our token counts: before that a
  * command of the former leader may still have been executed. */
 static void
-token_acknowledged (FtScheduler *s, FtMachine *machine, const FtReport *report, gboolean is_report)
+token_acknowledged (FtScheduler *s, FtMachine *machine, const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat)
 {
   if (!machine->acknowledged_token)
     s->placement_due = TRUE;
@@ -294,28 +295,28 @@
     ft_machine_set_reconciled (machine);
     g_message ("machine %s: accounted for", machine->name);
   }
-  apply_tasks (s, machine, report, is_report);
+  apply_tasks (s, machine, heartbeat, is_heartbeat);
 }
 
-/* Takes in a report's content if it is the newest of its machine. */
+/* Takes in a heartbeat's content if it is the newest of its machine. */
 void
-ft_machine_apply_report (FtScheduler *s, FtMachine *machine, const FtReport *report, gboolean is_report)
+ft_machine_apply_status (FtScheduler *s, FtMachine *machine, const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat)
 {
-  if (outdated (s, machine, report))
+  if (outdated (s, machine, heartbeat))
     return;
-  if (report->session > machine->session)
-    begin_session (s, machine, report->session);
-  machine->sequence = report->sequence;
-  if (is_report)
-    machine->last_checkin = s->now;
+  if (heartbeat->incarnation > machine->incarnation)
+    begin_incarnation (s, machine, heartbeat->incarnation);
+  machine->sequence = heartbeat->sequence;
+  if (is_heartbeat)
+    machine->last_heartbeat_at = s->now;
   ft_zone_heard (machine->zone_view, s->now);
   now_up (s, machine);
   ft_registry_add (s, machine);
-  if (report->token >= s->token)
-    token_acknowledged (s, machine, report, is_report);
-  if (is_report) {
-    update_receiving (s, machine, report);
-    apply_notice (s, machine, report->notice_s);
+  if (heartbeat->token >= s->token)
+    token_acknowledged (s, machine, heartbeat, is_heartbeat);
+  if (is_heartbeat) {
+    update_receiving (s, machine, heartbeat);
+    apply_notice (s, machine, heartbeat->notice_s);
   } else {
     machine->unacknowledged = 0; /* a command has reached it */
     machine->not_receiving_since = 0;
@@ -323,14 +324,14 @@
 }
 
 gboolean
-ft_scheduler_report (FtScheduler *s, const FtReport *report, gint64 now)
+ft_scheduler_heartbeat (FtScheduler *s, const FtWorkerHeartbeat *heartbeat, gint64 now)
 {
   s->now = now;
-  if (report->token > s->token)
+  if (heartbeat->token > s->token)
     return FALSE;
   /* Before the registry is read, nobody knows what a machine may hold. */
-  if (s->loaded && !g_hash_table_contains (s->gone, report->machine))
-    ft_machine_apply_report (s, machine_of_report (s, report), report, TRUE);
+  if (s->loaded && !g_hash_table_contains (s->gone, heartbeat->machine))
+    ft_machine_apply_status (s, machine_of_heartbeat (s, heartbeat), heartbeat, TRUE);
   ft_recovery_tick (s);
   return TRUE;
 }
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -93,7 +93,7 @@
 }
 
 guint
-ft_zone_rentable (const FtZone *zone, gint64 now)
+ft_zone_launchable (const FtZone *zone, gint64 now)
 {
   if (!zone->unreachable)
     return G_MAXUINT;
@@ -101,7 +101,7 @@
 }
 
 void
-ft_zone_rented (FtZone *zone, gint64 now)
+ft_zone_launched (FtZone *zone, gint64 now)
 {
   if (zone->unreachable)
     zone->probe_at = now + (gint64) (FT_ZONE_PROBE_EVERY_S * FT_SECOND);
--- a/src/core/zone.h
+++ b/src/core/zone.h
@@ -2,7 +2,7 @@
  *
  * Machines that fall silent one by one have failed each for itself. A zone from which no
  * machine is heard at all, while others are, has lost its network or its power: its machines
- * are given up together, and none is rented there until one is heard again. */
+ * are given up together, and none is launched there until one is heard again. */
 #pragma once
 #include <glib.h>
 
@@ -13,7 +13,7 @@
   gint64 last_heard;    /* when a machine of the zone was heard last; 0: never */
   guint members;        /* machines that should be heard, as of the last update */
   gboolean unreachable; /* no member is heard; changed by this module only */
-  gint64 probe_at;      /* while unreachable: earliest next rental, which shows whether it still is */
+  gint64 probe_at;      /* while unreachable: earliest next launch, which shows whether it still is */
 } FtZone;
 
 /* name -> FtZone, owned. */
@@ -28,8 +28,8 @@
 /* Counts each zone's members and judges it anew. */
 void ft_zones_update (FtScheduler *s);
 
-/* Machines that may be rented in the zone now: all, or one to see whether it is back. */
-guint ft_zone_rentable (const FtZone *zone, gint64 now);
+/* Machines that may be launched in the zone now: all, or one to see whether it is back. */
+guint ft_zone_launchable (const FtZone *zone, gint64 now);
 
 /* A machine has been asked for in the zone. */
-void ft_zone_rented (FtZone *zone, gint64 now);
+void ft_zone_launched (FtZone *zone, gint64 now);
--- a/src/net/admin.c
+++ b/src/net/admin.c
@@ -112,12 +112,13 @@
 }
 
 static void
-add_machine (const char *name, const char *state, const char *type, const char *zone, gboolean spot, guint64 session,
-             guint tasks, const char *unused_why, gpointer data)
+add_machine (const char *name, const char *state, const char *type, const char *zone, gboolean spot,
+             guint64 incarnation, guint tasks, const char *unused_why, gpointer data)
 {
-  json_array_append_new (data, json_pack ("{s:s, s:s, s:s, s:s, s:s, s:I, s:i, s:s}", "machine", name, "state", state,
-                                          "type", type, "zone", zone, "kind", spot ? "spot" : "ordinary", "session",
-                                          (json_int_t) session, "tasks", (int) tasks, "not_used_because", unused_why));
+  json_array_append_new (data,
+                         json_pack ("{s:s, s:s, s:s, s:s, s:s, s:I, s:i, s:s}", "machine", name, "state", state, "type",
+                                    type, "zone", zone, "kind", spot ? "spot" : "ordinary", "session",
+                                    (json_int_t) incarnation, "tasks", (int) tasks, "not_used_because", unused_why));
 }
 
 static void
--- a/src/net/front.c
+++ b/src/net/front.c
@@ -72,7 +72,7 @@
   FtNode *node = data;
   const char *path = ft_http_path (request);
   if (strcmp (path, "/checkin") == 0)
-    ft_worker_report (node, request);
+    ft_worker_handle_heartbeat (node, request);
   else if (strcmp (path, "/ready") == 0)
     handle_ready (node, request);
   else if (strcmp (path, "/work") == 0 || g_str_has_prefix (path, "/work/"))
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -35,7 +35,7 @@
   struct MHD_Response *response;
 };
 
-static gboolean on_again (gpointer data);
+static gboolean on_retry (gpointer data);
 
 /* Another round of the server soon, without an event. */
 static void
@@ -43,8 +43,8 @@
 {
   if (server->again != 0)
     return;
-  server->again = after_ms == 0 ? g_idle_add_full (G_PRIORITY_DEFAULT, on_again, server, NULL)
-                                : g_timeout_add (after_ms, on_again, server);
+  server->again = after_ms == 0 ? g_idle_add_full (G_PRIORITY_DEFAULT, on_retry, server, NULL)
+                                : g_timeout_add (after_ms, on_retry, server);
 }
 
 /* ---- requests ---- */
@@ -255,7 +255,7 @@
 }
 
 static gboolean
-on_again (gpointer data)
+on_retry (gpointer data)
 {
   ((FtHttpServer *) data)->again = 0;
   serve (data);
--- a/src/net/leader.c
+++ b/src/net/leader.c
@@ -50,16 +50,16 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (Call, call_free)
 
 static gboolean
-stale (const Call *call)
+term_is_over (const Call *call)
 {
   return call->term != call->node->term || call->node->scheduler == NULL;
 }
 
 static gboolean
-on_again (gpointer data)
+on_retry (gpointer data)
 {
   Call *call = data;
-  if (stale (call))
+  if (term_is_over (call))
     call_free (call);
   else
     call->again (call);
@@ -68,13 +68,13 @@
 
 /* Sends the request again after a pause, unless the leadership is over by then. */
 static void
-try_again (Call *call, void (*again) (Call *call))
+retry_later (Call *call, void (*again) (Call *call))
 {
   double pause = MIN (FT_BACKOFF_FIRST_S * (1u << MIN (call->tries, 8)), FT_BACKOFF_LONGEST_S);
   pause *= g_rand_double_range (call->node->random, 0.5, 1.5);
   call->tries++;
   call->again = again;
-  g_timeout_add ((guint) (pause * 1000), on_again, call);
+  g_timeout_add ((guint) (pause * 1000), on_retry, call);
 }
 
 static gint64
@@ -178,7 +178,7 @@
   Call *call = data;
   FtNode *node = call->node;
   gboolean more = FALSE;
-  if (stale (call)) {
+  if (term_is_over (call)) {
     call_free (call);
     return;
   }
@@ -186,7 +186,7 @@
   if (rows == NULL) {
     if (status == 200)
       ft_node_malformed (node, FT_COUNT_MALFORMED_STORE, "list of rows");
-    try_again (call, load_page);
+    retry_later (call, load_page);
     return;
   }
   G_GNUC_UNUSED g_autoptr (Call) owned = call;
@@ -224,7 +224,7 @@
 {
   g_autoptr (Call) call = data;
   FtNode *node = call->node;
-  if (stale (call))
+  if (term_is_over (call))
     return;
   node->watch_in_flight = FALSE;
   if (status == 410) {
@@ -261,9 +261,9 @@
   gint64 now = g_get_monotonic_time ();
   node->batch_in_flight = FALSE;
   if (applied)
-    ft_scheduler_written (node->scheduler, call->writes, now);
+    ft_scheduler_writes_committed (node->scheduler, call->writes, now);
   else
-    ft_scheduler_unwritten (node->scheduler, call->writes, conflicted, now);
+    ft_scheduler_writes_failed (node->scheduler, call->writes, conflicted, now);
   ft_node_pump (node);
 }
 
@@ -277,12 +277,12 @@
   Call *call = data;
   FtNode *node = call->node;
   FtRow row;
-  if (stale (call)) {
+  if (term_is_over (call)) {
     call_free (call);
     return;
   }
   if (status != 200 || !ft_store_row (body, &row)) {
-    try_again (call, read_journal);
+    retry_later (call, read_journal);
     return;
   }
   G_GNUC_UNUSED g_autoptr (Call) owned = call;
@@ -310,19 +310,19 @@
   FtNode *node = call->node;
   FtRow row;
   FtJobRow state;
-  if (stale (call)) {
+  if (term_is_over (call)) {
     call_free (call);
     return;
   }
   if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
-    try_again (call, ask_job); /* the job stays as it is until the answer is known */
+    retry_later (call, ask_job); /* the job stays as it is until the answer is known */
     return;
   }
   gint64 now = g_get_monotonic_time ();
   if (state.open)
-    ft_scheduler_job_stands (node->scheduler, call->text, row.revision, now);
+    ft_scheduler_job_still_open (node->scheduler, call->text, row.revision, now);
   else
-    ft_scheduler_job_resolved (node->scheduler, call->text, state.end == FT_JOB_END_DONE, now);
+    ft_scheduler_job_conflict_resolved (node->scheduler, call->text, state.end == FT_JOB_END_DONE, now);
   call_free (call);
   ft_node_pump (node);
 }
@@ -383,7 +383,7 @@
   g_autoptr (Call) call = data;
   FtNode *node = call->node;
   guint64 revision;
-  if (stale (call))
+  if (term_is_over (call))
     return;
   if (status == 200 && ft_store_revision (body, &revision)) {
     node->journal_revision = revision;
@@ -439,7 +439,7 @@
   FtNode *node = call->node;
   FtRow row;
   FtJobRow state;
-  if (stale (call))
+  if (term_is_over (call))
     return;
   node->dependency_reads--;
   /* Open, or not answered: the scheduler names it again. */
@@ -474,20 +474,21 @@
 {
   g_autoptr (Call) call = data;
   FtNode *node = call->node;
-  if (stale (call))
+  if (term_is_over (call))
     return;
   node->directs--;
-  g_autoptr (FtReport) report = status == 200 || status == 409 ? ft_message_report_read (body, size) : NULL;
-  FtDirectResult result = status == 200 && report != NULL   ? FT_DIRECT_OK
-                          : status == 409 && report != NULL ? FT_DIRECT_CONFLICT
-                                                            : FT_DIRECT_UNANSWERED;
-  if (report == NULL && (status == 200 || status == 409))
+  g_autoptr (FtWorkerHeartbeat) heartbeat
+      = status == 200 || status == 409 ? ft_message_worker_heartbeat_read (body, size) : NULL;
+  FtDirectResult result = status == 200 && heartbeat != NULL   ? FT_DIRECT_OK
+                          : status == 409 && heartbeat != NULL ? FT_DIRECT_CONFLICT
+                                                               : FT_DIRECT_UNANSWERED;
+  if (heartbeat == NULL && (status == 200 || status == 409))
     ft_node_malformed (node, FT_COUNT_MALFORMED_WORKERS, "answer to a command");
   if (result == FT_DIRECT_UNANSWERED)
     ft_metrics_count (node->metrics, FT_COUNT_DIRECT_UNANSWERED);
   else
     ft_metrics_time (node->metrics, FT_TIME_DIRECT, g_get_monotonic_time () - call->sent_at);
-  if (!ft_scheduler_direct_done (node->scheduler, call->direct, result, report, g_get_monotonic_time ())) {
+  if (!ft_scheduler_direct_done (node->scheduler, call->direct, result, heartbeat, g_get_monotonic_time ())) {
     ft_node_step_down (node, "a worker has seen a higher token");
     return;
   }
@@ -503,7 +504,7 @@
       return;
     Call *call = call_new (node);
     call->direct = direct;
-    json_t *body = ft_message_commands (ft_lease_token (node->lease), direct->session, direct->commands);
+    json_t *body = ft_message_commands (ft_lease_token (node->lease), direct->incarnation, direct->commands);
     node->directs++;
     ft_http_send_raw (node->worker_client, "POST", direct->addr, "/commands", FT_BODY_CBOR, body, FT_COMMAND_TIMEOUT_S,
                       TRUE, on_direct, call);
@@ -518,11 +519,11 @@
 {
   g_autoptr (Call) call = data;
   FtNode *node = call->node;
-  if (stale (call))
+  if (term_is_over (call))
     return;
   node->cloud_calls--;
   FtCloudResult result = FT_CLOUD_FAILED;
-  if (status == 200 && (call->cloud->op == FT_CLOUD_RETURN || ft_cloud_rented (body, call->cloud)))
+  if (status == 200 && (call->cloud->op == FT_CLOUD_SCALE_IN || ft_cloud_launched (body, call->cloud)))
     result = FT_CLOUD_OK;
   else if (status == 400
            || (status == 503 && g_strcmp0 (json_string_value (json_object_get (body, "error")), "no capacity") == 0))
@@ -542,11 +543,11 @@
       return;
     Call *call = call_new (node);
     call->cloud = cloud;
-    gboolean rent = cloud->op == FT_CLOUD_RENT;
-    json_t *body = rent ? ft_cloud_rent_body (cloud) : ft_cloud_return_body (cloud);
+    gboolean scale_out = cloud->op == FT_CLOUD_SCALE_OUT;
+    json_t *body = scale_out ? ft_cloud_scale_out_body (cloud) : ft_cloud_scale_in_body (cloud);
     node->cloud_calls++;
     ft_budget_take (&node->cloud_budget, 1);
-    ft_http_send (node->cloud_client, "POST", node->config->cloud_addr, rent ? "/rentals" : "/rentals/return",
+    ft_http_send (node->cloud_client, "POST", node->config->cloud_addr, scale_out ? "/rentals" : "/rentals/return",
                   FT_BODY_CBOR, body, FT_CLOUD_TIMEOUT_S, FALSE, on_cloud, call);
     json_decref (body);
   }
@@ -560,7 +561,7 @@
   g_autoptr (Call) call = data;
   FtNode *node = call->node;
   gboolean more = FALSE;
-  if (stale (call))
+  if (term_is_over (call))
     return;
   node->list_in_flight = FALSE;
   if (status != 200)
--- a/src/net/metrics.h
+++ b/src/net/metrics.h
@@ -12,7 +12,7 @@
   FT_COUNT_POLLS,
   FT_COUNT_CANCELLED,
   FT_COUNT_CANCELLED_BY_DEPENDENCY, /* found on a poll: a job that it needs is cancelled */
-  FT_COUNT_REPORTS,
+  FT_COUNT_HEARTBEATS,
   FT_COUNT_REDIRECTS,
   FT_COUNT_TAKEOVERS,
   FT_COUNT_STEP_DOWNS,
--- a/src/net/node.c
+++ b/src/net/node.c
@@ -34,12 +34,12 @@
   FtNode *node;
   gint64 sent_at;
   guint term;
-} LeaseCall;
+} LeaseRequest;
 
-static LeaseCall *
-lease_call (FtNode *node)
+static LeaseRequest *
+lease_request_new (FtNode *node)
 {
-  LeaseCall *call = g_new0 (LeaseCall, 1);
+  LeaseRequest *call = g_new0 (LeaseRequest, 1);
   call->node = node;
   call->sent_at = g_get_monotonic_time ();
   call->term = node->term;
@@ -62,7 +62,7 @@
 static void
 on_sweep (guint status, const json_t *body, gpointer data)
 {
-  g_autofree LeaseCall *call = data;
+  g_autofree LeaseRequest *call = data;
   FtNode *node = call->node;
   gint64 now = g_get_monotonic_time ();
   node->sweep_in_flight = FALSE;
@@ -81,7 +81,7 @@
 static void
 on_claimed (guint status, const json_t *body, gpointer data)
 {
-  g_autofree LeaseCall *call = data;
+  g_autofree LeaseRequest *call = data;
   FtNode *node = call->node;
   guint64 revision;
   if (ft_lease_state (node->lease) != FT_LEASE_ACQUIRING)
@@ -105,14 +105,14 @@
   ft_txn_put (txn, FT_KEY_FENCE, ft_row_fence (c.token, node->config->member, node->incarnation));
   ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (c.token, ft_lease_time (node->lease), FALSE));
   ft_txn_put (txn, FT_KEY_JOURNAL, ft_row_journal (c.token, 0));
-  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_LEASE, on_claimed, lease_call (node));
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_LEASE, on_claimed, lease_request_new (node));
   json_decref (txn);
 }
 
 static void
 on_renewed (guint status, const json_t *body, gpointer data)
 {
-  g_autofree LeaseCall *call = data;
+  g_autofree LeaseRequest *call = data;
   FtNode *node = call->node;
   (void) body;
   if (call->term != node->term)
@@ -132,7 +132,7 @@
   json_t *txn = ft_txn_new ();
   ft_txn_if (txn, FT_KEY_FENCE, ft_lease_fence_revision (node->lease));
   ft_txn_put (txn, FT_KEY_RENEWAL, ft_row_renewal (ft_lease_token (node->lease), ft_lease_time (node->lease), release));
-  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_LEASE, done, lease_call (node));
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_LEASE, done, lease_request_new (node));
   json_decref (txn);
 }
 
@@ -149,7 +149,7 @@
 cut_off (const FtNode *node, gint64 now)
 {
   const FtSettings *s = &node->config->core;
-  gint64 gap = (gint64) ((s->report_s * FT_REPORT_GAP + FT_CUT_OFF_MARGIN_S) * FT_SECOND);
+  gint64 gap = (gint64) ((s->heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S) * FT_SECOND);
   /* While it answers nobody the workers ask elsewhere: after an outage a leader gave up
    * the lease that it had just renewed, and nobody led for another takeover. */
   gint64 answering = MAX (node->led_since, node->answering_since);
@@ -227,7 +227,8 @@
   }
   if (ft_lease_sweep_due (node->lease, now) && !node->sweep_in_flight) {
     node->sweep_in_flight = TRUE;
-    ft_store_client_list (node->store, FT_PREFIX_LEASE, NULL, FT_STORE_PRIORITY_LEASE, on_sweep, lease_call (node));
+    ft_store_client_list (node->store, FT_PREFIX_LEASE, NULL, FT_STORE_PRIORITY_LEASE, on_sweep,
+                          lease_request_new (node));
   }
   if (ft_lease_acquire_due (node->lease, now) && ft_store_client_contact (node->store, now)) {
     claim (node, now);
@@ -321,7 +322,7 @@
   g_queue_init (&node->recent_cancellations);
   node->polls = ft_polls_new (node);
   node->job_cache = ft_job_cache_new ();
-  g_queue_init (&node->reports);
+  g_queue_init (&node->waiting_heartbeats);
   guint most = (guint) (config->max_connections * FT_SOCKET_SHARE) - FT_CONNECTIONS_PER_HOST;
   node->front = ft_http_server_new (config->listen, FT_BODY_CBOR, most, ft_front_handle, node, error);
   if (node->front != NULL)
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -55,8 +55,8 @@
   gint64 yielded_at;      /* when we gave the lease up; 0: never */
   FtBudget cloud_budget;
 
-  GQueue reports; /* requests of workers that wait for a later turn */
-  guint reports_source, reports_turn, reports_in_turn;
+  GQueue waiting_heartbeats; /* requests of workers that wait for a later turn */
+  guint heartbeats_source, heartbeats_turn, heartbeats_in_turn;
 
   GArray *peers;     /* FtPeerState */
   char *peer_leader; /* as the peers has it */
@@ -105,7 +105,7 @@
 void ft_front_handle (FtHttpRequest *request, gpointer node);
 void ft_user_handle (FtNode *node, FtHttpRequest *request);
 void ft_worker_refuse_all (FtNode *node);
-void ft_worker_report (FtNode *node, FtHttpRequest *request);
+void ft_worker_handle_heartbeat (FtNode *node, FtHttpRequest *request);
 gboolean ft_node_ready (const FtNode *node, gint64 now);
 
 /* polls.c: what is asked about open jobs, many at a time */
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -1,4 +1,4 @@
-/* Reports of the workers: the leader answers them, the others point to it. */
+/* Heartbeats of the workers: the leader answers them, the others point to it. */
 #include <string.h>
 
 #include "core/constants.h"
@@ -22,7 +22,7 @@
   return node->scheduler != NULL && ft_lease_may_answer (node->lease, now);
 }
 
-/* Everything is judged by the clock of this moment: the report may have waited. */
+/* Everything is judged by the clock of this moment: the heartbeat may have waited. */
 static void
 serve (FtNode *node, FtHttpRequest *request)
 {
@@ -33,20 +33,20 @@
   }
   gsize size;
   const guint8 *body = ft_http_raw (request, &size);
-  g_autoptr (FtReport) report = body != NULL ? ft_message_report_read (body, size) : NULL;
-  if (report == NULL) {
+  g_autoptr (FtWorkerHeartbeat) heartbeat = body != NULL ? ft_message_worker_heartbeat_read (body, size) : NULL;
+  if (heartbeat == NULL) {
     ft_node_malformed (node, FT_COUNT_MALFORMED_WORKERS, "report");
     ft_http_respond (request, 400, NULL);
     return;
   }
-  ft_metrics_count (node->metrics, FT_COUNT_REPORTS);
-  if (!ft_scheduler_report (node->scheduler, report, now)) {
+  ft_metrics_count (node->metrics, FT_COUNT_HEARTBEATS);
+  if (!ft_scheduler_heartbeat (node->scheduler, heartbeat, now)) {
     ft_node_step_down (node, "a worker has seen a higher token");
     redirect (node, request);
     return;
   }
   ft_scheduler_allow (node->scheduler, ft_lease_may_start (node->lease, now));
-  g_autoptr (GArray) commands = ft_scheduler_answer (node->scheduler, report, now);
+  g_autoptr (GArray) commands = ft_scheduler_answer (node->scheduler, heartbeat, now);
   ft_http_respond (request, 200, ft_message_answer (ft_lease_token (node->lease), commands));
   ft_node_pump (node);
 }
@@ -61,8 +61,8 @@
 static gboolean
 backlog_is_old (FtNode *node, gint64 now)
 {
-  const Waiting *oldest = g_queue_peek_head (&node->reports);
-  return oldest != NULL && now - oldest->came_at > (gint64) (FT_REPORT_LATE_S * FT_SECOND);
+  const Waiting *oldest = g_queue_peek_head (&node->waiting_heartbeats);
+  return oldest != NULL && now - oldest->came_at > (gint64) (FT_HEARTBEAT_LATE_S * FT_SECOND);
 }
 
 /* Under a backlog of all workers at once renewals and probes of the balancer would come
@@ -70,7 +70,7 @@
  * so that some workers are answered in time instead of none; the old ones are taken in
  * all the same, or their machines would be missed and given back. */
 static gboolean
-on_reports (gpointer data)
+on_waiting_heartbeats (gpointer data)
 {
   FtNode *node = data;
   gint64 now = g_get_monotonic_time ();
@@ -81,13 +81,14 @@
     node->overrun_since = now;
   if (old && node->scheduler != NULL)
     ft_scheduler_late (node->scheduler, now);
-  for (guint i = 0; i < FT_REPORTS_AT_ONCE && !g_queue_is_empty (&node->reports); i++) {
-    g_autofree Waiting *waiting = old ? g_queue_pop_tail (&node->reports) : g_queue_pop_head (&node->reports);
+  for (guint i = 0; i < FT_HEARTBEATS_AT_ONCE && !g_queue_is_empty (&node->waiting_heartbeats); i++) {
+    g_autofree Waiting *waiting
+        = old ? g_queue_pop_tail (&node->waiting_heartbeats) : g_queue_pop_head (&node->waiting_heartbeats);
     serve (node, waiting->request);
   }
-  if (!g_queue_is_empty (&node->reports))
+  if (!g_queue_is_empty (&node->waiting_heartbeats))
     return G_SOURCE_CONTINUE;
-  node->reports_source = 0;
+  node->heartbeats_source = 0;
   node->overrun_since = 0;
   return G_SOURCE_REMOVE;
 }
@@ -96,9 +97,9 @@
 ft_worker_refuse_all (FtNode *node)
 {
   Waiting *waiting;
-  if (node->reports_source != 0)
-    g_source_remove (node->reports_source);
-  while ((waiting = g_queue_pop_head (&node->reports)) != NULL) {
+  if (node->heartbeats_source != 0)
+    g_source_remove (node->heartbeats_source);
+  while ((waiting = g_queue_pop_head (&node->waiting_heartbeats)) != NULL) {
     ft_http_unavailable (waiting->request);
     g_free (waiting);
   }
@@ -108,28 +109,28 @@
 turn_is_full (FtNode *node)
 {
   guint turn = ft_http_server_turn (node->front);
-  if (turn != node->reports_turn)
-    node->reports_in_turn = 0;
-  node->reports_turn = turn;
-  return ++node->reports_in_turn > FT_REPORTS_AT_ONCE;
+  if (turn != node->heartbeats_turn)
+    node->heartbeats_in_turn = 0;
+  node->heartbeats_turn = turn;
+  return ++node->heartbeats_in_turn > FT_HEARTBEATS_AT_ONCE;
 }
 
 void
-ft_worker_report (FtNode *node, FtHttpRequest *request)
+ft_worker_handle_heartbeat (FtNode *node, FtHttpRequest *request)
 {
   gint64 now = g_get_monotonic_time ();
   if (strcmp (ft_http_method (request), "POST") != 0) {
     ft_http_respond (request, 405, NULL);
   } else if (!entitled (node, now)) {
     redirect (node, request); /* unread: that is the leader's work */
-  } else if (g_queue_is_empty (&node->reports) && !turn_is_full (node)) {
+  } else if (g_queue_is_empty (&node->waiting_heartbeats) && !turn_is_full (node)) {
     serve (node, request);
   } else {
     Waiting *waiting = g_new0 (Waiting, 1);
     waiting->request = request;
     waiting->came_at = now;
-    g_queue_push_tail (&node->reports, waiting);
-    if (node->reports_source == 0)
-      node->reports_source = g_idle_add_full (G_PRIORITY_DEFAULT, on_reports, node, NULL);
+    g_queue_push_tail (&node->waiting_heartbeats, waiting);
+    if (node->heartbeats_source == 0)
+      node->heartbeats_source = g_idle_add_full (G_PRIORITY_DEFAULT, on_waiting_heartbeats, node, NULL);
   }
 }
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -45,14 +45,14 @@
 }
 
 json_t *
-ft_cloud_rent_body (const FtCloudCall *call)
+ft_cloud_scale_out_body (const FtCloudCall *call)
 {
   return json_pack ("{s:s, s:s, s:s, s:b, s:i}", "booking", call->booking, "build", call->type, "yard", call->zone,
                     "loaners", call->spot, "how_many", (int) call->count);
 }
 
 json_t *
-ft_cloud_return_body (const FtCloudCall *call)
+ft_cloud_scale_in_body (const FtCloudCall *call)
 {
   json_t *names = json_array ();
   for (guint i = 0; i < call->names->len; i++)
@@ -61,7 +61,7 @@
 }
 
 gboolean
-ft_cloud_rented (const json_t *body, FtCloudCall *call)
+ft_cloud_launched (const json_t *body, FtCloudCall *call)
 {
   g_auto (GStrv) names = NULL;
   if (!ft_field_texts (body, "hearths", FT_TEXT_MAX, &names))
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -5,9 +5,9 @@
 #include "core/scheduler.h"
 
 FtCatalog *ft_cloud_catalog (const json_t *body);
-json_t *ft_cloud_rent_body (const FtCloudCall *call);
-json_t *ft_cloud_return_body (const FtCloudCall *call);
-/* Fills call->names with the rented machines. */
-gboolean ft_cloud_rented (const json_t *body, FtCloudCall *call);
+json_t *ft_cloud_scale_out_body (const FtCloudCall *call);
+json_t *ft_cloud_scale_in_body (const FtCloudCall *call);
+/* Fills call->names with the launched machines. */
+gboolean ft_cloud_launched (const json_t *body, FtCloudCall *call);
 /* Appends to `list`; `last` gets the last name, borrowed from the list. */
 gboolean ft_cloud_list (const json_t *body, GArray *list, gboolean *more);
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -128,7 +128,7 @@
 
 /* "req-000412/3" */
 gboolean
-ft_message_task_name (const char *name, FtReportedTask *task)
+ft_message_task_name (const char *name, FtTaskStatus *task)
 {
   const char *slash = name != NULL ? strrchr (name, '/') : NULL;
   guint64 index;
@@ -143,7 +143,7 @@
 }
 
 gboolean
-ft_message_task_state (const char *state, gsize state_size, const char *cause, gsize cause_size, FtReportedTask *task)
+ft_message_task_state (const char *state, gsize state_size, const char *cause, gsize cause_size, FtTaskStatus *task)
 {
   static const char *const states[] = { "fetching", "waiting", "running", "flushing", "exited" };
   static const char *const causes[]
@@ -151,17 +151,17 @@
   guint i = state != NULL ? place_of (state, state_size, states, G_N_ELEMENTS (states)) : G_N_ELEMENTS (states);
   if (i == G_N_ELEMENTS (states))
     return FALSE;
-  task->state = (FtReportedState) i;
-  if (task->state != FT_REPORTED_EXITED)
+  task->state = (FtTaskPhase) i;
+  if (task->state != FT_TASK_PHASE_EXITED)
     return TRUE;
   /* A cause we do not know is a failure like any other. */
   i = cause != NULL ? place_of (cause, cause_size, causes, G_N_ELEMENTS (causes)) : 0;
-  task->why = i > 0 && i < G_N_ELEMENTS (causes) ? (FtWhy) i : FT_WHY_ERROR;
+  task->exit_reason = i > 0 && i < G_N_ELEMENTS (causes) ? (FtExitReason) i : FT_EXIT_ERROR;
   return TRUE;
 }
 
 static gboolean
-read_task_state (const json_t *item, FtReportedTask *task)
+read_task_state (const json_t *item, FtTaskStatus *task)
 {
   const json_t *state = json_object_get (item, "standing"), *cause = json_object_get (item, "cause");
   return ft_message_task_state (json_string_value (state), json_string_length (state), json_string_value (cause),
@@ -175,25 +175,25 @@
     return FALSE;
   for (size_t i = 0; i < json_array_size (list); i++) {
     const json_t *item = json_array_get (list, i);
-    FtReportedTask task = { 0 };
+    FtTaskStatus task = { 0 };
     if (!ft_message_task_name (json_string_value (json_object_get (item, "piece")), &task))
       return FALSE;
     g_array_append_val (tasks, task);
-    FtReportedTask *kept = &g_array_index (tasks, FtReportedTask, tasks->len - 1);
+    FtTaskStatus *kept = &g_array_index (tasks, FtTaskStatus, tasks->len - 1);
     if (!read_task_state (item, kept) || !ft_field_count (item, "try", 0, G_MAXINT64, &kept->attempt))
       return FALSE;
   }
   return TRUE;
 }
 
-FtReport *
-ft_message_report (const json_t *body)
+FtWorkerHeartbeat *
+ft_message_worker_heartbeat (const json_t *body)
 {
-  g_autoptr (FtReport) r = ft_report_new ();
+  g_autoptr (FtWorkerHeartbeat) r = ft_worker_heartbeat_new ();
   if (!ft_field_text (body, "hearth", FT_TEXT_MAX, &r->machine)
       || !ft_field_text (body, "address", FT_TEXT_MAX, &r->addr)
       || !ft_field_text (body, "build", FT_TEXT_MAX, &r->type) || !ft_field_text (body, "yard", FT_TEXT_MAX, &r->zone)
-      || !ft_field_bool (body, "loaners", &r->spot) || !ft_field_count (body, "shift", 0, G_MAXINT64, &r->session)
+      || !ft_field_bool (body, "loaners", &r->spot) || !ft_field_count (body, "shift", 0, G_MAXINT64, &r->incarnation)
       || !ft_field_count (body, "tally", 0, G_MAXINT64, &r->sequence)
       || !ft_field_count (body, "baton", 0, G_MAXINT64, &r->token)
       || !read_tasks (json_object_get (body, "pieces"), r->tasks))
@@ -232,8 +232,8 @@
 }
 
 json_t *
-ft_message_commands (guint64 token, guint64 session, const GArray *commands)
+ft_message_commands (guint64 token, guint64 incarnation, const GArray *commands)
 {
-  return json_pack ("{s:I, s:I, s:o}", "baton", (json_int_t) token, "shift", (json_int_t) session, "orders",
+  return json_pack ("{s:I, s:I, s:o}", "baton", (json_int_t) token, "shift", (json_int_t) incarnation, "orders",
                     command_list (commands));
 }
--- a/src/wire/store.c
+++ b/src/wire/store.c
@@ -474,7 +474,7 @@
 }
 
 static void
-add_job_gone (json_t *txn, const FtWrite *w)
+add_job_stopped (json_t *txn, const FtWrite *w)
 {
   g_autofree char *open = ft_key_open (w->name), *mark = ft_key_cancellation (w->name);
   ft_txn_delete (txn, open);
@@ -534,8 +534,8 @@
   case FT_WRITE_JOB_DONE:
     add_job_ended (txn, w, FT_JOB_END_DONE, wall_ms);
     break;
-  case FT_WRITE_JOB_GONE:
-    add_job_gone (txn, w);
+  case FT_WRITE_JOB_STOPPED:
+    add_job_stopped (txn, w);
     break;
   case FT_WRITE_JOB_CANCELLED:
     add_job_ended (txn, w, FT_JOB_END_CANCELLED, wall_ms);
--- a/src/wire/report.c
+++ b/src/wire/worker_heartbeat.c
@@ -136,7 +136,7 @@
 }
 
 static gboolean
-read_name (const Item *item, FtReportedTask *task)
+read_name (const Item *item, FtTaskStatus *task)
 {
   char name[FT_TEXT_MAX + 1];
   if (!plain (item, FT_TEXT_MAX))
@@ -148,7 +148,7 @@
 
 /* 1: a field was read; 0: one that is not known here; -1: not plain. */
 static int
-read_task_field (Reader *r, const Item *key, FtReportedTask *task, Item *state, Item *cause)
+read_task_field (Reader *r, const Item *key, FtTaskStatus *task, Item *state, Item *cause)
 {
   if (is (key, "try"))
     return read_count (r, &task->attempt) ? 1 : -1;
@@ -177,12 +177,12 @@
 read_task (Reader *r, GArray *tasks)
 {
   Item map = next (r), state = { 0 }, cause = { 0 };
-  FtReportedTask blank = { 0 };
+  FtTaskStatus blank = { 0 };
   guint fields = 0;
   if (map.kind != ITEM_MAP)
     return FALSE;
   g_array_append_val (tasks, blank);
-  FtReportedTask *task = &g_array_index (tasks, FtReportedTask, tasks->len - 1);
+  FtTaskStatus *task = &g_array_index (tasks, FtTaskStatus, tasks->len - 1);
   for (guint64 i = 0; i < map.count; i++) {
     Item key = next (r);
     int read = plain (&key, FT_TEXT_MAX) ? read_task_field (r, &key, task, &state, &cause) : -1;
@@ -207,29 +207,29 @@
 }
 
 static gboolean
-read_notice (Reader *r, FtReport *report)
+read_notice (Reader *r, FtWorkerHeartbeat *heartbeat)
 {
   Item item = next (r);
   if (item.kind == ITEM_NULL)
     return TRUE;
-  report->notice_s = item.kind == ITEM_REAL ? item.real : (double) item.count;
-  return (item.kind == ITEM_UINT || item.kind == ITEM_REAL) && report->notice_s >= 0
-         && report->notice_s <= FT_AMOUNT_MAX;
+  heartbeat->notice_s = item.kind == ITEM_REAL ? item.real : (double) item.count;
+  return (item.kind == ITEM_UINT || item.kind == ITEM_REAL) && heartbeat->notice_s >= 0
+         && heartbeat->notice_s <= FT_AMOUNT_MAX;
 }
 
 /* 1, 0 or -1 as above; `seen` has a bit for each field that must be there. */
 static int
-read_field (Reader *r, const Item *key, FtReport *report, guint *seen)
+read_field (Reader *r, const Item *key, FtWorkerHeartbeat *heartbeat, guint *seen)
 {
   static const char *const names[]
       = { "hearth", "address", "build", "yard", "shift", "tally", "baton", "loaners", "pieces" };
-  char **texts[] = { &report->machine, &report->addr, &report->type, &report->zone };
-  guint64 *counts[] = { &report->session, &report->sequence, &report->token };
+  char **texts[] = { &heartbeat->machine, &heartbeat->addr, &heartbeat->type, &heartbeat->zone };
+  guint64 *counts[] = { &heartbeat->incarnation, &heartbeat->sequence, &heartbeat->token };
   guint i = 0;
   while (i < G_N_ELEMENTS (names) && !is (key, names[i]))
     i++;
   if (i == G_N_ELEMENTS (names))
-    return !is (key, "recall_s") ? 0 : read_notice (r, report) ? 1 : -1;
+    return !is (key, "recall_s") ? 0 : read_notice (r, heartbeat) ? 1 : -1;
   if (*seen & (1u << i))
     return -1;
   *seen |= 1u << i;
@@ -238,38 +238,38 @@
   if (i < 7)
     return read_count (r, counts[i - 4]) ? 1 : -1;
   if (i == 8)
-    return read_list (r, report->tasks) ? 1 : -1;
+    return read_list (r, heartbeat->tasks) ? 1 : -1;
   Item item = next (r);
-  report->spot = item.count != 0;
+  heartbeat->spot = item.count != 0;
   return item.kind == ITEM_BOOL ? 1 : -1;
 }
 
-static FtReport *
+static FtWorkerHeartbeat *
 read_plain (const guint8 *data, gsize size)
 {
   Reader r = { data, size, 0 };
   Item map = next (&r);
-  g_autoptr (FtReport) report = ft_report_new ();
+  g_autoptr (FtWorkerHeartbeat) heartbeat = ft_worker_heartbeat_new ();
   guint seen = 0;
   if (map.kind != ITEM_MAP)
     return NULL;
   for (guint64 i = 0; i < map.count; i++) {
     Item key = next (&r);
-    int read = plain (&key, FT_TEXT_MAX) ? read_field (&r, &key, report, &seen) : -1;
+    int read = plain (&key, FT_TEXT_MAX) ? read_field (&r, &key, heartbeat, &seen) : -1;
     if (read < 0 || (read == 0 && !skip_scalar (&r)))
       return NULL;
   }
-  return seen == (1u << 9) - 1 && r.at == size ? g_steal_pointer (&report) : NULL;
+  return seen == (1u << 9) - 1 && r.at == size ? g_steal_pointer (&heartbeat) : NULL;
 }
 
-FtReport *
-ft_message_report_read (const guint8 *data, gsize size)
+FtWorkerHeartbeat *
+ft_message_worker_heartbeat_read (const guint8 *data, gsize size)
 {
-  FtReport *report = read_plain (data, size);
-  if (report != NULL)
-    return report;
+  FtWorkerHeartbeat *heartbeat = read_plain (data, size);
+  if (heartbeat != NULL)
+    return heartbeat;
   json_t *tree = ft_cbor_decode (data, size);
-  report = ft_message_report (tree);
+  heartbeat = ft_message_worker_heartbeat (tree);
   json_decref (tree);
-  return report;
+  return heartbeat;
 }
--- a/tests/sim/day.hpp
+++ b/tests/sim/day.hpp
@@ -160,7 +160,7 @@
       world.at (when, [this, node] { world.nodes[node]->crash ((Time) (world.uniform (0.02, 0.4) * kSecond)); });
     }
   }
-  // A machine back at once: a new session and no tasks.
+  // A machine back at once: a new incarnation and no tasks.
   void
   reboot (Time when)
   {
