--- /dev/null
+++ b/src/net/admin_settings.c
@@ -0,0 +1,205 @@
+/* The operators' settings: a row of the key-value store, whose revision is their version. Each
+ * controller reads it now and then; a change is a compare-and-swap on the version. */
+#include "core/constants.h"
+#include "log.h"
+#include "net/admin.h"
+#include "net/admin_endpoints.h"
+#include "wire/store.h"
+
+/* A change that is being committed. */
+typedef struct {
+  FtNode *node;
+  FtHttpRequest *request;
+  FtTuning tuning; /* in force once committed */
+} SettingsChange;
+
+static json_t *
+settings_body (const FtTuning *tuning, guint64 version)
+{
+  guint length;
+  const FtTuningInfo *all = ft_tuning_table (&length);
+  FtTuning standard;
+  ft_tuning_defaults (&standard);
+  json_t *list = json_array ();
+  for (guint i = 0; i < length; i++) {
+    json_t *item
+        = json_pack ("{s:s, s:o, s:s, s:f, s:f, s:s}", "name", all[i].name, "value", ft_setting_value (tuning, &all[i]),
+                     "unit", all[i].unit, "least", all[i].least, "most", all[i].most, "what", all[i].what);
+    json_object_set_new (item, "default", ft_setting_value (&standard, &all[i]));
+    json_array_append_new (list, item);
+  }
+  return json_pack ("{s:I, s:o}", "version", (json_int_t) version, "settings", list);
+}
+
+/* The operators' choice, else what the environment says. */
+static const char *
+log_level (const FtTuning *tuning)
+{
+  const char *const choices[] = FT_LOG_CHOICES;
+  guint level = (guint) tuning->log_level;
+  const char *environment = g_getenv ("LOG_LEVEL");
+  if (level > 0)
+    return choices[level];
+  return environment != NULL ? environment : "error";
+}
+
+/* Puts settings in force, unless that version is. Version 0 stands for no row at all. */
+static void
+apply (FtNode *node, const FtTuning *tuning, guint64 version)
+{
+  if (version == node->settings.settings_version && version != 0)
+    return;
+  node->settings.tuning = *tuning;
+  node->settings.settings_version = version;
+  ft_lease_set_times (node->lease, (gint64) (tuning->lease_s * FT_SECOND), (gint64) (tuning->sweep_s * FT_SECOND),
+                      tuning->sweep_jitter, tuning->renew_fraction);
+  if (node->leader.scheduler != NULL)
+    ft_scheduler_set_tuning (node->leader.scheduler, tuning);
+  ft_log_set_level (log_level (tuning));
+  g_message ("node %s: operators' settings of version %" G_GUINT64_FORMAT, node->config->member, version);
+}
+
+/* ---- reading ---- */
+
+static void
+on_settings_read (guint status, const json_t *body, gpointer data)
+{
+  FtNode *node = data;
+  FtTuning tuning;
+  FtRow row;
+  node->settings.settings_in_flight = FALSE;
+  if (status != 200 || !ft_store_row (body, &row))
+    return;
+  ft_row_settings_parse (row.value, &tuning);
+  g_autofree char *why = ft_tuning_check (&tuning, &node->config->core);
+  if (why != NULL)
+    g_warning ("node %s: stored settings not used: %s", node->config->member, why);
+  else
+    apply (node, &tuning, row.revision);
+}
+
+void
+ft_admin_tick (FtNode *node, gint64 now)
+{
+  if (now < node->settings.next_settings || node->settings.settings_in_flight)
+    return;
+  node->settings.next_settings = now + (gint64) (FT_SETTINGS_EVERY_S * FT_SECOND);
+  node->settings.settings_in_flight = TRUE;
+  ft_store_client_get (node->store, FT_KEY_SETTINGS, FT_STORE_PRIORITY_READ, on_settings_read, node);
+}
+
+void
+ft_admin_get_settings (FtNode *node, FtHttpRequest *request)
+{
+  const FtSettingsReader *settings = &node->settings;
+  ft_http_respond (request, FT_HTTP_OK, settings_body (&settings->tuning, settings->settings_version));
+}
+
+/* ---- changing ---- */
+
+static void
+on_committed (guint status, const json_t *body, gpointer data)
+{
+  SettingsChange *change = data;
+  guint64 revision;
+  if (status == 200 && ft_store_revision (body, &revision)) {
+    apply (change->node, &change->tuning, revision);
+    ft_http_respond (change->request, FT_HTTP_OK, settings_body (&change->tuning, revision));
+  } else if (status == 409) {
+    change->node->settings.next_settings = 0; /* to read the other change at once */
+    ft_admin_refuse (change->request, FT_HTTP_CONFLICT, "the settings have changed meanwhile: read them again");
+  } else {
+    ft_admin_refuse (change->request, FT_HTTP_UNAVAILABLE,
+                     "the state service did not confirm the change: read the settings again");
+  }
+  g_free (change);
+}
+
+/* Sets one value, of which null means the default; FALSE if the request was refused. */
+static gboolean
+set_value (FtHttpRequest *request, FtTuning *tuning, const char *name, const json_t *value)
+{
+  const FtTuningInfo *info = ft_tuning_find (name);
+  if (info == NULL) {
+    ft_admin_refuse (request, FT_HTTP_NOT_FOUND, "there is no setting %s", name);
+    return FALSE;
+  }
+  double number = info->standard;
+  if (!json_is_null (value) && !ft_setting_parse (info, value, &number)) {
+    ft_admin_refuse (request, FT_HTTP_UNPROCESSABLE, "%s: from %g to %g %s", name, info->least, info->most, info->unit);
+    return FALSE;
+  }
+  ft_tuning_set (tuning, info, number);
+  return TRUE;
+}
+
+/* Reads {"version": N, "set": {NAME: VALUE}}; FALSE if the request was refused. */
+static gboolean
+read_change (FtNode *node, FtHttpRequest *request, FtTuning *tuning, guint64 *version)
+{
+  const json_t *body = ft_http_body (request);
+  const json_t *stated = json_object_get (body, "version"), *set = json_object_get (body, "set");
+  const char *name;
+  json_t *value;
+  if (!json_is_integer (stated) || json_integer_value (stated) < 0 || !json_is_object (set)) {
+    ft_admin_refuse (request, FT_HTTP_BAD_REQUEST, "needed: {\"version\": N, \"set\": {NAME: VALUE}}");
+    return FALSE;
+  }
+  *version = (guint64) json_integer_value (stated);
+  *tuning = node->settings.tuning;
+  json_object_foreach ((json_t *) set, name, value)
+  {
+    if (!set_value (request, tuning, name, value))
+      return FALSE;
+  }
+  return TRUE;
+}
+
+/* FALSE if the request was refused. */
+static gboolean
+check_change (FtNode *node, FtHttpRequest *request, const FtTuning *tuning, guint64 version)
+{
+  if (version != node->settings.settings_version) {
+    ft_admin_refuse (request, FT_HTTP_CONFLICT, "the settings are at version %" G_GUINT64_FORMAT,
+                     node->settings.settings_version);
+    return FALSE;
+  }
+  g_autofree char *why = ft_tuning_check (tuning, &node->config->core);
+  if (why != NULL) {
+    ft_admin_refuse (request, FT_HTTP_UNPROCESSABLE, "%s", why);
+    return FALSE;
+  }
+  if (!ft_store_client_contact (node->store, g_get_monotonic_time ())) {
+    ft_admin_refuse (request, FT_HTTP_UNAVAILABLE, "the state service does not answer");
+    return FALSE;
+  }
+  return TRUE;
+}
+
+static json_t *
+settings_row (const FtTuning *tuning)
+{
+  guint length;
+  const FtTuningInfo *all = ft_tuning_table (&length);
+  json_t *row = json_object ();
+  for (guint i = 0; i < length; i++)
+    json_object_set_new (row, all[i].name, ft_setting_value (tuning, &all[i]));
+  return row;
+}
+
+void
+ft_admin_put_settings (FtNode *node, FtHttpRequest *request)
+{
+  FtTuning tuning;
+  guint64 version;
+  if (!read_change (node, request, &tuning, &version) || !check_change (node, request, &tuning, version))
+    return;
+  SettingsChange *change = g_new0 (SettingsChange, 1);
+  change->node = node;
+  change->request = request;
+  change->tuning = tuning;
+  json_auto_t *txn = ft_txn_new ();
+  ft_txn_if (txn, FT_KEY_SETTINGS, version);
+  ft_txn_put (txn, FT_KEY_SETTINGS, settings_row (&tuning));
+  ft_store_client_commit (node->store, txn, FT_STORE_PRIORITY_COMMIT, on_committed, change);
+}
--- /dev/null
+++ b/src/net/admin_status.c
@@ -0,0 +1,181 @@
+/* The administration API's reads: a controller's status and metrics, and the leader's lists. */
+#include <math.h>
+#include <string.h>
+
+#include "core/constants.h"
+#include "net/admin_endpoints.h"
+#include "net/front.h"
+
+/* ---- status ---- */
+
+/* Seconds to two decimals; null if it never happened. */
+static json_t *
+seconds_ago (gint64 at, gint64 now)
+{
+  if (at <= 0)
+    return json_null ();
+  return json_real (round ((double) (now - at) / 10000) / 100);
+}
+
+static json_t *
+peers_body (const FtNode *node, gint64 now)
+{
+  json_t *list = json_array ();
+  for (guint i = 0; i < node->peer_group.peers->len; i++) {
+    const FtPeerState *peer = &g_array_index (node->peer_group.peers, FtPeerState, i);
+    json_array_append_new (list, json_pack ("{s:s, s:s, s:o}", "member", peer->peer->member, "addr", peer->peer->addr,
+                                            "heard_s_ago", seconds_ago (peer->heard_at, now)));
+  }
+  return list;
+}
+
+void
+ft_admin_get_status (FtNode *node, FtHttpRequest *request)
+{
+  gint64 now = g_get_monotonic_time ();
+  json_t *body = json_pack (
+      "{s:s, s:s, s:b, s:b, s:s, s:s?, s:I, s:b, s:i, s:o}", "member", node->config->member, "version", FT_VERSION,
+      "ready", ft_node_ready (node, now), "state_service", ft_store_client_contact (node->store, now), "lease",
+      ft_lease_state_name (ft_lease_state (node->lease)), "leader", ft_node_leader (node), "token",
+      (json_int_t) (node->leader.scheduler != NULL ? ft_lease_token (node->lease) : node->peer_group.peer_leader_token),
+      "recovered", node->leader.scheduler != NULL && ft_scheduler_is_loaded (node->leader.scheduler),
+      "user_connections", (int) ft_http_server_connections (node->front), "peers", peers_body (node, now));
+  if (node->leader.scheduler != NULL)
+    json_object_set_new (body, "lease_age_s", json_real ((double) (now - node->leader.led_since) / FT_SECOND));
+  ft_http_respond (request, FT_HTTP_OK, body);
+}
+
+/* ---- lists ---- */
+
+static void
+add_team (const FtTeamLimit *limit, double cpus, double gpus, gpointer data)
+{
+  json_array_append_new (data, json_pack ("{s:s, s:f, s:f, s:f, s:f, s:f, s:f}", "name", limit->name, "cpus", cpus,
+                                          "cpus_guaranteed", limit->cpus, "cpus_max", limit->cpus_max, "gpus", gpus,
+                                          "gpus_guaranteed", limit->gpus, "gpus_max", limit->gpus_max));
+}
+
+/* A list of jobs that is being filled. */
+typedef struct {
+  const FtScheduler *scheduler;
+  json_t *list;
+} JobList;
+
+/* The first FT_ADMIN_REFS_MAX refs as one text, with the number of the others; takes the refs. */
+static char *
+refs_text (GStrv all)
+{
+  g_auto (GStrv) refs = all;
+  GString *text = g_string_new (NULL);
+  guint length = g_strv_length (refs);
+  for (guint i = 0; i < MIN (length, FT_ADMIN_REFS_MAX); i++)
+    g_string_append_printf (text, "%s%s", i > 0 ? " " : "", refs[i]);
+  if (length > FT_ADMIN_REFS_MAX)
+    g_string_append_printf (text, " and %u more", length - FT_ADMIN_REFS_MAX);
+  return g_string_free (text, FALSE);
+}
+
+static void
+add_job (const FtJobInfo *job, gpointer data)
+{
+  JobList *jobs = data;
+  g_autofree char *dependencies = refs_text (ft_scheduler_job_dependencies (jobs->scheduler, job->ref));
+  g_autofree char *awaited_by = refs_text (ft_scheduler_job_dependents (jobs->scheduler, job->ref));
+  json_array_append_new (jobs->list, json_pack ("{s:s, s:s, s:s, s:i, s:i, s:i, s:s, s:s, s:s}", "job", job->ref,
+                                                "class", job->job_class, "state", job->state, "tasks", (int) job->tasks,
+                                                "done", (int) job->done, "running", (int) job->running, "waits_for",
+                                                job->why_waiting, "awaits", dependencies, "awaited_by", awaited_by));
+}
+
+static void
+add_waiting_job (const FtJobInfo *job, gpointer data)
+{
+  if (*job->why_waiting != '\0')
+    add_job (job, data);
+}
+
+static void
+add_machine (const char *name, const char *state, const char *type, const char *zone, gboolean spot,
+             guint64 incarnation, guint tasks, const char *unused_why, gpointer data)
+{
+  json_array_append_new (data,
+                         json_pack ("{s:s, s:s, s:s, s:s, s:s, s:I, s:i, s:s}", "machine", name, "state", state, "type",
+                                    type, "zone", zone, "kind", spot ? "spot" : "ordinary", "session",
+                                    (json_int_t) incarnation, "tasks", (int) tasks, "not_used_because", unused_why));
+}
+
+static void
+add_teams (FtScheduler *scheduler, json_t *list)
+{
+  ft_scheduler_each_team (scheduler, add_team, list);
+}
+
+static void
+add_jobs (FtScheduler *scheduler, json_t *list)
+{
+  JobList jobs = { scheduler, list };
+  ft_scheduler_each_job (scheduler, add_job, &jobs);
+}
+
+static void
+add_waiting_jobs (FtScheduler *scheduler, json_t *list)
+{
+  JobList jobs = { scheduler, list };
+  ft_scheduler_each_job (scheduler, add_waiting_job, &jobs);
+}
+
+static void
+add_machines (FtScheduler *scheduler, json_t *list)
+{
+  ft_scheduler_each_machine (scheduler, add_machine, list);
+}
+
+typedef struct {
+  const char *name;
+  void (*add) (FtScheduler *scheduler, json_t *list);
+} List;
+
+static const List lists[] = {
+  { "teams", add_teams },
+  { "jobs", add_jobs },
+  { "queue", add_waiting_jobs },
+  { "machines", add_machines },
+};
+
+static const List *
+find_list (const char *name)
+{
+  for (guint i = 0; i < G_N_ELEMENTS (lists); i++)
+    if (strcmp (lists[i].name, name) == 0)
+      return &lists[i];
+  return NULL;
+}
+
+gboolean
+ft_admin_has_list (const char *name)
+{
+  return find_list (name) != NULL;
+}
+
+void
+ft_admin_get_list (FtNode *node, FtHttpRequest *request, const char *name)
+{
+  json_t *list = json_array ();
+  find_list (name)->add (node->leader.scheduler, list);
+  ft_http_respond (request, FT_HTTP_OK, json_pack ("{s:o}", name, list));
+}
+
+/* ---- metrics ---- */
+
+void
+ft_admin_get_metrics (FtNode *node, FtHttpRequest *request)
+{
+  json_t *body = ft_metrics_body (node->metrics), *counters = json_object_get (body, "counters");
+  if (node->leader.scheduler != NULL) {
+    guint open, waiting;
+    ft_scheduler_count_jobs (node->leader.scheduler, &open, &waiting);
+    json_object_set_new (counters, "open_jobs", json_integer (open));
+    json_object_set_new (counters, "waiting_jobs", json_integer (waiting));
+  }
+  ft_http_respond (request, FT_HTTP_OK, body);
+}
--- a/src/net/ancestors.c
+++ b/src/net/ancestors.c
@@ -1,6 +1,7 @@
 #include "net/ancestors.h"
 
 #include "core/constants.h"
+#include "net/polls.h"
 #include "wire/store.h"
 
 typedef struct {
--- a/src/net/front.c
+++ b/src/net/front.c
@@ -1,21 +1,32 @@
-/* The listener for users, workers and the balancer: routes, and /ready. */
+#include "net/front.h"
+
 #include <string.h>
 
 #include "core/constants.h"
-#include "net/node.h"
+#include "net/user_api.h"
+#include "net/worker_endpoint.h"
+
+/* ---- readiness ---- */
 
+/* Whether what the peer said last still counts. */
 static gboolean
-peer_fresh (const FtPeerState *view, gint64 now)
+is_fresh (const FtPeerState *peer, gint64 now)
+{
+  return peer->heard_at > 0 && now - peer->heard_at <= (gint64) (FT_PEER_FRESH_S * FT_SECOND);
+}
+
+static const FtPeerState *
+peer_at (const FtNode *node, guint i)
 {
-  return view->heard_at > 0 && now - view->heard_at <= (gint64) (FT_PEER_FRESH_S * FT_SECOND);
+  return &g_array_index (node->peer_group.peers, FtPeerState, i);
 }
 
 gboolean
 ft_node_peer_served (const FtNode *node, gint64 after, gint64 now)
 {
   for (guint i = 0; i < node->peer_group.peers->len; i++) {
-    const FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
-    if (peer_fresh (view, now) && view->served_at > after)
+    const FtPeerState *peer = peer_at (node, i);
+    if (is_fresh (peer, now) && peer->served_at > after)
       return TRUE;
   }
   return FALSE;
@@ -25,8 +36,8 @@
 ft_node_has_older_peer (const FtNode *node, gint64 now)
 {
   for (guint i = 0; i < node->peer_group.peers->len; i++) {
-    const FtPeerState *view = &g_array_index (node->peer_group.peers, FtPeerState, i);
-    if (peer_fresh (view, now) && !view->supports_dependencies)
+    const FtPeerState *peer = peer_at (node, i);
+    if (is_fresh (peer, now) && !peer->supports_dependencies)
       return TRUE;
   }
   return FALSE;
@@ -35,13 +46,22 @@
 gboolean
 ft_node_alone_unserved (const FtNode *node, gint64 now)
 {
-  gint64 lost = ft_store_client_failing_since (node->store) + (gint64) (FT_READY_MARGIN_S * FT_SECOND);
-  return !ft_store_client_contact (node->store, now) && ft_node_peer_served (node, lost, now);
+  gint64 lost_at = ft_store_client_failing_since (node->store) + (gint64) (FT_READY_MARGIN_S * FT_SECOND);
+  return !ft_store_client_contact (node->store, now) && ft_node_peer_served (node, lost_at, now);
+}
+
+static gboolean
+any_peer_is_fresh (const FtNode *node, gint64 now)
+{
+  for (guint i = 0; i < node->peer_group.peers->len; i++)
+    if (is_fresh (peer_at (node, i), now))
+      return TRUE;
+  return FALSE;
 }
 
-/* A node that cannot reach the state service is ready all the same while no
- * peer can either: it answers 503 at once, and an outage of the service does
- * not make the balancer shun every node for a growing pause. */
+/* A controller that cannot reach the key-value store is ready all the same while no peer can either:
+ * it answers 503 at once, and an outage of the store does not make the balancer take every
+ * controller out for longer and longer. */
 gboolean
 ft_node_ready (const FtNode *node, gint64 now)
 {
@@ -49,34 +69,50 @@
     return TRUE;
   if (ft_node_alone_unserved (node, now))
     return FALSE;
-  gboolean heard = FALSE;
-  for (guint i = 0; i < node->peer_group.peers->len; i++)
-    heard |= peer_fresh (&g_array_index (node->peer_group.peers, FtPeerState, i), now);
-  return heard && ft_store_client_last_served (node->store) > 0;
+  return any_peer_is_fresh (node, now) && ft_store_client_last_served (node->store) > 0;
 }
 
 static void
 handle_ready (FtNode *node, FtHttpRequest *request)
 {
   if (strcmp (ft_http_method (request), "GET") != 0)
-    ft_http_respond (request, 405, NULL);
+    ft_http_respond (request, FT_HTTP_METHOD_NOT_ALLOWED, NULL);
   else if (ft_node_ready (node, g_get_monotonic_time ()))
-    ft_http_respond (request, 200, json_object ());
+    ft_http_respond (request, FT_HTTP_OK, json_object ());
   else
     ft_http_unavailable (request);
 }
 
+/* ---- routes ---- */
+
+typedef struct {
+  const char *path;
+  gboolean with_subpaths; /* paths below it are routed to the same endpoint */
+  void (*handle) (FtNode *node, FtHttpRequest *request);
+} Route;
+
+static const Route routes[] = {
+  { "/checkin", FALSE, ft_worker_handle_heartbeat },
+  { "/ready", FALSE, handle_ready },
+  { "/work", TRUE, ft_user_handle },
+};
+
+static gboolean
+route_matches (const Route *route, const char *path)
+{
+  if (!g_str_has_prefix (path, route->path))
+    return FALSE;
+  char next = path[strlen (route->path)];
+  return next == '\0' || (route->with_subpaths && next == '/');
+}
+
 void
-ft_front_handle (FtHttpRequest *request, gpointer data)
+ft_front_handle (FtHttpRequest *request, gpointer node)
 {
-  FtNode *node = data;
-  const char *path = ft_http_path (request);
-  if (strcmp (path, "/checkin") == 0)
-    ft_worker_handle_heartbeat (node, request);
-  else if (strcmp (path, "/ready") == 0)
-    handle_ready (node, request);
-  else if (strcmp (path, "/work") == 0 || g_str_has_prefix (path, "/work/"))
-    ft_user_handle (node, request);
-  else
-    ft_http_respond (request, 404, NULL);
+  for (guint i = 0; i < G_N_ELEMENTS (routes); i++)
+    if (route_matches (&routes[i], ft_http_path (request))) {
+      routes[i].handle (node, request);
+      return;
+    }
+  ft_http_respond (request, FT_HTTP_NOT_FOUND, NULL);
 }
--- a/src/net/node.c
+++ b/src/net/node.c
@@ -1,6 +1,10 @@
 #include "net/node.h"
 
 #include "core/constants.h"
+#include "net/admin.h"
+#include "net/front.h"
+#include "net/polls.h"
+#include "net/worker_endpoint.h"
 #include "wire/cloud.h"
 #include "wire/store.h"
 
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -131,22 +131,6 @@
 void ft_leader_pump (FtNode *node, gint64 now);
 void ft_leader_tick (FtNode *node, gint64 now);
 
-/* user_api.c, worker_endpoint.c */
-void ft_front_handle (FtHttpRequest *request, gpointer node);
-void ft_user_handle (FtNode *node, FtHttpRequest *request);
-void ft_worker_refuse_all (FtNode *node);
-void ft_worker_handle_heartbeat (FtNode *node, FtHttpRequest *request);
-gboolean ft_node_ready (const FtNode *node, gint64 now);
-
-/* polls.c: what is asked about open jobs, many at a time */
-typedef enum { FT_POLL_OPEN, FT_POLL_CHANGED, FT_POLL_FAILED } FtPollResult;
-typedef void (*FtPollDone) (FtPollResult result, gpointer data);
-FtPolls *ft_polls_new (FtNode *node);
-void ft_polls_free (FtPolls *polls);
-/* Asks whether the job's row is as it is known; FALSE, and `done` is not called, if it is
- * not known to be open or too many wait. */
-gboolean ft_polls_ask (FtPolls *polls, const char *ref, FtPollDone done, gpointer data);
-
 /* peer.c */
 void ft_peers_tick (FtNode *node, gint64 now);
 void ft_peers_handle (FtHttpRequest *request, gpointer node);
@@ -154,7 +138,3 @@
 void ft_node_job_cancelled (FtNode *node, const char *ref);
 /* Drops what was committed before that time. */
 void ft_peers_forget_cancellations (FtNode *node, gint64 before);
-/* admin.c */
-void ft_admin_handle (FtNode *node, FtHttpRequest *request);
-void ft_admin_tick (FtNode *node, gint64 now);
-void ft_node_apply_settings (FtNode *node, const FtTuning *tuning, guint64 version);
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -4,6 +4,7 @@
 #include <string.h>
 
 #include "core/constants.h"
+#include "net/admin.h"
 #include "net/node.h"
 #include "wire/peer_heartbeat.h"
 
--- a/src/net/polls.c
+++ b/src/net/polls.c
@@ -1,19 +1,17 @@
-/* Polls of open jobs. A job's row changes only once, from open to its end, so one
- * comparison of many known revisions answers many polls: each waits for a request
- * that is sent after it came, and no older answer can follow a newer one. */
+#include "net/polls.h"
+
 #include "core/constants.h"
-#include "net/node.h"
 #include "wire/store.h"
 
 struct _FtPolls {
   FtNode *node;     /* borrowed */
-  GQueue waiting;   /* Poll, oldest first */
-  GPtrArray *asked; /* Poll of the request under way; NULL: none */
+  GQueue waiting;   /* Poll, oldest first, for a transaction that is still to be sent */
+  GPtrArray *asked; /* Poll of the transaction under way; NULL: none */
 };
 
 typedef struct {
   char *ref;
-  guint64 revision;
+  guint64 revision; /* of the job's row when it was read as open */
   gint64 began;
   FtPollDone done;
   gpointer data;
@@ -49,18 +47,18 @@
 }
 
 static void
-finish (Poll *poll, FtPollResult result)
+poll_finish (Poll *poll, FtPollResult result)
 {
   poll->done (result, poll->data);
   poll_free (poll);
 }
 
-static void ask_next (FtPolls *polls);
+static void send_next (FtPolls *polls);
 
-/* Which of the compared ones have changed is named; the others were compared in
- * vain and are asked about again at once, first in their order. */
+/* A conflict names the rows that have changed. About the others it says nothing: they go back to
+ * the head of the queue, in their order, and are compared again at once. */
 static void
-sort_out (FtPolls *polls, GPtrArray *asked, const json_t *body)
+finish_changed (FtPolls *polls, GPtrArray *asked, const json_t *body)
 {
   gboolean any = FALSE;
   for (guint i = asked->len; i > 0; i--) {
@@ -72,11 +70,11 @@
     }
     any = TRUE;
     ft_job_cache_forget (polls->node->job_cache, poll->ref);
-    finish (poll, FT_POLL_CHANGED);
+    poll_finish (poll, FT_POLL_CHANGED);
   }
   Poll *poll;
   while (!any && (poll = g_queue_pop_head (&polls->waiting)) != NULL)
-    finish (poll, FT_POLL_FAILED); /* an answer that names none: nothing can be told from it */
+    poll_finish (poll, FT_POLL_FAILED); /* a conflict that names no row proves nothing */
 }
 
 static void
@@ -85,32 +83,34 @@
   FtPolls *polls = data;
   g_autoptr (GPtrArray) asked = g_steal_pointer (&polls->asked);
   if (status == 409) {
-    sort_out (polls, asked, body);
+    finish_changed (polls, asked, body);
   } else {
     for (guint i = 0; i < asked->len; i++)
-      finish (g_ptr_array_index (asked, i), status == 200 ? FT_POLL_OPEN : FT_POLL_FAILED);
+      poll_finish (g_ptr_array_index (asked, i), status == 200 ? FT_POLL_OPEN : FT_POLL_FAILED);
   }
-  ask_next (polls);
+  send_next (polls);
 }
 
 static gboolean
-too_old (const Poll *poll)
+is_too_late (const Poll *poll)
 {
   return g_get_monotonic_time () - poll->began > (gint64) (FT_USER_DEADLINE_S * FT_SECOND);
 }
 
+/* Sends what waits, as much as a transaction may hold. One transaction is under way at a time: the
+ * polls that arrive meanwhile share the next one. */
 static void
-ask_next (FtPolls *polls)
+send_next (FtPolls *polls)
 {
   if (polls->asked != NULL || g_queue_is_empty (&polls->waiting))
     return;
-  json_t *txn = json_pack ("{s:[]}", "if");
+  json_auto_t *txn = json_pack ("{s:[]}", "if");
   guint most = FT_CONDITIONS_PER_CHANGE * polls->node->config->core.txn_ops;
   polls->asked = g_ptr_array_new ();
   Poll *poll;
   while (polls->asked->len < most && (poll = g_queue_pop_head (&polls->waiting)) != NULL) {
-    if (too_old (poll)) {
-      finish (poll, FT_POLL_FAILED);
+    if (is_too_late (poll)) {
+      poll_finish (poll, FT_POLL_FAILED);
       continue;
     }
     g_autofree char *key = ft_key_job (poll->ref);
@@ -121,7 +121,6 @@
     ft_store_client_commit (polls->node->store, txn, FT_STORE_PRIORITY_READ, on_compared, polls);
   else
     g_clear_pointer (&polls->asked, g_ptr_array_unref);
-  json_decref (txn);
 }
 
 gboolean
@@ -137,6 +136,6 @@
   poll->done = done;
   poll->data = data;
   g_queue_push_tail (&polls->waiting, poll);
-  ask_next (polls);
+  send_next (polls);
   return TRUE;
 }
--- a/src/net/user_api.c
+++ b/src/net/user_api.c
@@ -5,7 +5,8 @@
 #include "core/admission.h"
 #include "core/constants.h"
 #include "net/ancestors.h"
-#include "net/node.h"
+#include "net/polls.h"
+#include "net/user_api.h"
 #include "wire/messages.h"
 #include "wire/store.h"
 
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -1,10 +1,12 @@
-/* Heartbeats of the workers: the leader answers them, the others point to it. */
+#include "net/worker_endpoint.h"
+
 #include <string.h>
 
 #include "core/constants.h"
-#include "net/node.h"
 #include "wire/messages.h"
 
+/* ---- answers ---- */
+
 static void
 redirect (FtNode *node, FtHttpRequest *request)
 {
@@ -13,22 +15,22 @@
   if (g_strcmp0 (holder, node->config->member) == 0)
     holder = NULL;
   ft_metrics_count (node->metrics, FT_COUNT_REDIRECTS);
-  ft_http_close (request); /* it goes to another: thousands would keep theirs open here */
-  ft_http_respond (request, 421, ft_message_redirect (holder));
+  ft_http_close (request); /* the worker turns to another controller, and would keep its connection here */
+  ft_http_respond (request, FT_HTTP_MISDIRECTED, ft_message_redirect (holder));
 }
 
 static gboolean
-entitled (const FtNode *node, gint64 now)
+may_answer (const FtNode *node, gint64 now)
 {
   return node->leader.scheduler != NULL && ft_lease_may_answer (node->lease, now);
 }
 
-/* Everything is judged by the clock of this moment: the heartbeat may have waited. */
+/* Everything is decided by the time now, not that of arrival: the heartbeat may have waited. */
 static void
-serve (FtNode *node, FtHttpRequest *request)
+answer (FtNode *node, FtHttpRequest *request)
 {
   gint64 now = g_get_monotonic_time ();
-  if (!entitled (node, now)) {
+  if (!may_answer (node, now)) {
     redirect (node, request);
     return;
   }
@@ -36,102 +38,122 @@
   const guint8 *body = ft_http_raw (request, &size);
   g_autoptr (FtWorkerHeartbeat) heartbeat = body != NULL ? ft_message_worker_heartbeat_read (body, size) : NULL;
   if (heartbeat == NULL) {
-    ft_node_malformed (node, FT_COUNT_MALFORMED_WORKERS, "report");
-    ft_http_respond (request, 400, NULL);
+    ft_node_malformed (node, FT_COUNT_MALFORMED_WORKERS, "worker heartbeat");
+    ft_http_respond (request, FT_HTTP_BAD_REQUEST, NULL);
     return;
   }
   ft_metrics_count (node->metrics, FT_COUNT_HEARTBEATS);
   if (!ft_scheduler_heartbeat (node->leader.scheduler, heartbeat, now)) {
-    ft_node_step_down (node, "a worker has seen a higher token");
+    ft_node_step_down (node, "a worker has seen a higher fencing token");
     redirect (node, request);
     return;
   }
   ft_scheduler_allow (node->leader.scheduler, ft_lease_may_start (node->lease, now));
   g_autoptr (GArray) commands = ft_scheduler_answer (node->leader.scheduler, heartbeat, now);
-  ft_http_respond (request, 200, ft_message_answer (ft_lease_token (node->lease), commands));
+  ft_http_respond (request, FT_HTTP_OK, ft_message_answer (ft_lease_token (node->lease), commands));
   ft_node_pump (node);
 }
 
-/* ---- reports that wait ---- */
+/* ---- the queue ----
+ *
+ * A turn of the HTTP server answers FT_HEARTBEATS_AT_ONCE heartbeats itself; later ones of the turn,
+ * and all while others wait, are queued. A source of the main loop then takes as many at a time,
+ * so that timers and other requests get their turn in between. */
 
 typedef struct {
   FtHttpRequest *request;
-  gint64 came_at;
-} Waiting;
+  gint64 arrived_at;
+} QueuedHeartbeat;
 
 static gboolean
-backlog_is_old (FtNode *node, gint64 now)
+backlog_is_late (const FtHeartbeatQueue *queue, gint64 now)
 {
-  const Waiting *oldest = g_queue_peek_head (&node->heartbeat_queue.waiting_heartbeats);
-  return oldest != NULL && now - oldest->came_at > (gint64) (FT_HEARTBEAT_LATE_S * FT_SECOND);
+  const QueuedHeartbeat *oldest = g_queue_peek_head ((GQueue *) &queue->waiting_heartbeats);
+  return oldest != NULL && now - oldest->arrived_at > (gint64) (FT_HEARTBEAT_LATE_S * FT_SECOND);
+}
+
+/* Records since when this controller cannot keep up, and has the scheduler allow for it. */
+static void
+note_backlog (FtNode *node, gboolean late, gint64 now)
+{
+  FtHeartbeatQueue *queue = &node->heartbeat_queue;
+  if (!late)
+    queue->overrun_since = 0;
+  else if (queue->overrun_since == 0)
+    queue->overrun_since = now;
+  if (late && node->leader.scheduler != NULL)
+    ft_scheduler_late (node->leader.scheduler, now);
 }
 
-/* Under a backlog of all workers at once renewals and probes of the balancer would come
- * seconds late: a turn takes a few reports. If they wait for long the newest go first,
- * so that some workers are answered in time instead of none; the old ones are taken in
- * all the same, or their machines would be missed and given back. */
+/* While the backlog is late the newest heartbeats are answered first, so that some workers get an
+ * answer in time instead of none. The old ones are taken in all the same: without them their
+ * machines would be taken for lost and given back. */
 static gboolean
-on_waiting_heartbeats (gpointer data)
+on_heartbeats_waiting (gpointer data)
 {
   FtNode *node = data;
+  FtHeartbeatQueue *queue = &node->heartbeat_queue;
   gint64 now = g_get_monotonic_time ();
-  gboolean old = backlog_is_old (node, now);
-  if (!old)
-    node->heartbeat_queue.overrun_since = 0;
-  else if (node->heartbeat_queue.overrun_since == 0)
-    node->heartbeat_queue.overrun_since = now;
-  if (old && node->leader.scheduler != NULL)
-    ft_scheduler_late (node->leader.scheduler, now);
-  for (guint i = 0; i < FT_HEARTBEATS_AT_ONCE && !g_queue_is_empty (&node->heartbeat_queue.waiting_heartbeats); i++) {
-    g_autofree Waiting *waiting = old ? g_queue_pop_tail (&node->heartbeat_queue.waiting_heartbeats)
-                                      : g_queue_pop_head (&node->heartbeat_queue.waiting_heartbeats);
-    serve (node, waiting->request);
+  gboolean late = backlog_is_late (queue, now);
+  note_backlog (node, late, now);
+  for (guint i = 0; i < FT_HEARTBEATS_AT_ONCE && !g_queue_is_empty (&queue->waiting_heartbeats); i++) {
+    g_autofree QueuedHeartbeat *queued
+        = late ? g_queue_pop_tail (&queue->waiting_heartbeats) : g_queue_pop_head (&queue->waiting_heartbeats);
+    answer (node, queued->request);
   }
-  if (!g_queue_is_empty (&node->heartbeat_queue.waiting_heartbeats))
+  if (!g_queue_is_empty (&queue->waiting_heartbeats))
     return G_SOURCE_CONTINUE;
-  node->heartbeat_queue.heartbeats_source = 0;
-  node->heartbeat_queue.overrun_since = 0;
+  queue->heartbeats_source = 0;
+  queue->overrun_since = 0;
   return G_SOURCE_REMOVE;
 }
 
+static void
+enqueue (FtNode *node, FtHttpRequest *request, gint64 now)
+{
+  FtHeartbeatQueue *queue = &node->heartbeat_queue;
+  QueuedHeartbeat *queued = g_new0 (QueuedHeartbeat, 1);
+  queued->request = request;
+  queued->arrived_at = now;
+  g_queue_push_tail (&queue->waiting_heartbeats, queued);
+  if (queue->heartbeats_source == 0)
+    queue->heartbeats_source = g_idle_add_full (G_PRIORITY_DEFAULT, on_heartbeats_waiting, node, NULL);
+}
+
 void
 ft_worker_refuse_all (FtNode *node)
 {
-  Waiting *waiting;
-  if (node->heartbeat_queue.heartbeats_source != 0)
-    g_source_remove (node->heartbeat_queue.heartbeats_source);
-  while ((waiting = g_queue_pop_head (&node->heartbeat_queue.waiting_heartbeats)) != NULL) {
-    ft_http_unavailable (waiting->request);
-    g_free (waiting);
+  FtHeartbeatQueue *queue = &node->heartbeat_queue;
+  QueuedHeartbeat *queued;
+  g_clear_handle_id (&queue->heartbeats_source, g_source_remove);
+  while ((queued = g_queue_pop_head (&queue->waiting_heartbeats)) != NULL) {
+    ft_http_unavailable (queued->request);
+    g_free (queued);
   }
 }
 
+/* Counts the heartbeat to the HTTP server's present turn. */
 static gboolean
 turn_is_full (FtNode *node)
 {
+  FtHeartbeatQueue *queue = &node->heartbeat_queue;
   guint turn = ft_http_server_turn (node->front);
-  if (turn != node->heartbeat_queue.heartbeats_turn)
-    node->heartbeat_queue.heartbeats_in_turn = 0;
-  node->heartbeat_queue.heartbeats_turn = turn;
-  return ++node->heartbeat_queue.heartbeats_in_turn > FT_HEARTBEATS_AT_ONCE;
+  if (turn != queue->heartbeats_turn)
+    queue->heartbeats_in_turn = 0;
+  queue->heartbeats_turn = turn;
+  return ++queue->heartbeats_in_turn > FT_HEARTBEATS_AT_ONCE;
 }
 
 void
 ft_worker_handle_heartbeat (FtNode *node, FtHttpRequest *request)
 {
   gint64 now = g_get_monotonic_time ();
-  if (strcmp (ft_http_method (request), "POST") != 0) {
-    ft_http_respond (request, 405, NULL);
-  } else if (!entitled (node, now)) {
-    redirect (node, request); /* unread: that is the leader's work */
-  } else if (g_queue_is_empty (&node->heartbeat_queue.waiting_heartbeats) && !turn_is_full (node)) {
-    serve (node, request);
-  } else {
-    Waiting *waiting = g_new0 (Waiting, 1);
-    waiting->request = request;
-    waiting->came_at = now;
-    g_queue_push_tail (&node->heartbeat_queue.waiting_heartbeats, waiting);
-    if (node->heartbeat_queue.heartbeats_source == 0)
-      node->heartbeat_queue.heartbeats_source = g_idle_add_full (G_PRIORITY_DEFAULT, on_waiting_heartbeats, node, NULL);
-  }
+  if (strcmp (ft_http_method (request), "POST") != 0)
+    ft_http_respond (request, FT_HTTP_METHOD_NOT_ALLOWED, NULL);
+  else if (!may_answer (node, now))
+    redirect (node, request); /* without decoding it, which only the leader has to */
+  else if (g_queue_is_empty (&node->heartbeat_queue.waiting_heartbeats) && !turn_is_full (node))
+    answer (node, request);
+  else
+    enqueue (node, request, now);
 }
