--- /dev/null
+++ b/src/net/cancellation.c
@@ -0,0 +1,44 @@
+#include "net/cancellation.h"
+
+#include "net/idempotent_request.h"
+#include "net/job_status.h"
+#include "wire/store.h"
+
+static void
+on_cancellation_committed (guint status, const json_t *body, gpointer data)
+{
+  FtUserRequest *request = data;
+  FtNode *node = request->node;
+  gboolean by_dependency = request->cancel_reason == FT_CANCEL_BY_DEPENDENCY;
+  (void) body;
+  if (status != 200) {
+    ft_idempotent_request_read_after_commit (request, status);
+    return;
+  }
+  g_message ("job %s: cancelled%s", request->ref, by_dependency ? ", since one of its ancestors is" : "");
+  ft_metrics_count (node->metrics, by_dependency ? FT_COUNT_CANCELLED_BY_DEPENDENCY : FT_COUNT_CANCELLED);
+  ft_node_job_cancelled (node, request->ref);
+  ft_job_status_answer_ended (request, FT_JOB_END_CANCELLED, 0);
+}
+
+void
+ft_cancellation_commit (FtUserRequest *request, guint64 revision, guint tasks)
+{
+  g_autofree char *job_key = ft_key_job (request->ref);
+  g_autofree char *mark_key = ft_key_cancellation (request->ref);
+  gint64 wall_ms = g_get_real_time () / 1000;
+  json_auto_t *txn = ft_txn_new ();
+  ft_txn_if (txn, job_key, revision);
+  ft_txn_put (txn, job_key, ft_row_job_ended (FT_JOB_END_CANCELLED, tasks, wall_ms));
+  ft_txn_put (txn, mark_key, ft_row_cancellation (wall_ms));
+  ft_store_client_commit (request->node->store, txn, FT_STORE_PRIORITY_CANCEL, on_cancellation_committed, request);
+}
+
+void
+ft_cancellation_handle (FtUserRequest *request)
+{
+  if (!ft_idempotent_request_begin (request))
+    return;
+  request->cancel_reason = FT_CANCEL_BY_USER;
+  ft_job_status_read (request);
+}
--- /dev/null
+++ b/src/net/job_status.c
@@ -0,0 +1,135 @@
+#include "net/job_status.h"
+
+#include "net/ancestors.h"
+#include "net/cancellation.h"
+#include "net/idempotent_request.h"
+#include "net/polls.h"
+#include "wire/messages.h"
+#include "wire/store.h"
+
+/* ---- bodies ---- */
+
+json_t *
+ft_job_status_ended_body (const char *ref, FtJobEnd end, guint tasks)
+{
+  gboolean done = end == FT_JOB_END_DONE;
+  return ft_message_job_state (ref, done ? "done" : "cancelled", done ? tasks : 0, 0, TRUE);
+}
+
+json_t *
+ft_job_status_remembered_body (FtNode *node, const char *ref)
+{
+  FtJobEnd end;
+  guint tasks;
+  if (!ft_job_cache_end (node->job_cache, ref, &end, &tasks))
+    return NULL;
+  return ft_job_status_ended_body (ref, end, tasks);
+}
+
+/* An open job's counts are for display: the leader's own, or those of its last summary. */
+static json_t *
+open_body (FtNode *node, const char *ref)
+{
+  FtJobProgress progress = { 0 };
+  const FtJobProgress *summary = g_hash_table_lookup (node->peer_group.peer_job_progress, ref);
+  if (node->leader.scheduler != NULL)
+    progress = ft_scheduler_view (node->leader.scheduler, ref);
+  else if (summary != NULL)
+    progress = *summary;
+  const char *state = progress.running > 0 ? "running" : "queued";
+  return ft_message_job_state (ref, state, progress.done, progress.running, TRUE);
+}
+
+/* ---- answers ---- */
+
+void
+ft_job_status_answer_ended (FtUserRequest *request, FtJobEnd end, guint tasks)
+{
+  ft_job_cache_ended (request->node->job_cache, request->ref, end, tasks);
+  ft_user_request_answer (request, FT_HTTP_OK, ft_job_status_ended_body (request->ref, end, tasks));
+}
+
+static void
+on_ancestors_checked (FtAncestorsResult result, const char *ref, gpointer data)
+{
+  FtUserRequest *request = data;
+  (void) ref;
+  json_t *ended = ft_job_status_remembered_body (request->node, request->ref);
+  if (ended != NULL) {
+    ft_user_request_answer (request, FT_HTTP_OK, ended); /* another request has found it ended meanwhile */
+  } else if (result == FT_ANCESTORS_OPEN) {
+    ft_user_request_answer (request, FT_HTTP_OK, open_body (request->node, request->ref));
+  } else if (result == FT_ANCESTORS_CANCELLED) {
+    request->cancel_reason = FT_CANCEL_BY_DEPENDENCY;
+    ft_job_status_read (request);
+  } else {
+    ft_user_request_answer_unavailable (request);
+  }
+}
+
+/* Its own row is open, but one of its ancestors may have been cancelled. */
+static void
+answer_open (FtUserRequest *request)
+{
+  ft_ancestors_check (request->node, request->ref, on_ancestors_checked, request);
+}
+
+/* ---- reading the row ---- */
+
+static void
+on_row_read (guint status, const json_t *body, gpointer data)
+{
+  FtUserRequest *request = data;
+  FtRow row;
+  FtJobRow state;
+  if (status == 404) {
+    /* A submission whose commit got no answer may still be applied: not yet accepted. */
+    ft_user_request_answer (request, request->spec != NULL ? FT_HTTP_UNAVAILABLE : FT_HTTP_NOT_FOUND, NULL);
+    return;
+  }
+  if (status != 200 || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
+    ft_user_request_answer_unavailable (request);
+  } else if (!state.open) {
+    ft_job_status_answer_ended (request, state.end, state.tasks);
+  } else if (request->cancel_reason != FT_CANCEL_NONE) {
+    ft_cancellation_commit (request, row.revision, state.tasks);
+  } else {
+    ft_job_cache_open (request->node->job_cache, request->ref, row.revision, state.has_dependencies);
+    answer_open (request);
+  }
+}
+
+void
+ft_job_status_read (FtUserRequest *request)
+{
+  g_autofree char *key = ft_key_job (request->ref);
+  gboolean cancels = request->cancel_reason != FT_CANCEL_NONE;
+  if (ft_user_request_is_too_late (request))
+    ft_user_request_answer_unavailable (request);
+  else
+    ft_store_client_get (request->node->store, key, cancels ? FT_STORE_PRIORITY_CANCEL : FT_STORE_PRIORITY_READ,
+                         on_row_read, request);
+}
+
+/* ---- polls ---- */
+
+static void
+on_revision_compared (FtPollResult result, gpointer data)
+{
+  FtUserRequest *request = data;
+  if (result == FT_POLL_CHANGED)
+    ft_job_status_read (request);
+  else if (result == FT_POLL_OPEN)
+    answer_open (request);
+  else
+    ft_user_request_answer_unavailable (request);
+}
+
+void
+ft_job_status_handle_poll (FtUserRequest *request)
+{
+  if (!ft_idempotent_request_begin (request))
+    return;
+  if (!ft_polls_ask (request->node->polls, request->ref, on_revision_compared, request))
+    ft_job_status_read (request);
+}
--- /dev/null
+++ b/src/net/submission.c
@@ -0,0 +1,186 @@
+#include "net/submission.h"
+
+#include "core/admission.h"
+#include "core/constants.h"
+#include "net/ancestors.h"
+#include "net/idempotent_request.h"
+#include "net/job_status.h"
+#include "wire/messages.h"
+#include "wire/store.h"
+
+/* The steps stand in the order in which a submission takes them; each hands the request on to the
+ * next, or answers it. */
+static void check_dependencies (FtUserRequest *request);
+static void commit_open (FtUserRequest *request);
+static void commit_cancelled (FtUserRequest *request);
+
+/* ---- parse ---- */
+
+static gboolean
+parse (FtUserRequest *request)
+{
+  request->spec = ft_message_job (ft_user_request_body (request));
+  if (request->spec == NULL)
+    return FALSE;
+  request->ref = g_strdup (request->spec->ref);
+  return TRUE;
+}
+
+/* ---- validate: can the job ever run, as far as its submission alone says ---- */
+
+static FtAdmission
+validate (const FtNode *node, const FtJobSpec *spec, const char **why)
+{
+  if (ft_row_open_size (spec) > node->config->core.value_kb * 1024) {
+    *why = "it is too large for a row of the state service: fewer or shorter names are needed";
+    return FT_ADMIT_NEVER;
+  }
+  return ft_admission_check (&node->config->core, node->catalog_cache.catalog, spec, why);
+}
+
+static void
+refuse (FtUserRequest *request, const char *why)
+{
+  g_message ("job %s: refused: %s", request->ref, why);
+  ft_user_request_answer (request, FT_HTTP_UNPROCESSABLE, json_pack ("{s:s}", "error", why));
+}
+
+/* ---- admit: can this controller take it now ---- */
+
+static gboolean
+is_overloaded (const FtNode *node)
+{
+  return !ft_store_client_contact (node->store, g_get_monotonic_time ())
+         || ft_store_client_queued (node->store) > FT_STORE_QUEUE_MAX
+         || ft_store_client_write_wait_s (node->store) > FT_SUBMIT_WAIT_MAX_S
+         || (node->leader.scheduler != NULL && ft_scheduler_open_tasks (node->leader.scheduler) > FT_OPEN_TASKS_MAX);
+}
+
+/* A job with dependencies is safe only with controllers that know of them: an older leader would
+ * start it at once. */
+static gboolean
+must_wait_for_upgrade (const FtNode *node, const FtJobSpec *spec)
+{
+  return spec->dependencies != NULL && ft_node_has_older_peer (node, g_get_monotonic_time ());
+}
+
+void
+ft_submission_handle (FtUserRequest *request)
+{
+  FtNode *node = request->node;
+  const char *why;
+  if (!parse (request)) {
+    ft_user_request_answer (request, FT_HTTP_BAD_REQUEST, NULL);
+    return;
+  }
+  if (ft_idempotent_request_answer_known (request))
+    return;
+  FtAdmission admission = validate (node, request->spec, &why);
+  if (admission == FT_ADMIT_NEVER) {
+    refuse (request, why);
+    return;
+  }
+  if (admission == FT_ADMIT_NOT_YET || is_overloaded (node) || must_wait_for_upgrade (node, request->spec)) {
+    ft_user_request_answer_unavailable (request);
+    return;
+  }
+  request->spec->submitted_wall_ms = g_get_real_time () / 1000;
+  ft_user_request_start_clock (request);
+  check_dependencies (request);
+}
+
+/* ---- check dependencies ---- */
+
+static void
+on_dependencies_checked (FtAncestorsResult result, const char *ref, gpointer data)
+{
+  FtUserRequest *request = data;
+  if (result == FT_ANCESTORS_OPEN) {
+    commit_open (request);
+  } else if (result == FT_ANCESTORS_CANCELLED) {
+    commit_cancelled (request);
+  } else if (result == FT_ANCESTORS_MISSING) {
+    g_autofree char *why = g_strdup_printf ("it needs job %s, which was never accepted", ref);
+    refuse (request, why);
+  } else {
+    ft_user_request_answer_unavailable (request);
+  }
+}
+
+static void
+check_dependencies (FtUserRequest *request)
+{
+  const char *const *dependencies = (const char *const *) request->spec->dependencies;
+  /* Its ancestors, if any, are found uncancelled as of a time that the check does not report. */
+  request->uncancelled_at = dependencies == NULL ? request->began : 0;
+  ft_ancestors_check_named (request->node, dependencies, on_dependencies_checked, request);
+}
+
+/* ---- commit and answer: an open job ---- */
+
+static void
+remember_open (FtUserRequest *request, guint64 revision)
+{
+  gboolean has_dependencies = request->spec->dependencies != NULL;
+  FtCachedJob *job = ft_job_cache_open (request->node->job_cache, request->ref, revision, has_dependencies);
+  job->checked_at = request->uncancelled_at;
+  g_strfreev (job->dependencies);
+  job->dependencies = g_strdupv (request->spec->dependencies);
+}
+
+static void
+on_open_committed (guint status, const json_t *body, gpointer data)
+{
+  FtUserRequest *request = data;
+  guint64 revision;
+  if (status != 200) {
+    ft_idempotent_request_read_after_commit (request, status);
+    return;
+  }
+  if (ft_store_revision (body, &revision))
+    remember_open (request, revision);
+  ft_user_request_answer (request, FT_HTTP_CREATED, ft_message_job_state (request->ref, "queued", 0, 0, FALSE));
+}
+
+static void
+commit_open (FtUserRequest *request)
+{
+  g_autofree char *job_key = ft_key_job (request->ref);
+  g_autofree char *open_key = ft_key_open (request->ref);
+  json_auto_t *txn = ft_txn_new ();
+  ft_txn_if (txn, job_key, 0);
+  ft_txn_put (txn, job_key, ft_row_job_open (request->spec));
+  ft_txn_put (txn, open_key, ft_row_open (request->spec));
+  ft_store_client_commit (request->node->store, txn, FT_STORE_PRIORITY_COMMIT, on_open_committed, request);
+}
+
+/* ---- commit and answer: a job whose ancestor is cancelled ---- */
+
+static void
+on_cancelled_committed (guint status, const json_t *body, gpointer data)
+{
+  FtUserRequest *request = data;
+  guint tasks = request->spec->tasks;
+  (void) body;
+  if (status != 200) {
+    ft_idempotent_request_read_after_commit (request, status);
+    return;
+  }
+  g_message ("job %s: accepted as cancelled, since one of its ancestors is", request->ref);
+  ft_metrics_count (request->node->metrics, FT_COUNT_CANCELLED_BY_DEPENDENCY);
+  ft_job_cache_ended (request->node->job_cache, request->ref, FT_JOB_END_CANCELLED, tasks);
+  json_t *state = ft_job_status_ended_body (request->ref, FT_JOB_END_CANCELLED, tasks);
+  ft_user_request_answer (request, FT_HTTP_CREATED, state);
+}
+
+/* Accepted, and ended at once: no leader needs to know of it, so that it has no open row. */
+static void
+commit_cancelled (FtUserRequest *request)
+{
+  g_autofree char *job_key = ft_key_job (request->ref);
+  gint64 wall_ms = g_get_real_time () / 1000;
+  json_auto_t *txn = ft_txn_new ();
+  ft_txn_if (txn, job_key, 0);
+  ft_txn_put (txn, job_key, ft_row_job_ended (FT_JOB_END_CANCELLED, request->spec->tasks, wall_ms));
+  ft_store_client_commit (request->node->store, txn, FT_STORE_PRIORITY_COMMIT, on_cancelled_committed, request);
+}
--- a/src/net/user_api.h
+++ b/src/net/user_api.h
@@ -8,6 +8,7 @@
  * @node: the controller
  * @http: (transfer full): a request for /work or below, of any method
  *
- * Answers POST /work, GET /work/REF and POST /work/REF/withdraw, now or later.
+ * Answers it now or later, by the table of routes: submissions, polls and cancellations of jobs; any
+ * other path with 404, any other method with 405.
  */
 void ft_user_handle (FtNode *node, FtHttpRequest *http);
