--- a/src/net/cancellation.h
+++ b/src/net/cancellation.h
@@ -8,7 +8,7 @@
  * ft_cancellation_handle:
  * @request: (transfer full): the request
  *
- * Answers POST /work/REF/withdraw.
+ * Answers a user's cancellation of the job that the path names.
  */
 void ft_cancellation_handle (FtUserRequest *request);
 
