--- a/src/net/catalog_cache.c
+++ b/src/net/catalog_cache.c
@@ -40,7 +40,7 @@
 on_catalog (guint status, const json_t *body, gpointer data)
 {
   FtCatalogCache *cache = data;
-  gboolean answered = status == 200;
+  gboolean answered = status == FT_HTTP_OK;
   FtCatalog *catalog = answered ? ft_cloud_catalog (body) : NULL;
   double pause_s = catalog != NULL ? FT_CATALOG_EVERY_S : FT_CATALOG_RETRY_S;
   cache->in_flight = FALSE;
--- a/src/net/front.c
+++ b/src/net/front.c
@@ -1,12 +1,16 @@
-/* The listener for users, workers and the balancer: routes, and /ready. */
+#include "net/front.h"
+
 #include <string.h>
 
 #include "core/constants.h"
-#include "net/node.h"
+#include "net/user_api.h"
+#include "net/worker_endpoint.h"
+
+/* ---- readiness ---- */
 
-/* A node that cannot reach the state service is ready all the same while no
- * peer can either: it answers 503 at once, and an outage of the service does
- * not make the balancer shun every node for a growing pause. */
+/* A controller that cannot reach the key-value store is ready all the same while no peer can either:
+ * it answers 503 at once, and an outage of the store does not make the balancer take every
+ * controller out for longer and longer. */
 gboolean
 ft_node_ready (const FtNode *node, gint64 now)
 {
@@ -21,24 +25,43 @@
 handle_ready (FtNode *node, FtHttpRequest *request)
 {
   if (strcmp (ft_http_method (request), "GET") != 0)
-    ft_http_respond (request, 405, NULL);
+    ft_http_respond (request, FT_HTTP_METHOD_NOT_ALLOWED, NULL);
   else if (ft_node_ready (node, g_get_monotonic_time ()))
-    ft_http_respond (request, 200, json_object ());
+    ft_http_respond (request, FT_HTTP_OK, json_object ());
   else
     ft_http_unavailable (request);
 }
 
+/* ---- routes ---- */
+
+typedef struct {
+  const char *path;
+  gboolean with_subpaths; /* paths below it are routed to the same endpoint */
+  void (*handle) (FtNode *node, FtHttpRequest *request);
+} Route;
+
+static const Route routes[] = {
+  { "/checkin", FALSE, ft_worker_handle_heartbeat },
+  { "/ready", FALSE, handle_ready },
+  { "/work", TRUE, ft_user_handle },
+};
+
+static gboolean
+route_matches (const Route *route, const char *path)
+{
+  if (!g_str_has_prefix (path, route->path))
+    return FALSE;
+  char next = path[strlen (route->path)];
+  return next == '\0' || (route->with_subpaths && next == '/');
+}
+
 void
-ft_front_handle (FtHttpRequest *request, gpointer data)
+ft_front_handle (FtHttpRequest *request, gpointer node)
 {
-  FtNode *node = data;
-  const char *path = ft_http_path (request);
-  if (strcmp (path, "/checkin") == 0)
-    ft_worker_handle_heartbeat (node, request);
-  else if (strcmp (path, "/ready") == 0)
-    handle_ready (node, request);
-  else if (strcmp (path, "/work") == 0 || g_str_has_prefix (path, "/work/"))
-    ft_user_handle (node, request);
-  else
-    ft_http_respond (request, 404, NULL);
+  for (guint i = 0; i < G_N_ELEMENTS (routes); i++)
+    if (route_matches (&routes[i], ft_http_path (request))) {
+      routes[i].handle (node, request);
+      return;
+    }
+  ft_http_respond (request, FT_HTTP_NOT_FOUND, NULL);
 }
--- a/src/net/job_cache.c
+++ b/src/net/job_cache.c
@@ -5,8 +5,8 @@
 
 struct _FtJobCache {
   GHashTable *open;   /* ref -> FtCachedJob, owned */
-  GQueue order;       /* refs, the oldest first; also those of jobs that were forgotten since */
-  FtRecentMap *ended; /* ref -> end and count of tasks, see pack() */
+  GQueue order;       /* refs in the order in which they were added; also of jobs forgotten since */
+  FtRecentMap *ended; /* ref -> end and number of tasks, see pack() */
 };
 
 static void
@@ -56,7 +56,10 @@
     g_hash_table_insert (cache->open, g_strdup (ref), job);
   }
   job->revision = revision;
-  job->has_dependencies = has_dependencies;
+  if (!has_dependencies)
+    job->dependency_state = FT_DEPENDENCIES_NONE;
+  else if (job->dependency_state == FT_DEPENDENCIES_NONE)
+    job->dependency_state = FT_DEPENDENCIES_PENDING;
   return job;
 }
 
@@ -72,7 +75,7 @@
   g_hash_table_remove (cache->open, ref);
 }
 
-/* One number holds the count of tasks and, in its last bit, the end. */
+/* The number of tasks and, in the lowest bit, the end. */
 static guint
 pack (FtJobEnd end, guint tasks)
 {
--- a/src/net/leader_cloud.c
+++ b/src/net/leader_cloud.c
@@ -22,12 +22,12 @@
 static FtCloudResult
 scale_result (guint status, const json_t *body, FtCloudCall *cloud)
 {
-  if (status == 200 && (cloud->op == FT_CLOUD_SCALE_IN || ft_cloud_launched (body, cloud)))
+  if (status == FT_HTTP_OK && (cloud->op == FT_CLOUD_SCALE_IN || ft_cloud_launched (body, cloud)))
     return FT_CLOUD_OK;
-  if (status == 400)
+  if (status == FT_HTTP_BAD_REQUEST)
     return FT_CLOUD_REFUSED;
   const char *error = json_string_value (json_object_get (body, "error"));
-  if (status == 503 && g_strcmp0 (error, "no capacity") == 0)
+  if (status == FT_HTTP_UNAVAILABLE && g_strcmp0 (error, "no capacity") == 0)
     return FT_CLOUD_REFUSED;
   return FT_CLOUD_FAILED;
 }
@@ -39,7 +39,7 @@
   FtNode *node = request->node;
   FtCloudResult result = scale_result (status, body, cloud);
   node->leader.cloud.calls_in_flight--;
-  if (status == 200 && result == FT_CLOUD_FAILED)
+  if (status == FT_HTTP_OK && result == FT_CLOUD_FAILED)
     ft_node_malformed (node, FT_COUNT_MALFORMED_CLOUD, "answer to a rental");
   ft_scheduler_cloud_done (node->leader.scheduler, cloud, result, g_get_monotonic_time ());
   return FT_LEADER_OUTCOME_PROGRESS;
@@ -98,7 +98,7 @@
   FtNode *node = request->node;
   gboolean more = FALSE;
   node->leader.cloud.list_in_flight = FALSE;
-  if (status != 200)
+  if (status != FT_HTTP_OK)
     return FT_LEADER_OUTCOME_DONE;
   if (!ft_cloud_list (body, machines, &more)) {
     ft_node_malformed (node, FT_COUNT_MALFORMED_CLOUD, "list of machines");
--- a/src/net/leader_commands.c
+++ b/src/net/leader_commands.c
@@ -16,7 +16,7 @@
 {
   if (heartbeat == NULL)
     return FT_DIRECT_UNANSWERED;
-  return status == 200 ? FT_DIRECT_OK : FT_DIRECT_CONFLICT;
+  return status == FT_HTTP_OK ? FT_DIRECT_OK : FT_DIRECT_CONFLICT;
 }
 
 static FtLeaderOutcome
@@ -24,7 +24,7 @@
 {
   const FtDirect *direct = ((CommandRequest *) request)->direct;
   FtNode *node = request->node;
-  gboolean has_heartbeat = status == 200 || status == 409;
+  gboolean has_heartbeat = status == FT_HTTP_OK || status == FT_HTTP_CONFLICT;
   g_autoptr (FtWorkerHeartbeat) heartbeat = has_heartbeat ? ft_message_worker_heartbeat_read (body, size) : NULL;
   FtDirectResult result = command_result (status, heartbeat);
   node->leader.commands_in_flight--;
--- a/src/net/node.c
+++ b/src/net/node.c
@@ -3,6 +3,10 @@
 #include <string.h>
 
 #include "core/constants.h"
+#include "net/admin.h"
+#include "net/front.h"
+#include "net/polls.h"
+#include "net/worker_endpoint.h"
 
 /* Connections that are kept to one worker; there are thousands of workers. */
 #define CONNECTIONS_PER_WORKER 2
@@ -55,7 +59,7 @@
   else if (g_str_has_prefix (path, "/admin/"))
     ft_admin_handle (node, request);
   else
-    ft_http_respond (request, 404, NULL);
+    ft_http_respond (request, FT_HTTP_NOT_FOUND, NULL);
 }
 
 /* ---- the timer ---- */
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -100,24 +100,3 @@
  * Returns: (transfer none) (nullable): the member that leads, as far as this controller knows
  */
 const char *ft_node_leader (const FtNode *node);
-
-/* user_api.c, worker_endpoint.c */
-void ft_front_handle (FtHttpRequest *request, gpointer node);
-void ft_user_handle (FtNode *node, FtHttpRequest *request);
-void ft_worker_refuse_all (FtNode *node);
-void ft_worker_handle_heartbeat (FtNode *node, FtHttpRequest *request);
-gboolean ft_node_ready (const FtNode *node, gint64 now);
-
-/* polls.c: what is asked about open jobs, many at a time */
-typedef enum { FT_POLL_OPEN, FT_POLL_CHANGED, FT_POLL_FAILED } FtPollResult;
-typedef void (*FtPollDone) (FtPollResult result, gpointer data);
-FtPolls *ft_polls_new (FtNode *node);
-void ft_polls_free (FtPolls *polls);
-/* Asks whether the job's row is as it is known; FALSE, and `done` is not called, if it is
- * not known to be open or too many wait. */
-gboolean ft_polls_ask (FtPolls *polls, const char *ref, FtPollDone done, gpointer data);
-
-/* admin.c */
-void ft_admin_handle (FtNode *node, FtHttpRequest *request);
-void ft_admin_tick (FtNode *node, gint64 now);
-void ft_node_apply_settings (FtNode *node, const FtTuning *tuning, guint64 version);
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -153,7 +153,7 @@
   g_autofree HeartbeatRequest *request = data;
   Peer *peer = peer_at (request->peers, request->index);
   gint64 now = g_get_monotonic_time ();
-  gboolean answered = status != 0;
+  gboolean answered = status != FT_HTTP_NO_ANSWER;
   gboolean timed_out = now - peer->sent_at > (gint64) (FT_PEER_REFUSED_S * FT_SECOND);
   peer->in_flight = FALSE;
   if (answered)
@@ -236,7 +236,7 @@
   Peer *peer = heartbeat != NULL ? find_peer (peers, heartbeat->member) : NULL;
   if (peer == NULL) {
     ft_malformed_log_add (peers->malformed, FT_COUNT_MALFORMED_PEERS, "heartbeat");
-    ft_http_respond (request, 400, NULL);
+    ft_http_respond (request, FT_HTTP_BAD_REQUEST, NULL);
     return;
   }
   peer->heard_at = g_get_monotonic_time ();
@@ -246,7 +246,7 @@
   if (heartbeat->token > 0)
     take_summary (peers, heartbeat);
   peers->hooks->received (heartbeat, peer->heard_at, peers->data);
-  ft_http_respond (request, 200, json_object ());
+  ft_http_respond (request, FT_HTTP_OK, json_object ());
 }
 
 /* ---- what is known of them ---- */
