--- a/src/net/cancellation.c
+++ b/src/net/cancellation.c
@@ -1,32 +1,42 @@
 #include "net/cancellation.h"
 
-#include "net/idempotent_request.h"
-#include "net/job_status.h"
 #include "net/metrics.h"
 #include "net/node_peers.h"
 #include "net/store_client.h"
 #include "wire/store.h"
 
+/* A cancellation that is being committed. */
+typedef struct {
+  FtUserRequest *request;
+  FtCancellationDone done;
+} Cancellation;
+
 static void
-on_cancellation_committed (FtStoreResult result, const json_t *body, gpointer data)
+announce (const FtUserRequest *request)
 {
-  FtUserRequest *request = data;
   FtNode *node = request->node;
   gboolean by_dependency = request->cancel_reason == FT_CANCEL_BY_DEPENDENCY;
-  (void) body;
-  if (result != FT_STORE_OK) {
-    ft_idempotent_request_read_after_commit (request, result);
-    return;
-  }
   g_message ("job %s: cancelled%s", request->ref, by_dependency ? ", since one of its ancestors is" : "");
   ft_metrics_count (node->metrics, by_dependency ? FT_COUNT_CANCELLED_BY_DEPENDENCY : FT_COUNT_CANCELLED);
   ft_node_job_cancelled (node, request->ref);
-  ft_job_status_answer_ended (request, FT_JOB_END_CANCELLED, 0);
+}
+
+static void
+on_cancellation_committed (FtStoreResult result, const json_t *body, gpointer data)
+{
+  g_autofree Cancellation *cancellation = data;
+  (void) body;
+  if (result == FT_STORE_OK)
+    announce (cancellation->request);
+  cancellation->done (cancellation->request, result);
 }
 
 void
-ft_cancellation_commit (FtUserRequest *request, guint64 revision, guint tasks)
+ft_cancellation_commit (FtUserRequest *request, guint64 revision, guint tasks, FtCancellationDone done)
 {
+  Cancellation *cancellation = g_new0 (Cancellation, 1);
+  cancellation->request = request;
+  cancellation->done = done;
   g_autofree char *job_key = ft_key_job (request->ref);
   g_autofree char *notice_key = ft_key_cancellation (request->ref);
   gint64 wall_ms = g_get_real_time () / 1000;
@@ -34,14 +44,5 @@
   ft_txn_if (txn, job_key, revision);
   ft_txn_put (txn, job_key, ft_row_job_ended (FT_JOB_END_CANCELLED, tasks, wall_ms));
   ft_txn_put (txn, notice_key, ft_row_cancellation (wall_ms));
-  ft_store_client_commit (request->node->store, txn, FT_STORE_PRIORITY_CANCEL, on_cancellation_committed, request);
-}
-
-void
-ft_cancellation_handle (FtUserRequest *request)
-{
-  if (!ft_idempotent_request_begin (request))
-    return;
-  request->cancel_reason = FT_CANCEL_BY_USER;
-  ft_job_status_read (request);
+  ft_store_client_commit (request->node->store, txn, FT_STORE_PRIORITY_CANCEL, on_cancellation_committed, cancellation);
 }
--- a/src/net/idempotent_request.h
+++ b/src/net/idempotent_request.h
@@ -1,8 +1,7 @@
-/* What makes users' requests idempotent, so that they may be repeated on any controller: the two
- * places where a submission or a cancellation finds out that it, or another one of the same job, was
- * carried out before. */
+/* What makes users' requests idempotent, so that they may be repeated on any controller: before
+ * anything is committed, a submission or a cancellation finds out here that it, or another one of the
+ * same job, was carried out before. After a commit ft_job_status_read_after_commit() does. */
 #pragma once
-#include "net/store_client.h"
 #include "net/user_request.h"
 
 /**
@@ -26,15 +25,3 @@
  * Returns: whether the request is still to be answered, by the caller
  */
 gboolean ft_idempotent_request_begin (FtUserRequest *request);
-
-/**
- * ft_idempotent_request_read_after_commit:
- * @request: (transfer full): a request whose commit was not confirmed
- * @status: the store's answer to the commit, which is no success
- *
- * After a conflict the job has changed, perhaps by an earlier try of this very request; without an
- * answer the commit may have been applied. Both are found out by reading the job's row. A
- * cancellation does so FT_CANCEL_TRIES times at most. Any other failure is answered with 503:
- * nothing was applied.
- */
-void ft_idempotent_request_read_after_commit (FtUserRequest *request, FtStoreResult result);
--- a/src/net/job_status.c
+++ b/src/net/job_status.c
@@ -1,8 +1,10 @@
 #include "net/job_status.h"
 
+#include "core/constants.h"
 #include "net/ancestors.h"
 #include "net/cancellation.h"
 #include "net/idempotent_request.h"
+#include "net/job_answer.h"
 #include "net/job_cache.h"
 #include "net/leader.h"
 #include "net/peers.h"
@@ -11,24 +13,7 @@
 #include "wire/messages.h"
 #include "wire/store.h"
 
-/* ---- bodies ---- */
-
-json_t *
-ft_job_status_ended_body (const char *ref, FtJobEnd end, guint tasks)
-{
-  gboolean done = end == FT_JOB_END_DONE;
-  return ft_message_job_state (ref, done ? "done" : "cancelled", done ? tasks : 0, 0, TRUE);
-}
-
-json_t *
-ft_job_status_remembered_body (FtNode *node, const char *ref)
-{
-  FtJobEnd end;
-  guint tasks;
-  if (!ft_job_cache_end (node->job_cache, ref, &end, &tasks))
-    return NULL;
-  return ft_job_status_ended_body (ref, end, tasks);
-}
+/* ---- answers ---- */
 
 /* An open job's counts are for display: the leader's own, or those of its last summary. */
 static json_t *
@@ -45,13 +30,11 @@
   return ft_message_job_state (ref, state, progress.done, progress.running, TRUE);
 }
 
-/* ---- answers ---- */
-
 void
 ft_job_status_answer_ended (FtUserRequest *request, FtJobEnd end, guint tasks)
 {
   ft_job_cache_ended (request->node->job_cache, request->ref, end, tasks);
-  ft_user_request_answer (request, FT_HTTP_OK, ft_job_status_ended_body (request->ref, end, tasks));
+  ft_user_request_answer (request, FT_HTTP_OK, ft_job_answer_ended (request->ref, end, tasks));
 }
 
 static void
@@ -59,7 +42,7 @@
 {
   FtUserRequest *request = data;
   (void) ref;
-  json_t *ended = ft_job_status_remembered_body (request->node, request->ref);
+  json_t *ended = ft_job_answer_remembered (request->node, request->ref);
   if (ended != NULL) {
     ft_user_request_answer (request, FT_HTTP_OK, ended); /* another request has found it ended meanwhile */
   } else if (result == FT_ANCESTORS_OPEN) {
@@ -81,6 +64,16 @@
 
 /* ---- reading the row ---- */
 
+/* A cancelled job's number of tasks does not show in its answer. */
+static void
+on_cancelled (FtUserRequest *request, FtStoreResult result)
+{
+  if (result == FT_STORE_OK)
+    ft_job_status_answer_ended (request, FT_JOB_END_CANCELLED, 0);
+  else
+    ft_job_status_read_after_commit (request, result);
+}
+
 static void
 on_row_read (FtStoreResult result, const json_t *body, gpointer data)
 {
@@ -97,7 +90,7 @@
   } else if (!state.open) {
     ft_job_status_answer_ended (request, state.end, state.tasks);
   } else if (request->cancel_reason != FT_CANCEL_NONE) {
-    ft_cancellation_commit (request, row.revision, state.tasks);
+    ft_cancellation_commit (request, row.revision, state.tasks, on_cancelled);
   } else {
     ft_job_cache_open (request->node->job_cache, request->ref, row.revision, state.has_dependencies);
     answer_open (request);
@@ -116,7 +109,23 @@
                          on_row_read, request);
 }
 
-/* ---- polls ---- */
+/* A submission reads once after its commit; only cancellations can go round in circles. */
+static gboolean
+may_read_again (FtUserRequest *request)
+{
+  return request->cancel_reason == FT_CANCEL_NONE || ++request->cancel_tries < FT_CANCEL_TRIES;
+}
+
+void
+ft_job_status_read_after_commit (FtUserRequest *request, FtStoreResult result)
+{
+  if ((result == FT_STORE_CONFLICT || result == FT_STORE_UNANSWERED) && may_read_again (request))
+    ft_job_status_read (request);
+  else
+    ft_user_request_answer_unavailable (request);
+}
+
+/* ---- polls and cancellations ---- */
 
 static void
 on_revision_compared (FtPollResult result, gpointer data)
@@ -138,3 +147,12 @@
   if (!ft_polls_ask (request->node->polls, request->ref, on_revision_compared, request))
     ft_job_status_read (request);
 }
+
+void
+ft_job_status_handle_cancellation (FtUserRequest *request)
+{
+  if (!ft_idempotent_request_begin (request))
+    return;
+  request->cancel_reason = FT_CANCEL_BY_USER;
+  ft_job_status_read (request);
+}
--- a/src/net/job_status.h
+++ b/src/net/job_status.h
@@ -4,6 +4,7 @@
  *
  * All functions that take an FtUserRequest take it over and answer it, unless they say otherwise. */
 #pragma once
+#include "net/store_client.h"
 #include "net/user_request.h"
 
 /**
@@ -14,6 +15,14 @@
  */
 void ft_job_status_handle_poll (FtUserRequest *request);
 
+/**
+ * ft_job_status_handle_cancellation:
+ * @request: (transfer full): a user's cancellation of the job that the path names
+ *
+ * Answers POST /work/REF/withdraw.
+ */
+void ft_job_status_handle_cancellation (FtUserRequest *request);
+
 /**
  * ft_job_status_read:
  * @request: (transfer full): any request whose job's row is to be read
@@ -24,6 +33,18 @@
  */
 void ft_job_status_read (FtUserRequest *request);
 
+/**
+ * ft_job_status_read_after_commit:
+ * @request: (transfer full): a request whose commit was not confirmed
+ * @result: the store's answer to the commit, which is no success
+ *
+ * After a conflict the job has changed, perhaps by an earlier try of this very request; without an
+ * answer the commit may have been applied. Both are found out by reading the job's row. A
+ * cancellation does so FT_CANCEL_TRIES times at most. Any other failure is answered with 503:
+ * nothing was applied.
+ */
+void ft_job_status_read_after_commit (FtUserRequest *request, FtStoreResult result);
+
 /**
  * ft_job_status_answer_ended:
  * @request: (transfer full): a request whose job's row was found, or committed, as ended
@@ -33,17 +54,3 @@
  * Answers 200 and remembers the end, which is final.
  */
 void ft_job_status_answer_ended (FtUserRequest *request, FtJobEnd end, guint tasks);
-
-/**
- * ft_job_status_ended_body:
- *
- * Returns: (transfer full): the answer's body for a job that has ended
- */
-json_t *ft_job_status_ended_body (const char *ref, FtJobEnd end, guint tasks);
-
-/**
- * ft_job_status_remembered_body:
- *
- * Returns: (transfer full) (nullable): the answer's body if the job is known to have ended, else %NULL
- */
-json_t *ft_job_status_remembered_body (FtNode *node, const char *ref);
--- a/src/net/submission.c
+++ b/src/net/submission.c
@@ -5,6 +5,7 @@
 #include "net/ancestors.h"
 #include "net/catalog_cache.h"
 #include "net/idempotent_request.h"
+#include "net/job_answer.h"
 #include "net/job_cache.h"
 #include "net/job_status.h"
 #include "net/leader.h"
@@ -141,7 +142,7 @@
   FtUserRequest *request = data;
   guint64 revision;
   if (result != FT_STORE_OK) {
-    ft_idempotent_request_read_after_commit (request, result);
+    ft_job_status_read_after_commit (request, result);
     return;
   }
   if (ft_store_revision (body, &revision))
@@ -170,13 +171,13 @@
   guint tasks = request->spec->tasks;
   (void) body;
   if (result != FT_STORE_OK) {
-    ft_idempotent_request_read_after_commit (request, result);
+    ft_job_status_read_after_commit (request, result);
     return;
   }
   g_message ("job %s: accepted as cancelled, since one of its ancestors is", request->ref);
   ft_metrics_count (request->node->metrics, FT_COUNT_CANCELLED_BY_DEPENDENCY);
   ft_job_cache_ended (request->node->job_cache, request->ref, FT_JOB_END_CANCELLED, tasks);
-  json_t *state = ft_job_status_ended_body (request->ref, FT_JOB_END_CANCELLED, tasks);
+  json_t *state = ft_job_answer_ended (request->ref, FT_JOB_END_CANCELLED, tasks);
   ft_user_request_answer (request, FT_HTTP_CREATED, state);
 }
 
--- a/src/net/user_api.c
+++ b/src/net/user_api.c
@@ -2,7 +2,6 @@
 
 #include <string.h>
 
-#include "net/cancellation.h"
 #include "net/job_status.h"
 #include "net/submission.h"
 
@@ -20,7 +19,7 @@
 static const Route routes[] = {
   { 1, NULL, "POST", ft_submission_handle },
   { 2, NULL, "GET", ft_job_status_handle_poll },
-  { 3, "withdraw", "POST", ft_cancellation_handle },
+  { 3, "withdraw", "POST", ft_job_status_handle_cancellation },
 };
 
 static const Route *
