--- a/src/net/job_status.h
+++ b/src/net/job_status.h
@@ -17,9 +17,9 @@
 
 /**
  * ft_job_status_handle_cancellation:
- * @request: (transfer full): a user's cancellation of the job that the path names
+ * @request: (transfer full): a cancellation, by the job's user
  *
- * Answers POST /work/REF/withdraw.
+ * Cancels the job that the path names, if it is open, and answers with how it ended.
  */
 void ft_job_status_handle_cancellation (FtUserRequest *request);
 
