--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -9,7 +9,7 @@
 task_failed (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
   FtTask *task = &attempt->job->tasks[attempt->index];
-  task->fails = MIN (task->fails + 1, FT_FAILS_COUNTED);
+  task->fails = MIN (task->fails + 1, FT_TASK_FAILURES_MAX);
   task->avoid = attempt->machine;
   double pause_s = MIN (FT_RETRY_FIRST_S * (1u << (task->fails - 1)), FT_RETRY_LONGEST_S);
   task->not_before = table->context->now + ft_seconds (pause_s);
--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -27,7 +27,7 @@
 machines_known (const FtAutoscaler *autoscaler)
 {
   const FtCoreContext *context = autoscaler->context;
-  double heartbeats_s = context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S;
+  double heartbeats_s = context->settings->heartbeat_s * FT_HEARTBEAT_GAP_INTERVALS + FT_WORKER_TIMEOUT_S;
   return ft_recovery_is_done (autoscaler->recovery) || context->now - context->took_over_at > ft_seconds (heartbeats_s);
 }
 
--- a/src/core/cloud_pool.c
+++ b/src/core/cloud_pool.c
@@ -102,5 +102,5 @@
 void
 ft_cloud_pool_refused (FtCloudPool *pool, gint64 now)
 {
-  pool->refused_until = now + ft_seconds (FT_REFUSED_PAUSE_S);
+  pool->refused_until = now + ft_seconds (FT_LAUNCH_REFUSED_PAUSE_S);
 }
--- a/src/core/cloud_pool.h
+++ b/src/core/cloud_pool.h
@@ -55,5 +55,5 @@
 /* The pool's request has been answered: it has none any more. */
 void ft_cloud_pool_request_answered (FtCloudPool *pool);
 
-/* The cloud has refused all or part of the request: the pool gets no launch request for FT_REFUSED_PAUSE_S. */
+/* The cloud has refused all or part of the request: the pool gets no launch request for FT_LAUNCH_REFUSED_PAUSE_S. */
 void ft_cloud_pool_refused (FtCloudPool *pool, gint64 now);
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -25,7 +25,7 @@
  * fence must be unchanged for a confirmed suspicion to be acted on at once: where peers refuse each other, leaders
  * would replace each other twice a second. */
 #define FT_SUSPECT_MARGIN_S 1.0
-#define FT_SUSPECT_STABLE_S 15.0
+#define FT_SUSPECT_FENCE_STABLE_S 15.0
 /* Renewals go out every lease time divided by this. */
 #define FT_RENEW_FRACTION 3.0
 /* Share by which two steady clocks may differ (protocol: 0.05 % each way, so
@@ -45,15 +45,15 @@
  * have led by then, since a failover is busy and a successor may be no faster; and seconds for which it advertises to
  * its peers that it has yielded. */
 #define FT_OVERRUN_S 4.0
-#define FT_OVERRUN_LED_S 45.0
+#define FT_OVERRUN_LEADERSHIP_MIN_S 45.0
 #define FT_YIELD_ADVERTISED_S 3.0
 /* Seconds for which a controller that released the lease does not claim it, so that another one does. */
 #define FT_ABSTAIN_S 20.0
 
 /* Range in seconds of the pause before a renewal that failed is sent again: several tries fit into a lease time, and
  * controllers do not retry at the same time. */
-#define FT_RENEW_AGAIN_MIN_S 0.2
-#define FT_RENEW_AGAIN_MAX_S 0.5
+#define FT_RENEW_RETRY_MIN_S 0.2
+#define FT_RENEW_RETRY_MAX_S 0.5
 
 /* ---- operators' settings ---- */
 /* name, field, unit, least, most, default, what it does. They live in the state
@@ -86,7 +86,7 @@
 #define FT_WORKER_LEASE_MARGIN_S 1.0
 /* Longest ordinary gap between two heartbeats, in heartbeat intervals (protocol: an
  * interval is moved by up to a quarter). */
-#define FT_HEARTBEAT_GAP 1.25
+#define FT_HEARTBEAT_GAP_INTERVALS 1.25
 /* Seconds by which a heartbeat may be overdue on a machine that still gets work. */
 #define FT_USABLE_MARGIN_S 3.0
 /* Seconds a direct command may take before it counts as unanswered. */
@@ -112,14 +112,14 @@
 #define FT_NOT_RECEIVING_SCALE_IN_S 10.0
 /* Worker leases for which a copy of a direct start may arrive late, so that its worker must remember an attempt without
  * a result: a worker that remembers it ignores the copy. */
-#define FT_COPY_LEASES 2.0
+#define FT_LATE_COPY_LEASES 2.0
 /* Seconds between two ticks from which on this controller was late itself: heartbeats missing in that time then count
  * against no machine. */
 #define FT_LATE_TICK_S 1.5
 /* Probes without answer, once the heartbeat is overdue, after which a machine counts
  * as silent; and the same for a machine that has not reported since the failover. */
-#define FT_PROBES 1
-#define FT_PROBES_FAILOVER 2
+#define FT_SILENT_PROBES 1
+#define FT_SILENT_PROBES_FAILOVER 2
 /* Share of the machines that may be terminated for silence within the window. */
 #define FT_SILENT_SCALE_IN_SHARE 0.2
 /* Worker leases for which a machine must have sent no heartbeat to be terminated for silence while more machines are
@@ -131,29 +131,29 @@
 #define FT_SILENT_SCALE_IN_WINDOW_S 20.0
 /* Seconds after which a cancelled start without an answer keeps its machine from
  * new work, and share of cancel_s after which the machine is terminated as it is. */
-#define FT_DOUBT_S 5.0
-#define FT_DOUBT_MAX 0.5
+#define FT_START_IN_DOUBT_QUARANTINE_S 5.0
+#define FT_START_IN_DOUBT_SCALE_IN_SHARE 0.5
 /* Machines that a zone must have, none of which reports, for it to count as unreachable: of fewer, each may have failed
  * by itself. */
-#define FT_ZONE_MEMBERS 3
+#define FT_ZONE_MEMBERS_MIN 3
 /* Seconds between two launches in an unreachable zone, which show whether it is back. */
 #define FT_ZONE_PROBE_EVERY_S 20.0
 /* Seconds since the store last answered after which a leader returns no machine for its silence: it may be cut off
  * itself. A watch proves, when it ends, what was known when it was sent: while no row changes, that is two watches old
  * before the next one ends. */
-#define FT_GIVE_UP_STORE_SEEN_S (2 * FT_WATCH_S + 0.5)
+#define FT_SILENT_SCALE_IN_STORE_SEEN_S (2 * FT_WATCH_S + 0.5)
 /* Seconds by which an answer of the store must be newer than the last report from a zone for the zone's machines to be
  * returned: what cut off the zone has not cut off this leader as well. */
 #define FT_ZONE_STORE_SEEN_S 1.0
 /* Failures in a row that count against a machine, to quarantine it: one may be chance. */
-#define FT_FAULTS 2
+#define FT_QUARANTINE_FAULTS 2
 /* Machines on which a job must have failed, and completed or progressed on none, to count as mistaken. */
-#define FT_MISTAKEN_MACHINES 3
+#define FT_FAULTY_JOB_MACHINES 3
 /* Seconds by which a task must have outlived those of its job that failed to count as doing well: starts are reported
  * some seconds late. */
 #define FT_FAULT_MARGIN_S 2.0
 /* Attempts of a job examined for one that does well: bounds the cost of a failure. */
-#define FT_FAULT_ATTEMPTS 256
+#define FT_FAULT_ATTEMPTS_MAX 256
 /* Machines that may be quarantined at once: at least, and as a share of all. */
 #define FT_QUARANTINE_MIN 2
 #define FT_QUARANTINE_SHARE 0.25
@@ -164,12 +164,12 @@
 /* Machines with room that are compared before the best is taken: bounds the cost of a placement. */
 #define FT_SAMPLE_SIZE 64
 /* Failures of a task that are counted; the pause is at its longest long before. */
-#define FT_FAILS_COUNTED 16
+#define FT_TASK_FAILURES_MAX 16
 /* First and longest pause in seconds of a task that failed. */
 #define FT_RETRY_FIRST_S 1.0
 #define FT_RETRY_LONGEST_S 30.0
 /* Seconds after its pause during which a failed task keeps off that machine. */
-#define FT_AVOID_S 10.0
+#define FT_AVOID_MACHINE_S 10.0
 /* Seconds a job waits for room to become free by itself before other work is stopped for it. */
 #define FT_PREEMPT_AFTER_S 0.5
 /* Share of its estimate that a task may have run, and estimates that must be
@@ -188,39 +188,39 @@
 /* Least rate in GB per second at which an image is taken to be fetched: a catalog may name none. */
 #define FT_FETCH_RATE_MIN 1e-3
 /* Share of an image's fetch that remains on average once it has begun. */
-#define FT_SCORE_FETCHING 0.8
+#define FT_FETCH_REMAINING_SHARE 0.8
 /* Weights of a machine left entirely empty, and of an ordinary machine, in the choice of a machine, in seconds of
  * waiting. */
-#define FT_SCORE_LEFT_S 2.0
+#define FT_SCORE_ROOM_LEFT_S 2.0
 #define FT_SCORE_ORDINARY_S 0.5
 /* Prior of a spot machine's loss rate, until there are observations: that many losses in that many machine-hours. A
  * thousand machines outweigh it within seconds, a dozen within minutes. */
 #define FT_SPOT_PRIOR_LOSSES 0.5
 #define FT_SPOT_PRIOR_HOURS 1.0
 /* Factor on both weights for work that is not urgent, which can wait for a better fit. */
-#define FT_SCORE_PACK 4.0
+#define FT_SCORE_PACK_FACTOR 4.0
 /* Seconds for which a preempted task is not placed, so that the job it was stopped for takes its room. */
 #define FT_PREEMPTED_PAUSE_S 2.0
 /* A job is too late when less than this share of its estimate is left until its
  * deadline; other jobs are served before it until it is overdue by this many times the time it had. */
 #define FT_TOO_LATE_SHARE 0.3
-#define FT_TOO_LATE_PATIENCE 3.0
+#define FT_TOO_LATE_DEFERRAL 3.0
 /* Least seconds between two placement passes: a heartbeat that frees room on a machine
  * has it filled without one. */
 #define FT_PASS_EVERY_S 0.1
 /* Jobs examined to fill one machine: bounds the cost of a heartbeat. */
-#define FT_FILL_JOBS 32
+#define FT_FILL_JOBS_MAX 32
 /* Least seconds between two passes that look for work to preempt: they examine every running attempt. */
 #define FT_PREEMPT_EVERY_S 0.5
 /* Jobs for which one pass may look for work to preempt: bounds its cost. */
-#define FT_PREEMPT_JOBS 8
+#define FT_PREEMPT_JOBS_MAX 8
 /* Kinds of tasks that found no room, remembered within a pass: bounds the cost of comparing them. */
-#define FT_FULL_SHAPES 16
+#define FT_NO_ROOM_SPECS_MAX 16
 /* Seconds a job may wait to begin before it is served ahead of all others: half of the four minutes within which even
  * the largest must begin. */
 #define FT_STARVED_AFTER_S 120.0
 /* Most tasks placed in one pass, so that a pass stays short. */
-#define FT_PASS_TASKS 256
+#define FT_PASS_TASKS_MAX 256
 
 /* ---- fleet ---- */
 /* Seconds between two runs of the scale-out and the scale-in. */
@@ -237,13 +237,13 @@
  * machine takes to boot: the longer that is, the more demand may rise before it is up. */
 #define FT_HEADROOM_PER_BOOT_S 0.006
 /* Seconds before the next launch request to a pool that refused: its capacity does not return at once. */
-#define FT_REFUSED_PAUSE_S 8.0
+#define FT_LAUNCH_REFUSED_PAUSE_S 8.0
 /* A machine that boots longer than this many nominal boot times, plus the
  * seconds below, counts as one that will never come up. */
-#define FT_BOOT_FACTOR 3.0
-#define FT_BOOT_PLUS_S 20.0
+#define FT_BOOT_TIMEOUT_FACTOR 3.0
+#define FT_BOOT_TIMEOUT_EXTRA_S 20.0
 /* Share of a machine that must be needed before one is launched: less is served when room becomes free. */
-#define FT_SCALE_OUT_FROM 0.2
+#define FT_SCALE_OUT_MIN_DEMAND 0.2
 /* Nominal boot time in seconds of a type that is not in the catalog. */
 #define FT_BOOT_UNKNOWN_S 60.0
 /* Least CPUs of a task in the count of tasks per machine, so that it stays finite; and what absorbs the
@@ -256,10 +256,10 @@
 /* Machines that stand by idle while there is any open job, beside the reserve. */
 #define FT_STANDBY_MACHINES 1.0
 /* Least seconds charged for a machine (protocol): no earlier return saves. */
-#define FT_LEAST_CHARGED_S 60.0
+#define FT_MINIMUM_CHARGE_S 60.0
 /* A task that will have run less than this share of its estimate when its spot
  * machine is taken is restarted elsewhere at once: little progress is lost. */
-#define FT_NOTICE_LOST_SHARE 0.6
+#define FT_NOTICE_RESTART_SHARE 0.6
 /* Seconds after the end of a spot notice at which a machine that has not reported
  * since counts as taken by the cloud. */
 #define FT_NOTICE_MARGIN_S 0.5
@@ -296,7 +296,7 @@
 #define FT_DEPENDENCY_READS_MAX 8
 /* Share of cancel_s for which a controller reports that a job is open without reading again whether one of its
  * ancestors was cancelled. */
-#define FT_ANCESTORS_FRESH 0.5
+#define FT_ANCESTORS_FRESH_SHARE 0.5
 /* Jobs that one request reads at once: bounds its share of the store's requests. */
 #define FT_ANCESTORS_READS_MAX 16
 
@@ -324,7 +324,7 @@
 /* Unfinished tasks held in memory before submissions are refused for the time being: bounds the memory. */
 #define FT_OPEN_TASKS_MAX 1000000
 /* Tasks in one chunk of a done-set: 4096 bits are 684 characters. */
-#define FT_DONE_CHUNK 4096
+#define FT_DONE_CHUNK_TASKS 4096
 /* Longest text accepted in any field, in bytes. */
 #define FT_TEXT_MAX 128
 
@@ -348,8 +348,8 @@
 /* Share of the state service's requests that a leader and each follower allow themselves, and
  * the same for its changes, most of which are the leader's. All of them at once are more than
  * the limit; what is refused is sent again, more slowly. */
-#define FT_LEADER_SHARE 0.5
-#define FT_FOLLOWER_SHARE 0.22
+#define FT_LEADER_REQUEST_SHARE 0.5
+#define FT_FOLLOWER_REQUEST_SHARE 0.22
 #define FT_LEADER_WRITE_SHARE 0.74
 #define FT_FOLLOWER_WRITE_SHARE 0.17
 /* Share of a budget that is restored in a second after a refusal for the rate, and the least
@@ -369,7 +369,7 @@
 /* Seconds without a state answer after which contact counts as lost. */
 #define FT_CONTACT_LOST_S 2.0
 /* Seconds by which a peer must have been served later than this controller was refused, for the fault to be here. */
-#define FT_READY_MARGIN_S 1.0
+#define FT_PEER_SERVED_MARGIN_S 1.0
 /* Seconds between two reads of the operators' settings. */
 #define FT_SETTINGS_EVERY_S 5.0
 
@@ -415,15 +415,15 @@
 #define FT_PEER_TIMEOUT_S 1.0
 /* Seconds within which a heartbeat that fails was refused, not lost; seconds until
  * the next one then; and refusals in a row after which a leader is suspected. */
-#define FT_PEER_REFUSED_S 0.3
+#define FT_PEER_REFUSED_WITHIN_S 0.3
 #define FT_PEER_RETRY_S 0.3
-#define FT_PEER_REFUSALS 2
+#define FT_PEER_SUSPECT_REFUSALS 2
 /* Seconds for which heartbeats name a cancellation, so that one that is lost does not
  * matter, and cancellations in one heartbeat, whose body is bounded. */
 #define FT_PEER_CANCELLATIONS_S 5.0
 #define FT_PEER_CANCELLATIONS_MAX 200
 /* Seconds for which a peer's answer shows that connections between peers work. */
-#define FT_PEER_WITNESS_S 1.5
+#define FT_PEER_ANSWER_FRESH_S 1.5
 /* Seconds after which what a peer said no longer counts. */
 #define FT_PEER_FRESH_S 3.5
 /* Open jobs in one heartbeat: its body stays well within the largest. */
@@ -453,7 +453,7 @@
 /* Share of the socket limit open connections may take. */
 #define FT_SOCKET_SHARE 0.8
 /* Bytes of a body beyond which the connection is closed unread. */
-#define FT_BODY_CUT (4UL * FT_BODY_MAX)
+#define FT_BODY_ABORT_BYTES (4UL * FT_BODY_MAX)
 
 /* ---- HTTP client ---- */
 /* Events of the client's sockets handled in one turn of the main loop. */
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -10,7 +10,7 @@
   for (guint i = 0; i < job->n_failed_on; i++)
     if (job->failed_on[i] == machine)
       return;
-  if (job->n_failed_on < FT_MISTAKEN_MACHINES)
+  if (job->n_failed_on < FT_FAULTY_JOB_MACHINES)
     job->failed_on[job->n_failed_on++] = machine;
 }
 
@@ -33,7 +33,7 @@
   guint looked = 0;
   gint64 enough = job->failed_after + ft_seconds (FT_FAULT_MARGIN_S);
   g_hash_table_iter_init (&it, job->attempts);
-  while (looked++ < FT_FAULT_ATTEMPTS && g_hash_table_iter_next (&it, &key, NULL)) {
+  while (looked++ < FT_FAULT_ATTEMPTS_MAX && g_hash_table_iter_next (&it, &key, NULL)) {
     const FtAttempt *other = key;
     if (other->bound && other->running && !ft_attempt_has_exited (other) && other->machine != machine
         && ran_for (other) > enough)
@@ -48,7 +48,7 @@
 {
   if (does_well_elsewhere (job, machine))
     return TRUE;
-  if (job->n_failed_on >= FT_MISTAKEN_MACHINES)
+  if (job->n_failed_on >= FT_FAULTY_JOB_MACHINES)
     return FALSE; /* the mistake is in the job, for all that is known */
   return machine->fitness.last_failed != job->revision;
 }
@@ -94,5 +94,5 @@
 gboolean
 ft_fault_proven (const FtMachine *machine)
 {
-  return machine->fitness.faults >= FT_FAULTS;
+  return machine->fitness.faults >= FT_QUARANTINE_FAULTS;
 }
--- a/src/core/interruption_notice.c
+++ b/src/core/interruption_notice.c
@@ -11,7 +11,7 @@
   double ran_s = attempt->running ? (double) (now - attempt->running_at) / FT_SECOND : 0;
   if (spec->checkpoint_s > 0 && attempt->running)
     ft_attempt_want_stop (attempt, spec->save_s);
-  else if (ran_s + notice_s < FT_NOTICE_LOST_SHARE * spec->estimate_s)
+  else if (ran_s + notice_s < FT_NOTICE_RESTART_SHARE * spec->estimate_s)
     ft_attempt_want_stop (attempt, 0);
 }
 
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -74,7 +74,7 @@
 static void
 mark_chunk_dirty (FtJob *job, guint index)
 {
-  g_hash_table_add (job->dirty_chunks, GUINT_TO_POINTER (index / FT_DONE_CHUNK));
+  g_hash_table_add (job->dirty_chunks, GUINT_TO_POINTER (index / FT_DONE_CHUNK_TASKS));
 }
 
 gboolean
@@ -141,7 +141,7 @@
 guint
 ft_job_chunks (const FtJob *job)
 {
-  return (job->spec->tasks + FT_DONE_CHUNK - 1) / FT_DONE_CHUNK;
+  return (job->spec->tasks + FT_DONE_CHUNK_TASKS - 1) / FT_DONE_CHUNK_TASKS;
 }
 
 GArray *
@@ -150,8 +150,8 @@
   GArray *tasks = g_array_new (FALSE, FALSE, sizeof (guint));
   gsize size = 0;
   g_autofree guchar *data = g_base64_decode (bits, &size);
-  guint first = chunk * FT_DONE_CHUNK;
-  for (guint i = 0; i < FT_DONE_CHUNK && i / 8 < size && first + i < job->spec->tasks; i++) {
+  guint first = chunk * FT_DONE_CHUNK_TASKS;
+  for (guint i = 0; i < FT_DONE_CHUNK_TASKS && i / 8 < size && first + i < job->spec->tasks; i++) {
     guint index = first + i;
     if (data[i / 8] & (1u << (i % 8)))
       g_array_append_val (tasks, index);
@@ -162,8 +162,8 @@
 char *
 ft_job_chunk_bits (const FtJob *job, guint chunk)
 {
-  guint first = chunk * FT_DONE_CHUNK;
-  guint n = MIN (FT_DONE_CHUNK, job->spec->tasks - first);
+  guint first = chunk * FT_DONE_CHUNK_TASKS;
+  guint n = MIN (FT_DONE_CHUNK_TASKS, job->spec->tasks - first);
   g_autofree guchar *bits = g_new0 (guchar, (n + 7) / 8);
   for (guint i = 0; i < n; i++) {
     FtTaskState state = job->tasks[first + i].state;
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -61,7 +61,7 @@
   gboolean guaranteed, too_late;
   gboolean begun;   /* a task of it has been placed, or was found done or on a machine */
   gboolean starved; /* it has waited to begin for as long as any may */
-  const FtMachine *failed_on[FT_MISTAKEN_MACHINES]; /* different machines, the first few; compared only */
+  const FtMachine *failed_on[FT_FAULTY_JOB_MACHINES]; /* different machines, the first few; compared only */
   guint n_failed_on;
   gint64 failed_after; /* longest run of a task that failed */
   gint64 not_before;
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -189,7 +189,7 @@
   if (lease->state != FT_LEASE_FOLLOWING || lease->suspicion != FT_LEASE_SUSPICION_NONE || !lease->rows_known
       || g_strcmp0 (lease->seen.holder, holder) != 0)
     return;
-  gboolean fence_stable = now - lease->fence_since > (gint64) (FT_SUSPECT_STABLE_S * FT_SECOND);
+  gboolean fence_stable = now - lease->fence_since > (gint64) (FT_SUSPECT_FENCE_STABLE_S * FT_SECOND);
   gboolean claim_at_once = confirmed && fence_stable;
   g_message ("lease %s: holder %s suspected to be gone (%s)", lease->member, holder,
              claim_at_once ? "confirmed" : "not confirmed");
@@ -313,7 +313,7 @@
 ft_lease_renew_failed (FtLease *lease, gint64 now)
 {
   lease->next_renewal
-      = now + (gint64) (g_rand_double_range (lease->random, FT_RENEW_AGAIN_MIN_S, FT_RENEW_AGAIN_MAX_S) * FT_SECOND);
+      = now + (gint64) (g_rand_double_range (lease->random, FT_RENEW_RETRY_MIN_S, FT_RENEW_RETRY_MAX_S) * FT_SECOND);
 }
 
 static void
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -124,7 +124,7 @@
   const FtCoreContext *context = eviction->context;
   gboolean window_open = window_allows (eviction, count);
   gint64 long_silent = ft_seconds (FT_SILENT_MAJORITY_LEASES * context->settings->lease_s);
-  if (context->now - context->cancellations_known_until > ft_seconds (FT_GIVE_UP_STORE_SEEN_S))
+  if (context->now - context->cancellations_known_until > ft_seconds (FT_SILENT_SCALE_IN_STORE_SEEN_S))
     return FALSE;
   if (count.lost > count.reporting
       && context->now - ft_reachability_no_heartbeat_since (&machine->reachability, context) <= long_silent)
@@ -179,7 +179,7 @@
 boot_failed (const FtMachine *machine)
 {
   double boot_s = machine->type != NULL ? machine->type->boot_s : FT_BOOT_UNKNOWN_S;
-  gint64 limit = ft_seconds (boot_s * FT_BOOT_FACTOR + FT_BOOT_PLUS_S);
+  gint64 limit = ft_seconds (boot_s * FT_BOOT_TIMEOUT_FACTOR + FT_BOOT_TIMEOUT_EXTRA_S);
   return machine->state == FT_MACHINE_BOOTING && machine->context->now - machine->launched_at > limit;
 }
 
@@ -213,10 +213,10 @@
   if (!machine->fitness.start_in_doubt)
     return FALSE; /* nearly all: their attempts need no look */
   double age_s = doubt_age_s (machine, &others);
-  if (age_s <= FT_DOUBT_S)
+  if (age_s <= FT_START_IN_DOUBT_QUARANTINE_S)
     return FALSE;
   machine->fitness.quarantined = TRUE;
-  return !others || age_s > FT_DOUBT_MAX * machine->context->settings->cancel_s;
+  return !others || age_s > FT_START_IN_DOUBT_SCALE_IN_SHARE * machine->context->settings->cancel_s;
 }
 
 /* What was started before it became faulty may complete first. */
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -22,9 +22,9 @@
 guint
 ft_placement_quota_left (const FtPlacement *placement, const FtTeam *team, const FtJobSpec *spec)
 {
-  FtUnseenCapacity unseen;
+  FtUnreconciledCapacity unseen;
   ft_recovery_unreconciled (placement->recovery, &unseen.cpus, &unseen.gpus);
-  return ft_quota_count (team, spec, &unseen);
+  return ft_quota_tasks_left (team, spec, &unseen);
 }
 
 static gboolean
@@ -158,7 +158,7 @@
   if (zoned && job->counts[FT_TASK_UNKNOWN] > 0)
     return 0;
   ft_task_zones_find (&zones, job);
-  while (placed < FT_PASS_TASKS && ft_placement_quota_left (placement, job->team, job->spec) > 0) {
+  while (placed < FT_PASS_TASKS_MAX && ft_placement_quota_left (placement, job->team, job->spec) > 0) {
     guint index = next_queued (job, placement->context->now);
     if (index >= job->spec->tasks)
       break;
@@ -167,7 +167,7 @@
       job->no_room_pass = placement->pass;
       break;
     }
-    guint n = place_on (placement, job, machine, zoned ? 1 : FT_PASS_TASKS - placed);
+    guint n = place_on (placement, job, machine, zoned ? 1 : FT_PASS_TASKS_MAX - placed);
     if (n == 0)
       break;
     placed += n;
@@ -226,19 +226,19 @@
   if (!placement->context->may_start || !ft_recovery_is_loaded (placement->recovery) || placement->waiting->len == 0)
     return;
   ft_placement_search_init (&search, placement->context, placement->spot_risk, placement->machine_table);
-  guint placed = 0, preempting = placement->context->now >= placement->next_preempt ? 0 : FT_PREEMPT_JOBS;
-  for (guint i = 0; i < placement->waiting->len && placed < FT_PASS_TASKS; i++) {
+  guint placed = 0, preempting = placement->context->now >= placement->next_preempt ? 0 : FT_PREEMPT_JOBS_MAX;
+  for (guint i = 0; i < placement->waiting->len && placed < FT_PASS_TASKS_MAX; i++) {
     FtJob *job = g_ptr_array_index (placement->waiting, i);
     placed += place_job (placement, job, &search);
-    if (job->no_room_pass == placement->pass && job->counts[FT_TASK_QUEUED] > 0 && preempting < FT_PREEMPT_JOBS) {
-      ft_preempt_for (placement->preemption, job, ft_placement_quota_left (placement, job->team, job->spec));
+    if (job->no_room_pass == placement->pass && job->counts[FT_TASK_QUEUED] > 0 && preempting < FT_PREEMPT_JOBS_MAX) {
+      ft_preempt_for_job (placement->preemption, job, ft_placement_quota_left (placement, job->team, job->spec));
       preempting++;
       placement->next_preempt = placement->context->now + ft_seconds (FT_PREEMPT_EVERY_S);
     }
   }
   ft_placement_search_clear (&search);
   ft_preempt_end_pass (placement->preemption);
-  if (placed >= FT_PASS_TASKS)
+  if (placed >= FT_PASS_TASKS_MAX)
     placement->context->placement_due = TRUE;
 }
 
@@ -247,7 +247,7 @@
 {
   if (!placement->context->may_start || !ft_recovery_is_loaded (placement->recovery) || !ft_machine_usable (machine))
     return;
-  for (guint i = 0, looked = 0; i < placement->waiting->len && looked < FT_FILL_JOBS; i++) {
+  for (guint i = 0, looked = 0; i < placement->waiting->len && looked < FT_FILL_JOBS_MAX; i++) {
     FtJob *job = g_ptr_array_index (placement->waiting, i);
     if (!wants_placing (placement, job))
       continue;
@@ -255,12 +255,12 @@
     placement->context->looked_at++;
     gboolean plain = job->spec->kind != FT_KIND_GANG && !job->spec->one_zone && !job->spec->spread;
     if (plain && ft_machine_allowed (machine, job->spec))
-      place_on (placement, job, machine, FT_PASS_TASKS);
+      place_on (placement, job, machine, FT_PASS_TASKS_MAX);
   }
 }
 
 void
-ft_placement_forget (FtPlacement *placement, FtJob *job)
+ft_placement_job_removed (FtPlacement *placement, FtJob *job)
 {
   g_ptr_array_remove (placement->order, job);
   g_ptr_array_remove (placement->waiting, job);
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -49,4 +49,4 @@
 guint ft_placement_quota_left (const FtPlacement *placement, const FtTeam *team, const FtJobSpec *spec);
 
 /* The job is about to be freed. */
-void ft_placement_forget (FtPlacement *placement, FtJob *job);
+void ft_placement_job_removed (FtPlacement *placement, FtJob *job);
--- a/src/core/placement_rank.c
+++ b/src/core/placement_rank.c
@@ -10,7 +10,7 @@
   if (job->deadline_at == 0)
     return FALSE;
   gint64 still_needed = (gint64) (job->spec->estimate_s * FT_TOO_LATE_SHARE * FT_SECOND);
-  gint64 patience = (gint64) (FT_TOO_LATE_PATIENCE * (double) (job->deadline_at - job->accepted_at));
+  gint64 patience = (gint64) (FT_TOO_LATE_DEFERRAL * (double) (job->deadline_at - job->accepted_at));
   return now + still_needed > job->deadline_at && now < job->deadline_at + patience;
 }
 
@@ -76,7 +76,7 @@
   if (g_hash_table_contains (machine->images, spec->image))
     return 0;
   double fetch_s = spec->image_gb / MAX (machine->type->fetch_gb_per_s, FT_FETCH_RATE_MIN);
-  return is_fetching (machine, spec->image) ? fetch_s * FT_SCORE_FETCHING : fetch_s;
+  return is_fetching (machine, spec->image) ? fetch_s * FT_FETCH_REMAINING_SHARE : fetch_s;
 }
 
 double
@@ -86,9 +86,9 @@
   double wait_s = image_wait_s (machine, job->spec);
   /* 2. The room that would be left: work that need not begin at once is packed, so that
    * machines become entirely idle, the expensive ones first. */
-  double pack = job->priority < FT_PRIORITY_HIGH ? FT_SCORE_PACK : 1;
+  double pack = job->priority < FT_PRIORITY_HIGH ? FT_SCORE_PACK_FACTOR : 1;
   double room_left = (machine->type->cpus - machine->cpus - job->spec->cpus) / machine->type->cpus;
   /* 3. What the machine's kind is expected to cost: a spot machine may be taken, an ordinary one is dear. */
   double kind = machine->spot ? spot_delay_s : pack * FT_SCORE_ORDINARY_S;
-  return wait_s + pack * FT_SCORE_LEFT_S * room_left + kind;
+  return wait_s + pack * FT_SCORE_ROOM_LEFT_S * room_left + kind;
 }
--- a/src/core/placement_search.c
+++ b/src/core/placement_search.c
@@ -74,7 +74,7 @@
 gboolean
 ft_placement_search_avoids (const FtCoreContext *context, const FtTask *task, const FtMachine *machine)
 {
-  return task->avoid == machine && context->now < task->not_before + ft_seconds (FT_AVOID_S);
+  return task->avoid == machine && context->now < task->not_before + ft_seconds (FT_AVOID_MACHINE_S);
 }
 
 static gboolean
@@ -128,7 +128,7 @@
     }
   }
   gboolean plain = !job->spec->one_zone && !job->spec->spread && task->avoid == NULL;
-  if (best == NULL && plain && search->n_full < FT_FULL_SHAPES)
+  if (best == NULL && plain && search->n_full < FT_NO_ROOM_SPECS_MAX)
     search->full[search->n_full++] = job->spec;
   return best;
 }
--- a/src/core/placement_search.h
+++ b/src/core/placement_search.h
@@ -17,10 +17,10 @@
 } FtTaskZones;
 
 typedef struct {
-  FtCoreContext *context;                /* borrowed */
-  const FtSpotRisk *spot_risk;           /* borrowed */
-  GPtrArray *machines;                   /* FtMachine with room for something, borrowed elements */
-  const FtJobSpec *full[FT_FULL_SHAPES]; /* kinds that found no room, borrowed from open jobs */
+  FtCoreContext *context;                      /* borrowed */
+  const FtSpotRisk *spot_risk;                 /* borrowed */
+  GPtrArray *machines;                         /* FtMachine with room for something, borrowed elements */
+  const FtJobSpec *full[FT_NO_ROOM_SPECS_MAX]; /* kinds that found no room, borrowed from open jobs */
   guint n_full;
 } FtPlacementSearch;
 
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -74,7 +74,7 @@
 }
 
 void
-ft_preempt_for (FtPreemption *preemption, const FtJob *job, guint quota_left)
+ft_preempt_for_job (FtPreemption *preemption, const FtJob *job, guint quota_left)
 {
   if (preemption->context->now - job->ready_at < ft_seconds (FT_PREEMPT_AFTER_S))
     return;
--- a/src/core/preempt.h
+++ b/src/core/preempt.h
@@ -16,7 +16,7 @@
 } FtPreemption;
 
 /* Stops work until as many stops are under way as the job has queued tasks, `quota_left` at most. */
-void ft_preempt_for (FtPreemption *preemption, const FtJob *job, guint quota_left);
+void ft_preempt_for_job (FtPreemption *preemption, const FtJob *job, guint quota_left);
 
 /* The placement pass is over: the attempts found in it are forgotten. */
 void ft_preempt_end_pass (FtPreemption *preemption);
--- a/src/core/quota.c
+++ b/src/core/quota.c
@@ -40,7 +40,7 @@
 }
 
 guint
-ft_quota_count (const FtTeam *team, const FtJobSpec *spec, const FtUnseenCapacity *unseen)
+ft_quota_tasks_left (const FtTeam *team, const FtJobSpec *spec, const FtUnreconciledCapacity *unseen)
 {
   double unseen_cpus = MIN (unseen->cpus, team->unknown_cpus);
   double unseen_gpus = MIN (unseen->gpus, team->unknown_gpus);
--- a/src/core/quota.h
+++ b/src/core/quota.h
@@ -15,7 +15,7 @@
 /* What all machines that are not reconciled can hold, in CPUs and GPUs. */
 typedef struct {
   double cpus, gpus;
-} FtUnseenCapacity;
+} FtUnreconciledCapacity;
 
 /* A quota of the settings' teams; the settings are borrowed. */
 void ft_quota_init (FtQuota *quota, const FtSettings *settings);
@@ -31,7 +31,7 @@
 
 /* How many more tasks of this kind the team's limit allows now. What it may run unseen counts as
  * used: its unknown tasks, but no more than `unseen`. */
-guint ft_quota_count (const FtTeam *team, const FtJobSpec *spec, const FtUnseenCapacity *unseen);
+guint ft_quota_tasks_left (const FtTeam *team, const FtJobSpec *spec, const FtUnreconciledCapacity *unseen);
 
 /* Sets `guaranteed` of the jobs that are within their team's guarantee: those that fit there together with the
  * team's earlier unfinished jobs. Sorts `jobs` (of FtJob) by acceptance. */
--- a/src/core/reachability.c
+++ b/src/core/reachability.c
@@ -146,14 +146,14 @@
     return TRUE;
   if (!ft_reachability_overdue (reachability, context))
     return FALSE;
-  guint probes_needed = reconciled ? FT_PROBES : FT_PROBES_FAILOVER;
+  guint probes_needed = reconciled ? FT_SILENT_PROBES : FT_SILENT_PROBES_FAILOVER;
   return zone_unreachable || reachability->probe_fails >= probes_needed;
 }
 
 gboolean
 ft_reachability_recent (const FtReachability *reachability, const FtCoreContext *context)
 {
-  double longest_gap_s = context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_USABLE_MARGIN_S;
+  double longest_gap_s = context->settings->heartbeat_s * FT_HEARTBEAT_GAP_INTERVALS + FT_USABLE_MARGIN_S;
   return context->now - reachability->last_status_at < ft_seconds (longest_gap_s);
 }
 
@@ -173,11 +173,12 @@
 gint64
 ft_reachability_silence_us (const FtCoreContext *context)
 {
-  return ft_seconds (context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S + FT_SILENCE_MARGIN_S);
+  return ft_seconds (context->settings->heartbeat_s * FT_HEARTBEAT_GAP_INTERVALS + FT_WORKER_TIMEOUT_S
+                     + FT_SILENCE_MARGIN_S);
 }
 
 gint64
 ft_reachability_overdue_us (const FtCoreContext *context)
 {
-  return ft_seconds (context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_OVERDUE_MARGIN_S);
+  return ft_seconds (context->settings->heartbeat_s * FT_HEARTBEAT_GAP_INTERVALS + FT_OVERDUE_MARGIN_S);
 }
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -9,7 +9,7 @@
   double idle_s = machine->spot ? context->tuning.idle_spot_s : context->tuning.idle_ordinary_s;
   return ft_machine_usable (machine) && ft_machine_idle (machine)
          && context->now - machine->idle_since > ft_seconds (idle_s)
-         && context->now - machine->launched_at > ft_seconds (FT_LEAST_CHARGED_S)
+         && context->now - machine->launched_at > ft_seconds (FT_MINIMUM_CHARGE_S)
          && !machine->requests.command_in_flight;
 }
 
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -118,7 +118,7 @@
     /* A small rest waits for room to become free, unless none can: the one
      * small job of a site without a machine must get one too. */
     gboolean stuck = demand->blocked && supply.booting < 1 && (supply.in_use <= 0 || blocked_long (placement, demand));
-    if (wanted > FT_SCALE_OUT_FROM || stuck)
+    if (wanted > FT_SCALE_OUT_MIN_DEMAND || stuck)
       launch (table, pools, demand, (guint) MAX (1, ceil (wanted)));
   }
 }
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -37,7 +37,7 @@
 on_job_removed (FtJob *job, gpointer data)
 {
   FtScheduler *scheduler = data;
-  ft_placement_forget (&scheduler->placement, job);
+  ft_placement_job_removed (&scheduler->placement, job);
 }
 
 FtScheduler *
@@ -99,7 +99,7 @@
 }
 
 guint
-ft_scheduler_up (const FtScheduler *scheduler)
+ft_scheduler_count_expected_machines (const FtScheduler *scheduler)
 {
   return ft_machine_table_up (&scheduler->machine_table);
 }
@@ -185,7 +185,7 @@
 }
 
 void
-ft_scheduler_late (FtScheduler *scheduler, gint64 now)
+ft_scheduler_was_late (FtScheduler *scheduler, gint64 now)
 {
   scheduler->context.on_time_since = now;
 }
@@ -197,19 +197,19 @@
 }
 
 void
-ft_scheduler_unanswering (FtScheduler *scheduler, gint64 now)
+ft_scheduler_not_answering (FtScheduler *scheduler, gint64 now)
 {
   scheduler->context.answering_since = now;
 }
 
 gint64
-ft_scheduler_last_heard (const FtScheduler *scheduler)
+ft_scheduler_last_heartbeat_at (const FtScheduler *scheduler)
 {
   return scheduler->context.last_heard;
 }
 
 guint
-ft_scheduler_looked_at (const FtScheduler *scheduler)
+ft_scheduler_examined (const FtScheduler *scheduler)
 {
   return scheduler->context.looked_at;
 }
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -60,14 +60,14 @@
   guint done, running; /* tasks */
 } FtJobProgress;
 /* How far the job of that ref is. */
-FtJobProgress ft_scheduler_view (const FtScheduler *scheduler, const char *ref);
+FtJobProgress ft_scheduler_job_progress (const FtScheduler *scheduler, const char *ref);
 
 /* ---- workers ---- */
 /* A heartbeat to us. The answer carries ft_scheduler_answer()'s commands. Returns
  * FALSE if the heartbeat shows a higher token: the caller must step down. */
 gboolean ft_scheduler_heartbeat (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now);
 /* Whether the lease is valid now; kept until the next such call, place or tick. */
-void ft_scheduler_allow (FtScheduler *scheduler, gboolean may_start);
+void ft_scheduler_set_may_start (FtScheduler *scheduler, gboolean may_start);
 /* The commands for the answer to this heartbeat. `starts`: the lease allows it. */
 GArray *ft_scheduler_answer (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now);
 
@@ -78,7 +78,7 @@
                                    const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* ---- cloud ---- */
-void ft_scheduler_listed (FtScheduler *scheduler, GArray *list, gint64 now);
+void ft_scheduler_machines_listed (FtScheduler *scheduler, GArray *list, gint64 now);
 /* The next request to the cloud, or NULL. */
 FtCloudCall *ft_scheduler_next_cloud (FtScheduler *scheduler, gint64 now);
 /* For a launch that went through, `call->names` are the machines. A call that
@@ -115,17 +115,17 @@
 /* All cancellations committed before `at` have been passed to ft_scheduler_job_cancelled(). */
 void ft_scheduler_cancellations_known (FtScheduler *scheduler, gint64 at);
 /* This controller answers no heartbeats now: that none comes proves nothing. */
-void ft_scheduler_unanswering (FtScheduler *scheduler, gint64 now);
+void ft_scheduler_not_answering (FtScheduler *scheduler, gint64 now);
 /* This controller is behind with its heartbeats: silence up to now proves nothing. */
-void ft_scheduler_late (FtScheduler *scheduler, gint64 now);
+void ft_scheduler_was_late (FtScheduler *scheduler, gint64 now);
 /* When a worker last showed our token; 0: none has yet. */
-gint64 ft_scheduler_last_heard (const FtScheduler *scheduler);
+gint64 ft_scheduler_last_heartbeat_at (const FtScheduler *scheduler);
 /* Machines, jobs and attempts looked at so far, in whatever is done for heartbeats. */
-guint ft_scheduler_looked_at (const FtScheduler *scheduler);
+guint ft_scheduler_examined (const FtScheduler *scheduler);
 /* Tasks of all open jobs. */
 guint ft_scheduler_open_tasks (const FtScheduler *scheduler);
 /* Machines that should be reporting. */
-guint ft_scheduler_up (const FtScheduler *scheduler);
+guint ft_scheduler_count_expected_machines (const FtScheduler *scheduler);
 
 /* ---- for operators and the peers ---- */
 /* An open job as operators see it; all borrowed. */
@@ -152,6 +152,6 @@
 /* Visits all teams of the settings, with what they use now. */
 void ft_scheduler_each_team (FtScheduler *scheduler, FtTeamVisitor visit, gpointer data);
 /* Whether a machine of that name is known. */
-gboolean ft_scheduler_knows (const FtScheduler *scheduler, const char *machine);
+gboolean ft_scheduler_has_machine (const FtScheduler *scheduler, const char *machine);
 /* Remembered by name, also for a machine not known yet. FALSE: not known now. */
 gboolean ft_scheduler_drain (FtScheduler *scheduler, const char *machine, gboolean drain);
--- a/src/core/scheduler_jobs.c
+++ b/src/core/scheduler_jobs.c
@@ -59,7 +59,7 @@
 }
 
 FtJobProgress
-ft_scheduler_view (const FtScheduler *scheduler, const char *ref)
+ft_scheduler_job_progress (const FtScheduler *scheduler, const char *ref)
 {
   FtJobProgress view = { 0 };
   const FtJob *job = ft_job_table_find (&scheduler->job_table, ref);
--- a/src/core/scheduler_operators.c
+++ b/src/core/scheduler_operators.c
@@ -75,7 +75,7 @@
 }
 
 gboolean
-ft_scheduler_knows (const FtScheduler *scheduler, const char *name)
+ft_scheduler_has_machine (const FtScheduler *scheduler, const char *name)
 {
   return ft_machine_table_find (&scheduler->machine_table, name) != NULL;
 }
--- a/src/core/scheduler_workers.c
+++ b/src/core/scheduler_workers.c
@@ -33,7 +33,7 @@
 }
 
 void
-ft_scheduler_allow (FtScheduler *scheduler, gboolean may_start)
+ft_scheduler_set_may_start (FtScheduler *scheduler, gboolean may_start)
 {
   scheduler->context.may_start = may_start;
 }
@@ -128,7 +128,7 @@
 }
 
 void
-ft_scheduler_listed (FtScheduler *scheduler, GArray *list, gint64 now)
+ft_scheduler_machines_listed (FtScheduler *scheduler, GArray *list, gint64 now)
 {
   scheduler->context.now = now;
   ft_autoscaler_listed (&scheduler->autoscaler, list);
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -23,7 +23,7 @@
       || attempt->direct_start == FT_DIRECT_START_UNANSWERED)
     return FALSE;
   return attempt->direct_start == FT_DIRECT_START_NONE
-         || context->now - attempt->exited_at > ft_seconds (FT_COPY_LEASES * context->settings->lease_s);
+         || context->now - attempt->exited_at > ft_seconds (FT_LATE_COPY_LEASES * context->settings->lease_s);
 }
 
 void
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -64,7 +64,7 @@
 quiet (const FtCoreContext *context, const FtZone *zone)
 {
   gint64 since = MAX (zone->last_heard, MAX (context->on_time_since, context->answering_since));
-  return zone->members >= FT_ZONE_MEMBERS
+  return zone->members >= FT_ZONE_MEMBERS_MIN
          && context->now - MAX (since, context->loaded_at) > ft_reachability_overdue_us (context);
 }
 
--- a/src/net/admin_drains.c
+++ b/src/net/admin_drains.c
@@ -58,7 +58,7 @@
 void
 ft_admin_drain (FtNode *node, FtHttpRequest *request, const char *machine)
 {
-  if (ft_scheduler_knows (ft_leader_scheduler (node->leader), machine))
+  if (ft_scheduler_has_machine (ft_leader_scheduler (node->leader), machine))
     commit (node, request, machine, TRUE);
   else
     ft_admin_refuse (request, FT_HTTP_NOT_FOUND, "there is no machine %s", machine);
--- a/src/net/ancestors.c
+++ b/src/net/ancestors.c
@@ -38,7 +38,7 @@
 static gboolean
 is_fresh (const FtNode *node, const FtCachedJob *job, gint64 now)
 {
-  gint64 fresh_us = (gint64) (node->config->core.cancel_s * FT_ANCESTORS_FRESH * FT_SECOND);
+  gint64 fresh_us = (gint64) (node->config->core.cancel_s * FT_ANCESTORS_FRESH_SHARE * FT_SECOND);
   return job->checked_at > 0 && now - job->checked_at < fresh_us;
 }
 
--- a/src/net/ancestors.h
+++ b/src/net/ancestors.h
@@ -2,7 +2,7 @@
  *
  * The answer is read from committed rows, not from what a leader has cleaned up, so that a
  * cancellation reaches users in time also while nobody leads. It may rest on rows that were read up
- * to FT_ANCESTORS_FRESH of cancel_s ago. Used by submissions and by polls. */
+ * to FT_ANCESTORS_FRESH_SHARE of cancel_s ago. Used by submissions and by polls. */
 #pragma once
 #include "net/node.h"
 
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -111,7 +111,7 @@
   if (request->total <= FT_BODY_MAX)
     g_byte_array_append (request->raw, (const guint8 *) chunk, (guint) *size);
   *size = 0;
-  return request->total > FT_BODY_CUT ? MHD_NO : MHD_YES;
+  return request->total > FT_BODY_ABORT_BYTES ? MHD_NO : MHD_YES;
 }
 
 static struct MHD_Response *
--- a/src/net/job_status.c
+++ b/src/net/job_status.c
@@ -23,7 +23,7 @@
   const FtJobProgress *summary = ft_peers_job_progress (node->peers, ref);
   FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   if (scheduler != NULL)
-    progress = ft_scheduler_view (scheduler, ref);
+    progress = ft_scheduler_job_progress (scheduler, ref);
   else if (summary != NULL)
     progress = *summary;
   const char *state = progress.running > 0 ? "running" : "queued";
--- a/src/net/leader_cloud.c
+++ b/src/net/leader_cloud.c
@@ -117,7 +117,7 @@
     read_list (cloud, g_array_ref (machines));
     return FT_LEADER_OUTCOME_DONE;
   }
-  ft_scheduler_listed (cloud->term->scheduler, machines, g_get_monotonic_time ());
+  ft_scheduler_machines_listed (cloud->term->scheduler, machines, g_get_monotonic_time ());
   return FT_LEADER_OUTCOME_PROGRESS;
 }
 
--- a/src/net/leadership.c
+++ b/src/net/leadership.c
@@ -201,7 +201,7 @@
 is_cut_off (const FtLeadership *leadership, gint64 now)
 {
   const FtNode *node = leadership->node;
-  gint64 longest_gap = seconds (node->config->core.heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S);
+  gint64 longest_gap = seconds (node->config->core.heartbeat_s * FT_HEARTBEAT_GAP_INTERVALS + FT_CUT_OFF_MARGIN_S);
   /* While it answers nobody the workers ask elsewhere: after an outage a leader gave up
    * the lease that it had just renewed, and nobody led for another failover. */
   gint64 answering_since = MAX (ft_leader_led_since (node->leader), leadership->answering_since);
@@ -210,9 +210,9 @@
   /* What was not received while this process stood still proves nothing. */
   gint64 receiving_since = MAX (answering_since, leadership->on_time_since);
   const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
-  gint64 heard_at = MAX (receiving_since, ft_scheduler_last_heard (scheduler));
+  gint64 heard_at = MAX (receiving_since, ft_scheduler_last_heartbeat_at (scheduler));
   return node->config->peers->len > 0 && now - heard_at > longest_gap
-         && ft_scheduler_up (scheduler) >= FT_CUT_OFF_MACHINES;
+         && ft_scheduler_count_expected_machines (scheduler) >= FT_CUT_OFF_MACHINES;
 }
 
 /* A controller that computes slower than before falls behind its workers, and another may not.
@@ -226,7 +226,7 @@
   gint64 overrun_since = ft_heartbeat_queue_overrun_since (node->heartbeat_queue);
   return overrun_since > 0 && ft_peers_any_served (node->peers, now - seconds (FT_PEER_FRESH_S), now)
          && now - overrun_since > seconds (FT_OVERRUN_S)
-         && now - ft_leader_led_since (node->leader) > seconds (FT_OVERRUN_LED_S);
+         && now - ft_leader_led_since (node->leader) > seconds (FT_OVERRUN_LEADERSHIP_MIN_S);
 }
 
 /* Why another controller should lead, for the log line; NULL: no reason is known. */
@@ -246,7 +246,7 @@
 ft_leadership_store_unreachable_alone (const FtLeadership *leadership, gint64 now)
 {
   const FtNode *node = leadership->node;
-  gint64 lost_at = ft_store_client_failing_since (node->store) + seconds (FT_READY_MARGIN_S);
+  gint64 lost_at = ft_store_client_failing_since (node->store) + seconds (FT_PEER_SERVED_MARGIN_S);
   return !ft_store_client_contact (node->store, now) && ft_peers_any_served (node->peers, lost_at, now);
 }
 
@@ -319,7 +319,7 @@
     return;
   leadership->answering_since = now;
   if (leads (leadership))
-    ft_scheduler_unanswering (ft_leader_scheduler (node->leader), now);
+    ft_scheduler_not_answering (ft_leader_scheduler (node->leader), now);
 }
 
 static void
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -130,7 +130,7 @@
   for (guint i = 0; i < peers->all->len; i++) {
     const Peer *peer = peer_at (peers, i);
     if (peer->refusals_in_row == 0 && peer->answered_at > 0
-        && now - peer->answered_at < (gint64) (FT_PEER_WITNESS_S * FT_SECOND))
+        && now - peer->answered_at < (gint64) (FT_PEER_ANSWER_FRESH_S * FT_SECOND))
       return TRUE;
   }
   return FALSE;
@@ -143,7 +143,7 @@
   peer->refusals_in_row++;
   ft_peers_schedule (peers, MIN (peers->next_heartbeat_at, now + (gint64) (FT_PEER_RETRY_S * FT_SECOND)));
   gboolean silent = now - peer->heard_at > (gint64) (FT_PEER_EVERY_S * FT_SECOND);
-  if (peer->refusals_in_row >= FT_PEER_REFUSALS && silent)
+  if (peer->refusals_in_row >= FT_PEER_SUSPECT_REFUSALS && silent)
     peers->hooks->suspected (peer->address->member, another_peer_answers (peers, now), now, peers->data);
 }
 
@@ -154,7 +154,7 @@
   Peer *peer = peer_at (request->peers, request->index);
   gint64 now = g_get_monotonic_time ();
   gboolean answered = status != FT_HTTP_NO_ANSWER;
-  gboolean timed_out = now - peer->sent_at > (gint64) (FT_PEER_REFUSED_S * FT_SECOND);
+  gboolean timed_out = now - peer->sent_at > (gint64) (FT_PEER_REFUSED_WITHIN_S * FT_SECOND);
   peer->in_flight = FALSE;
   if (answered)
     peer->answered_at = now;
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -50,7 +50,8 @@
   store->client = ft_http_client_new (FT_CONNECTIONS_PER_HOST, FT_CONNECTIONS_PER_HOST);
   store->lease_client = ft_http_client_new (LEASE_CONNECTIONS, LEASE_CONNECTIONS);
   store->watch_client = ft_http_client_new (WATCH_CONNECTIONS, WATCH_CONNECTIONS);
-  ft_budget_init (&store->requests, store->rps * FT_FOLLOWER_SHARE, store->rps * FT_FOLLOWER_SHARE, now);
+  ft_budget_init (&store->requests, store->rps * FT_FOLLOWER_REQUEST_SHARE, store->rps * FT_FOLLOWER_REQUEST_SHARE,
+                  now);
   double writes = store->write_rps * FT_FOLLOWER_WRITE_SHARE;
   ft_budget_init (&store->writes, writes, writes, now);
   for (int i = 0; i < QUEUES; i++)
@@ -87,7 +88,8 @@
 ft_store_client_set_leading (FtStoreClient *store, gboolean leading)
 {
   gint64 now = g_get_monotonic_time ();
-  ft_budget_set_rate (&store->requests, store->rps * (leading ? FT_LEADER_SHARE : FT_FOLLOWER_SHARE), now);
+  ft_budget_set_rate (&store->requests, store->rps * (leading ? FT_LEADER_REQUEST_SHARE : FT_FOLLOWER_REQUEST_SHARE),
+                      now);
   ft_budget_set_rate (&store->writes, store->write_rps * (leading ? FT_LEADER_WRITE_SHARE : FT_FOLLOWER_WRITE_SHARE),
                       now);
 }
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -56,7 +56,7 @@
     redirect (node, request);
     return;
   }
-  ft_scheduler_allow (scheduler, ft_lease_may_start (node->lease, now));
+  ft_scheduler_set_may_start (scheduler, ft_lease_may_start (node->lease, now));
   g_autoptr (GArray) commands = ft_scheduler_answer (scheduler, heartbeat, now);
   ft_http_respond (request, FT_HTTP_OK, ft_message_answer (ft_lease_token (node->lease), commands));
   ft_leader_pump (node->leader, g_get_monotonic_time ());
@@ -70,7 +70,7 @@
   const FtNode *node = data;
   FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   if (scheduler != NULL)
-    ft_scheduler_late (scheduler, now);
+    ft_scheduler_was_late (scheduler, now);
 }
 
 const FtHeartbeatQueueHooks ft_worker_queue_hooks = {
--- a/tests/sim/node_cloud.cpp
+++ b/tests/sim/node_cloud.cpp
@@ -55,7 +55,7 @@
   // The list is as old as its lag when it comes.
   schedule_in_term ((Time) (world_.uniform (0.5, 2) * world_.settings.list_lag_s * kSecond), [this, list] {
     if (scheduler_ != nullptr)
-      ft_scheduler_listed (scheduler_.get (), list.get (), clock ());
+      ft_scheduler_machines_listed (scheduler_.get (), list.get (), clock ());
   });
 }
 
--- a/tests/sim/node_lease.cpp
+++ b/tests/sim/node_lease.cpp
@@ -78,7 +78,7 @@
   Time now = clock ();
   ft_lease_tick (lease_.get (), now);
   if (scheduler_ != nullptr && !ft_lease_may_answer (lease_.get (), now))
-    ft_scheduler_unanswering (scheduler_.get (), now);
+    ft_scheduler_not_answering (scheduler_.get (), now);
   yield_if_refused_alone (now);
   draw_suspicion (now);
   if (ft_lease_sweep_due (lease_.get (), now) && !sweeping_)
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -104,7 +104,7 @@
     fleet.fail ("req-1", i, i);
     fleet.fail ("req-2", i, i);
   }
-  EXPECT_LT (fleet.quarantined (), FT_MISTAKEN_MACHINES);
+  EXPECT_LT (fleet.quarantined (), FT_FAULTY_JOB_MACHINES);
 }
 
 TEST (Fault, ACompletedTaskClearsItsMachine)
--- a/tests/test_module_reachability.cpp
+++ b/tests/test_module_reachability.cpp
@@ -102,7 +102,7 @@
 
 TEST_F (ReachabilityModule, IsSilentAfterProbesInVainButNotBeforeAHeartbeatIsOverdue)
 {
-  for (guint i = 0; i < FT_PROBES; i++)
+  for (guint i = 0; i < FT_SILENT_PROBES; i++)
     ft_reachability_request_unanswered (&machine);
   context.now = 100 * kS + ft_reachability_overdue_us (&context);
   EXPECT_FALSE (silent (true, true)) << "not overdue";
--- a/tests/test_scheduler_heartbeats.cpp
+++ b/tests/test_scheduler_heartbeats.cpp
@@ -69,7 +69,7 @@
   ft_scheduler_heartbeat (harness.scheduler, ghost, 140 * kS);
   harness.commit_writes (140 * kS);
   EXPECT_FALSE (ft_machine_usable (harness.machine ("n-9")));
-  EXPECT_EQ (ft_scheduler_last_heard (harness.scheduler), 100 * kS);
+  EXPECT_EQ (ft_scheduler_last_heartbeat_at (harness.scheduler), 100 * kS);
 }
 
 // A thousand machines, all full, and far more work than they have room for.
@@ -127,16 +127,16 @@
   FullFleet fleet;
   FtScheduler *scheduler = fleet.scheduler;
   ASSERT_EQ (ft_machine_room (fleet.machine ("n-000007"), fleet.job ("req-299")->spec), 0u);
-  guint before = ft_scheduler_looked_at (scheduler);
+  guint before = ft_scheduler_examined (scheduler);
   ft_scheduler_place (scheduler, fleet.now, TRUE); // within the pause: no pass
   g_autoptr (GArray) commands = ft_scheduler_answer (scheduler, fleet.report (7, 2), fleet.now);
   EXPECT_EQ (ft_scheduler_next_direct (scheduler, fleet.now), nullptr);
   fleet.commit_writes (fleet.now);
-  EXPECT_LE (ft_scheduler_looked_at (scheduler) - before, 64u);
+  EXPECT_LE (ft_scheduler_examined (scheduler) - before, 64u);
   // A pass over a full fleet looks at each machine and job a few times at most.
-  before = ft_scheduler_looked_at (scheduler);
+  before = ft_scheduler_examined (scheduler);
   ft_scheduler_tick (scheduler, fleet.now + kS, TRUE);
-  EXPECT_LE (ft_scheduler_looked_at (scheduler) - before, 40 * (fleet.kMachines + fleet.kJobs));
+  EXPECT_LE (ft_scheduler_examined (scheduler) - before, 40 * (fleet.kMachines + fleet.kJobs));
 }
 
 // Found by the random runs: a machine that hangs past its worker lease still
@@ -151,7 +151,7 @@
     ft_scheduler_cancellations_known (harness.scheduler, at * kS);
     ft_scheduler_tick (harness.scheduler, at * kS, TRUE);
   }
-  EXPECT_EQ (ft_scheduler_view (harness.scheduler, "req-1").running, 1u);
+  EXPECT_EQ (ft_scheduler_job_progress (harness.scheduler, "req-1").running, 1u);
   // The cloud confirms the return: now it is over.
   FtCloudCall *call = nullptr;
   while ((call = ft_scheduler_next_cloud (harness.scheduler, 160 * kS)) != nullptr && call->op != FT_CLOUD_SCALE_IN)
@@ -159,7 +159,7 @@
   ASSERT_NE (call, nullptr);
   ft_scheduler_cloud_done (harness.scheduler, call, FT_CLOUD_OK, 160 * kS);
   ft_cloud_call_free (call);
-  EXPECT_EQ (ft_scheduler_view (harness.scheduler, "req-1").running, 0u);
+  EXPECT_EQ (ft_scheduler_job_progress (harness.scheduler, "req-1").running, 0u);
 }
 
 TEST (Scheduler, AnOlderHeartbeatChangesNothing)
--- a/tests/test_scheduler_recovery.cpp
+++ b/tests/test_scheduler_recovery.cpp
@@ -11,11 +11,11 @@
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 2), 5, 100 * kS, 0);
   auto ends = [&] (gint64 at) { return harness.commit_counted (FT_WRITE_JOB_STOPPED, at); };
   ft_scheduler_cancellation_advised (harness.scheduler, "req-1", 101 * kS);
-  EXPECT_TRUE (ft_scheduler_view (harness.scheduler, "req-1").cancelled);
+  EXPECT_TRUE (ft_scheduler_job_progress (harness.scheduler, "req-1").cancelled);
   EXPECT_EQ (ends (101 * kS), 0u);
   ft_scheduler_job_cancelled (harness.scheduler, "req-1", kS, 102 * kS);
   EXPECT_EQ (ends (102 * kS), 1u);
-  EXPECT_FALSE (ft_scheduler_view (harness.scheduler, "req-1").known);
+  EXPECT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").known);
 }
 
 // The watch's answer may be older than the commit of a job's end; it must not place the job anew.
@@ -26,9 +26,9 @@
   FtTaskStatus status = task_status ("req-1", 0, harness.attempt, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   g_autoptr (GArray) rest = harness.exchange (102 * kS, 3, { status });
   harness.commit_writes (102 * kS);
-  ASSERT_FALSE (ft_scheduler_view (harness.scheduler, "req-1").known) << "its end is committed";
+  ASSERT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").known) << "its end is committed";
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 1), 5, 103 * kS, 0);
-  EXPECT_FALSE (ft_scheduler_view (harness.scheduler, "req-1").known);
+  EXPECT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").known);
   g_autoptr (GArray) again = harness.exchange (103 * kS, 4);
   EXPECT_EQ (count_commands (again, FT_COMMAND_START), 0u);
 }
--- a/tests/test_store_transactions.cpp
+++ b/tests/test_store_transactions.cpp
@@ -222,7 +222,7 @@
 {
   EXPECT_TRUE (take_open ("req-1", 3));
   EXPECT_TRUE (take ("o/req-1/w", ft_row_cancellation (kWallMs - 5)));
-  ASSERT_TRUE (ft_scheduler_view (harness.scheduler, "req-1").cancelled);
+  ASSERT_TRUE (ft_scheduler_job_progress (harness.scheduler, "req-1").cancelled);
   EXPECT_EQ (harness.job ("req-1")->cancelled_at, kNow - 5 * FT_MILLISECOND);
 }
 
@@ -261,9 +261,9 @@
 {
   EXPECT_TRUE (take_open ("req-1", 3));
   EXPECT_TRUE (take ("d/req-1/0", parse_json ("{\"bits\":7}"))) << "unreadable: its tasks run again";
-  EXPECT_EQ (ft_scheduler_view (harness.scheduler, "req-1").done, 0u);
+  EXPECT_EQ (ft_scheduler_job_progress (harness.scheduler, "req-1").done, 0u);
   EXPECT_TRUE (take ("d/req-1/0", ft_row_chunk ("Aw=="))); // the first two
-  EXPECT_EQ (ft_scheduler_view (harness.scheduler, "req-1").done, 2u);
+  EXPECT_EQ (ft_scheduler_job_progress (harness.scheduler, "req-1").done, 2u);
 }
 
 TEST_F (RowIntake, OtherRowsAreIgnored)
--- a/tests/test_zone.cpp
+++ b/tests/test_zone.cpp
@@ -160,7 +160,7 @@
       left += world.checker->live_in (ref, zone);
   });
   day.finish ();
-  EXPECT_GE (up[zone], FT_ZONE_MEMBERS) << "too few machines for a zone's worth";
+  EXPECT_GE (up[zone], FT_ZONE_MEMBERS_MIN) << "too few machines for a zone's worth";
   EXPECT_EQ (left, 0u) << "tasks that are still in the cut zone 16 s later";
 }
 
