--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -22,19 +22,21 @@
 guint
 ft_placement_quota_left (const FtPlacement *placement, const FtTeam *team, const FtJobSpec *spec)
 {
-  FtUnreconciledCapacity unseen;
-  ft_recovery_unreconciled (placement->recovery, &unseen.cpus, &unseen.gpus);
-  return ft_quota_tasks_left (team, spec, &unseen);
+  FtUnreconciledCapacity unreconciled;
+  ft_recovery_unreconciled (placement->recovery, &unreconciled.cpus, &unreconciled.gpus);
+  return ft_quota_tasks_left (team, spec, &unreconciled);
 }
 
+/* Returns TRUE if the job is open, has queued tasks and its `not_before` has passed. */
 static gboolean
-wants_placing (const FtPlacement *placement, const FtJob *job)
+has_tasks_to_place (const FtPlacement *placement, const FtJob *job)
 {
   return job->state == FT_JOB_OPEN && job->counts[FT_TASK_QUEUED] > 0 && job->not_before <= placement->context->now;
 }
 
+/* Collects and sorts the open jobs for a pass. */
 static void
-collect (FtPlacement *placement)
+collect_jobs (FtPlacement *placement)
 {
   GHashTableIter it;
   gpointer value;
@@ -52,12 +54,13 @@
   g_ptr_array_sort (placement->order, ft_placement_rank_jobs);
   g_ptr_array_set_size (placement->waiting, 0);
   for (guint i = 0; i < placement->order->len; i++)
-    if (wants_placing (placement, g_ptr_array_index (placement->order, i)))
+    if (has_tasks_to_place (placement, g_ptr_array_index (placement->order, i)))
       g_ptr_array_add (placement->waiting, g_ptr_array_index (placement->order, i));
 }
 
+/* Returns the lowest index of a queued task whose pause is over; the number of tasks if there is none. */
 static guint
-next_queued (FtJob *job, gint64 now)
+next_queued_task (FtJob *job, gint64 now)
 {
   guint i = job->scan_from;
   while (i < job->spec->tasks && job->tasks[i].state != FT_TASK_QUEUED)
@@ -68,15 +71,16 @@
   return i;
 }
 
-/* Attempt numbers rise with the token, so across leaders. */
+/* The token is in the upper bits, so attempt numbers also increase from one leader to the next. */
 static guint64
 next_attempt (FtPlacement *placement)
 {
   return (placement->context->token << FT_ATTEMPT_BITS) + placement->next_attempt++;
 }
 
-/* A task is sent once the job's dispatch watermark lies beyond it. Raised with some reserve: one
- * write covers many tasks that are placed one by one. */
+/* Raises the job's dispatch watermark above the index of a placed task. The task is sent only after the raised
+ * watermark is committed. The watermark is raised by more than one task, so that one write covers many tasks that are
+ * placed one by one. */
 static void
 raise_watermark (FtJob *job, guint index)
 {
@@ -88,8 +92,9 @@
   ft_job_queue_write (job);
 }
 
+/* Makes an attempt with the number `id` for the task on the machine, and queues its start. */
 static void
-place (FtPlacement *placement, FtJob *job, guint index, FtMachine *machine, guint64 id)
+place_task (FtPlacement *placement, FtJob *job, guint index, FtMachine *machine, guint64 id)
 {
   FtAttempt *attempt = ft_attempt_new (machine, job, job->spec->ref, index, id);
   ft_attempt_reserve (attempt);
@@ -101,10 +106,10 @@
   g_message ("task %s/%u: placed on %s attempt %" G_GUINT64_FORMAT, job->spec->ref, index, machine->name, id);
 }
 
-/* TRUE if all of the gang can be placed. The rest of a gang that has lost a task cannot continue: it is stopped, and
- * the gang starts again with all of its tasks. */
+/* Returns TRUE if all unfinished tasks of the gang are queued and the quota allows them. If a gang has lost a task, its
+ * other tasks cannot continue: they are stopped, and the gang starts again with all of its tasks. */
 static gboolean
-gang_ready (FtPlacement *placement, FtJob *job)
+gang_may_be_placed (FtPlacement *placement, FtJob *job)
 {
   guint unfinished = job->spec->tasks - ft_job_finished (job);
   if (job->counts[FT_TASK_QUEUED] == unfinished)
@@ -119,9 +124,10 @@
   return FALSE;
 }
 
-/* Ends what this pass placed of a gang that did not fit; no start of it has left the process. */
+/* Ends the attempts that this pass has made for a gang that did not fit as a whole. None of their starts has been
+ * sent. */
 static void
-take_back (FtPlacement *placement, FtJob *job)
+end_placed_attempts (FtPlacement *placement, FtJob *job)
 {
   for (guint i = 0; i < job->spec->tasks; i++) {
     FtAttempt *attempt = job->tasks[i].attempt;
@@ -130,36 +136,37 @@
   }
 }
 
-/* Puts tasks of the job on the machine while both have more and the team may. */
+/* Places up to `most` tasks of the job on the machine, while tasks are queued, the machine has room and the team's
+ * quota allows them. Returns the number of placed tasks. */
 static guint
-place_on (FtPlacement *placement, FtJob *job, FtMachine *machine, guint most)
+place_on_machine (FtPlacement *placement, FtJob *job, FtMachine *machine, guint most)
 {
   guint placed = 0;
   while (placed < most && ft_machine_room (machine, job->spec) > 0
          && ft_placement_quota_left (placement, job->team, job->spec) > 0) {
-    guint index = next_queued (job, placement->context->now);
+    guint index = next_queued_task (job, placement->context->now);
     if (index >= job->spec->tasks || ft_placement_search_avoids (placement->context, &job->tasks[index], machine))
       break;
-    place (placement, job, index, machine, next_attempt (placement));
+    place_task (placement, job, index, machine, next_attempt (placement));
     placed++;
   }
   return placed;
 }
 
-/* An array: whatever fits, machine by machine. Tasks of a job that share a
- * machine share the fetch of their image and one command. */
+/* Places as many tasks of an array or a service as fit, machine by machine: tasks of a job on the same machine share
+ * one fetch of their image and one command. Returns the number of placed tasks. */
 static guint
 place_array (FtPlacement *placement, FtJob *job, FtPlacementSearch *search)
 {
   FtTaskZones zones;
   guint placed = 0;
   gboolean zoned = job->spec->one_zone || job->spec->spread;
-  /* Unknown tasks could be in any zone: wait until they are found. */
+  /* Unknown tasks may be in any zone, so the job waits until they are found. */
   if (zoned && job->counts[FT_TASK_UNKNOWN] > 0)
     return 0;
   ft_task_zones_find (&zones, job);
   while (placed < FT_PASS_TASKS_MAX && ft_placement_quota_left (placement, job->team, job->spec) > 0) {
-    guint index = next_queued (job, placement->context->now);
+    guint index = next_queued_task (job, placement->context->now);
     if (index >= job->spec->tasks)
       break;
     FtMachine *machine = ft_placement_search_best (search, job, &job->tasks[index], &zones);
@@ -167,7 +174,7 @@
       job->no_room_pass = placement->pass;
       break;
     }
-    guint n = place_on (placement, job, machine, zoned ? 1 : FT_PASS_TASKS_MAX - placed);
+    guint n = place_on_machine (placement, job, machine, zoned ? 1 : FT_PASS_TASKS_MAX - placed);
     if (n == 0)
       break;
     placed += n;
@@ -180,17 +187,17 @@
   return placed;
 }
 
-/* A gang: all of it or nothing, under one attempt number. */
+/* Places all tasks of a gang, under one attempt number, or none. Returns the number of placed tasks. */
 static guint
-place_whole (FtPlacement *placement, FtJob *job, FtPlacementSearch *search)
+place_gang (FtPlacement *placement, FtJob *job, FtPlacementSearch *search)
 {
   FtTaskZones zones;
   guint placed = 0;
-  if (!gang_ready (placement, job))
+  if (!gang_may_be_placed (placement, job))
     return 0;
   guint64 id = next_attempt (placement);
   for (;;) {
-    guint index = next_queued (job, placement->context->now);
+    guint index = next_queued_task (job, placement->context->now);
     if (index >= job->spec->tasks || ft_placement_quota_left (placement, job->team, job->spec) == 0)
       break;
     ft_task_zones_find (&zones, job);
@@ -200,19 +207,19 @@
       job->no_room_pass = placement->pass;
       break;
     }
-    place (placement, job, index, machine, id);
+    place_task (placement, job, index, machine, id);
     placed++;
   }
   if (job->counts[FT_TASK_QUEUED] == 0)
     return placed;
-  take_back (placement, job);
+  end_placed_attempts (placement, job);
   return 0;
 }
 
 static guint
 place_job (FtPlacement *placement, FtJob *job, FtPlacementSearch *search)
 {
-  return job->spec->kind == FT_KIND_GANG ? place_whole (placement, job, search) : place_array (placement, job, search);
+  return job->spec->kind == FT_KIND_GANG ? place_gang (placement, job, search) : place_array (placement, job, search);
 }
 
 void
@@ -222,17 +229,17 @@
   placement->context->placement_due = FALSE;
   placement->pass++;
   placement->next_pass = placement->context->now + ft_seconds (FT_PASS_EVERY_S);
-  collect (placement);
+  collect_jobs (placement);
   if (!placement->context->may_start || !ft_recovery_is_loaded (placement->recovery) || placement->waiting->len == 0)
     return;
   ft_placement_search_init (&search, placement->context, placement->spot_risk, placement->machine_table);
-  guint placed = 0, preempting = placement->context->now >= placement->next_preempt ? 0 : FT_PREEMPT_JOBS_MAX;
+  guint placed = 0, preempt_jobs = placement->context->now >= placement->next_preempt ? 0 : FT_PREEMPT_JOBS_MAX;
   for (guint i = 0; i < placement->waiting->len && placed < FT_PASS_TASKS_MAX; i++) {
     FtJob *job = g_ptr_array_index (placement->waiting, i);
     placed += place_job (placement, job, &search);
-    if (job->no_room_pass == placement->pass && job->counts[FT_TASK_QUEUED] > 0 && preempting < FT_PREEMPT_JOBS_MAX) {
+    if (job->no_room_pass == placement->pass && job->counts[FT_TASK_QUEUED] > 0 && preempt_jobs < FT_PREEMPT_JOBS_MAX) {
       ft_preempt_for_job (placement->preemption, job, ft_placement_quota_left (placement, job->team, job->spec));
-      preempting++;
+      preempt_jobs++;
       placement->next_preempt = placement->context->now + ft_seconds (FT_PREEMPT_EVERY_S);
     }
   }
@@ -247,15 +254,15 @@
 {
   if (!placement->context->may_start || !ft_recovery_is_loaded (placement->recovery) || !ft_machine_usable (machine))
     return;
-  for (guint i = 0, looked = 0; i < placement->waiting->len && looked < FT_FILL_JOBS_MAX; i++) {
+  for (guint i = 0, examined = 0; i < placement->waiting->len && examined < FT_FILL_JOBS_MAX; i++) {
     FtJob *job = g_ptr_array_index (placement->waiting, i);
-    if (!wants_placing (placement, job))
+    if (!has_tasks_to_place (placement, job))
       continue;
-    looked++;
+    examined++;
     placement->context->looked_at++;
     gboolean plain = job->spec->kind != FT_KIND_GANG && !job->spec->one_zone && !job->spec->spread;
     if (plain && ft_machine_allowed (machine, job->spec))
-      place_on (placement, job, machine, FT_PASS_TASKS_MAX);
+      place_on_machine (placement, job, machine, FT_PASS_TASKS_MAX);
   }
 }
 
--- a/src/core/placement_search.c
+++ b/src/core/placement_search.c
@@ -31,7 +31,7 @@
   g_clear_pointer (&search->machines, g_ptr_array_unref);
 }
 
-/* ---- zones of a job's tasks ---- */
+/* ---- the zones of a job's tasks ---- */
 
 void
 ft_task_zones_find (FtTaskZones *zones, const FtJob *job)
@@ -39,7 +39,7 @@
   zones->zone_count = g_hash_table_new (g_str_hash, g_str_equal);
   zones->zone = NULL;
   if (!job->spec->one_zone && !job->spec->spread)
-    return; /* not needed, and a job may have very many tasks */
+    return; /* the zones are not needed, and a job may have very many tasks */
   for (guint i = 0; i < job->spec->tasks; i++) {
     const FtAttempt *attempt = job->tasks[i].attempt;
     if (attempt == NULL || !attempt->reserved)
@@ -56,6 +56,8 @@
   g_clear_pointer (&zones->zone_count, g_hash_table_unref);
 }
 
+/* Returns TRUE if the job's constraints `one_zone` and `spread` allow a task in the zone of the machine. `spread`
+ * allows at most half of the tasks, rounded up, in one zone. */
 static gboolean
 zone_allowed (const FtJob *job, const FtTaskZones *zones, const FtMachine *machine)
 {
@@ -69,8 +71,8 @@
 
 /* ---- the choice of a machine ---- */
 
-/* A task keeps off the machine where it failed, for a while only: it may be
- * the only one that is allowed. */
+/* A task avoids the machine where it failed only for a limited time, because that machine may be the only one that its
+ * job is allowed to use. */
 gboolean
 ft_placement_search_avoids (const FtCoreContext *context, const FtTask *task, const FtMachine *machine)
 {
@@ -86,20 +88,22 @@
          && ft_machine_room (machine, job->spec) > 0;
 }
 
-/* What needs as much as the kind that found no room, and may go nowhere else, finds none either. */
+/* Returns TRUE if `spec` cannot find room because `no_room_spec` found none: `spec` needs at least as much of each
+ * resource, and may use no machine that `no_room_spec` may not use. */
 static gboolean
-covers (const FtJobSpec *full, const FtJobSpec *spec)
+finds_no_room_either (const FtJobSpec *no_room_spec, const FtJobSpec *spec)
 {
-  return spec->cpus >= full->cpus && spec->gpus >= full->gpus && spec->memory_gb >= full->memory_gb
-         && full->types == NULL && (full->zone == NULL || g_strcmp0 (full->zone, spec->zone) == 0)
-         && (full->spot || !spec->spot);
+  return spec->cpus >= no_room_spec->cpus && spec->gpus >= no_room_spec->gpus
+         && spec->memory_gb >= no_room_spec->memory_gb && no_room_spec->types == NULL
+         && (no_room_spec->zone == NULL || g_strcmp0 (no_room_spec->zone, spec->zone) == 0)
+         && (no_room_spec->spot || !spec->spot);
 }
 
 static gboolean
-known_full (const FtPlacementSearch *search, const FtJobSpec *spec)
+is_known_without_room (const FtPlacementSearch *search, const FtJobSpec *spec)
 {
-  for (guint i = 0; i < search->n_full; i++)
-    if (covers (search->full[i], spec))
+  for (guint i = 0; i < search->n_no_room_specs; i++)
+    if (finds_no_room_either (search->no_room_specs[i], spec))
       return TRUE;
   return FALSE;
 }
@@ -110,7 +114,7 @@
   FtMachine *best = NULL;
   double best_score = INFINITY;
   guint seen = 0;
-  if (known_full (search, job->spec))
+  if (is_known_without_room (search, job->spec))
     return NULL;
   double spot_delay_s = ft_spot_risk_delay_s (search->spot_risk, job->spec);
   guint n = search->machines->len;
@@ -128,7 +132,7 @@
     }
   }
   gboolean plain = !job->spec->one_zone && !job->spec->spread && task->avoid == NULL;
-  if (best == NULL && plain && search->n_full < FT_NO_ROOM_SPECS_MAX)
-    search->full[search->n_full++] = job->spec;
+  if (best == NULL && plain && search->n_no_room_specs < FT_NO_ROOM_SPECS_MAX)
+    search->no_room_specs[search->n_no_room_specs++] = job->spec;
   return best;
 }
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -3,20 +3,20 @@
 #include "core/attempt_lifecycle.h"
 #include "core/quota.h"
 
-/* Stopping is worth it only for what has hardly begun, or saves its progress, and can still be in time
- * when it starts again later. */
+/* Returns TRUE if stopping the attempt loses little: it has run only briefly or saves its progress, and its job has no
+ * deadline, or has missed it already, or can still be in time when the task starts again later. */
 static gboolean
 cheap_to_stop (const FtAttempt *victim, gint64 now)
 {
-  const FtJob *owner = victim->job;
+  const FtJob *victim_job = victim->job;
   double ran = victim->running ? (double) (now - victim->running_at) / FT_SECOND : 0;
-  if (owner->spec->checkpoint_s <= 0 && ran > FT_PREEMPT_RAN_SHARE * owner->spec->estimate_s)
+  if (victim_job->spec->checkpoint_s <= 0 && ran > FT_PREEMPT_RAN_SHARE * victim_job->spec->estimate_s)
     return FALSE;
-  double left = (double) (owner->deadline_at - now) / FT_SECOND;
-  return owner->deadline_at == 0 || left < 0 || left > FT_PREEMPT_SLACK * owner->spec->estimate_s;
+  double left = (double) (victim_job->deadline_at - now) / FT_SECOND;
+  return victim_job->deadline_at == 0 || left < 0 || left > FT_PREEMPT_SLACK * victim_job->spec->estimate_s;
 }
 
-/* Whether the job takes precedence over the victim's. */
+/* Returns TRUE if the attempt may be stopped for the job. */
 static gboolean
 may_stop (const FtJob *job, const FtAttempt *victim, gint64 now)
 {
@@ -36,9 +36,10 @@
   return first->placed_at > second->placed_at ? -1 : first->placed_at < second->placed_at;
 }
 
-/* All that might be stopped, found once for a pass and not for each job. */
+/* Collects all attempts that may be stopped. It runs once for a pass, not once for each job, because it examines all
+ * attempts. */
 static void
-find_victims (FtPreemption *preemption)
+collect_victims (FtPreemption *preemption)
 {
   GHashTableIter machines, attempts;
   gpointer machine, value;
@@ -60,11 +61,13 @@
   g_ptr_array_sort (preemption->victims, youngest_first);
 }
 
+/* Returns the attempt that was placed last among those that may be stopped for the job and whose machine it may use.
+ * The search begins at index `position` and leaves `position` at the index of the result. NULL: there is none. */
 static FtAttempt *
-youngest_victim (FtPreemption *preemption, const FtJob *job, guint *from)
+youngest_victim (FtPreemption *preemption, const FtJob *job, guint *position)
 {
-  for (; *from < preemption->victims->len; (*from)++) {
-    FtAttempt *victim = g_ptr_array_index (preemption->victims, *from);
+  for (; *position < preemption->victims->len; (*position)++) {
+    FtAttempt *victim = g_ptr_array_index (preemption->victims, *position);
     preemption->context->looked_at++;
     if (may_stop (job, victim, preemption->context->now) && victim->cpus >= job->spec->cpus
         && ft_machine_allowed (victim->machine, job->spec))
@@ -79,11 +82,11 @@
   if (preemption->context->now - job->ready_at < ft_seconds (FT_PREEMPT_AFTER_S))
     return;
   if (preemption->victims == NULL)
-    find_victims (preemption);
+    collect_victims (preemption);
   guint wanted = MIN (job->counts[FT_TASK_QUEUED], quota_left);
-  guint from = 0;
+  guint position = 0;
   while (preemption->stops_pending < wanted) {
-    FtAttempt *victim = youngest_victim (preemption, job, &from);
+    FtAttempt *victim = youngest_victim (preemption, job, &position);
     if (victim == NULL)
       break;
     g_message ("task %s/%u: stopped on %s (preempted for job %s)", victim->job_ref, victim->index,
--- a/src/core/preempt.h
+++ b/src/core/preempt.h
@@ -1,8 +1,10 @@
-/* Preemption: makes room for a job that found none.
+/* Preemption: stops tasks of other jobs to make room for a job that found none.
  *
- * Work of lower priority may be stopped, or work that another team runs beyond its own guarantee;
- * but only what has hardly begun, or saves its progress, and can still be in time when it starts
- * again. The youngest is stopped first. Called by the placement for the first jobs of a pass that found no room. */
+ * A task may be stopped if its job has a lower priority, or if its team runs more than its guaranteed share while the
+ * job without room is within the share of another team. In both cases the job of the task must not be within its own
+ * team's guaranteed share. The task must also have run only briefly or save its progress, and must still be in time
+ * when it starts again. The task that was placed last is stopped first. The placement calls this module for the first
+ * jobs of a pass that found no room. */
 #pragma once
 #include "core/context.h"
 #include "core/job.h"
@@ -11,12 +13,12 @@
 typedef struct {
   FtCoreContext *context;              /* borrowed */
   const FtMachineTable *machine_table; /* borrowed */
-  GPtrArray *victims;  /* within a pass: FtAttempt that may be stopped, youngest first; NULL: not made */
-  guint stops_pending; /* with `victims`: stops under way */
+  GPtrArray *victims;  /* FtAttempt that may be stopped in this pass, placed last first; NULL: not collected yet */
+  guint stops_pending; /* attempts that are to stop and have not exited; valid while `victims` is not NULL */
 } FtPreemption;
 
-/* Stops work until as many stops are under way as the job has queued tasks, `quota_left` at most. */
+/* Stops attempts until as many stops are pending as the job has queued tasks, but at most `quota_left`. */
 void ft_preempt_for_job (FtPreemption *preemption, const FtJob *job, guint quota_left);
 
-/* The placement pass is over: the attempts found in it are forgotten. */
+/* Ends the placement pass: drops the list of attempts that may be stopped. */
 void ft_preempt_end_pass (FtPreemption *preemption);
--- a/src/core/quota.c
+++ b/src/core/quota.c
@@ -1,6 +1,6 @@
 #include "core/quota.h"
 
-/* Amounts are sums of decimal numbers; this absorbs their rounding. */
+/* Tolerance in CPUs or GPUs: the compared amounts are sums of decimal numbers, which have rounding errors. */
 #define EPSILON 1e-6
 
 void
@@ -33,19 +33,20 @@
   return (guint) (team - quota->teams);
 }
 
+/* Returns how many tasks that need the amount `each` fit between `used` and `limit`. */
 static double
-left_over (double limit, double used, double each)
+tasks_within (double limit, double used, double each)
 {
   return each <= 0 ? G_MAXUINT16 : (limit - used + EPSILON) / each;
 }
 
 guint
-ft_quota_tasks_left (const FtTeam *team, const FtJobSpec *spec, const FtUnreconciledCapacity *unseen)
+ft_quota_tasks_left (const FtTeam *team, const FtJobSpec *spec, const FtUnreconciledCapacity *unreconciled)
 {
-  double unseen_cpus = MIN (unseen->cpus, team->unknown_cpus);
-  double unseen_gpus = MIN (unseen->gpus, team->unknown_gpus);
-  double count = MIN (left_over (ft_team_limit (team->limit->cpus_max), team->cpus + unseen_cpus, spec->cpus),
-                      left_over (ft_team_limit (team->limit->gpus_max), team->gpus + unseen_gpus, spec->gpus));
+  double unknown_cpus_used = MIN (unreconciled->cpus, team->unknown_cpus);
+  double unknown_gpus_used = MIN (unreconciled->gpus, team->unknown_gpus);
+  double count = MIN (tasks_within (ft_team_limit (team->limit->cpus_max), team->cpus + unknown_cpus_used, spec->cpus),
+                      tasks_within (ft_team_limit (team->limit->gpus_max), team->gpus + unknown_gpus_used, spec->gpus));
   return count <= 0 ? 0 : (guint) MIN (count, G_MAXUINT16);
 }
 
--- a/src/core/quota.h
+++ b/src/core/quota.h
@@ -1,38 +1,39 @@
-/* What each team uses and may use: its quota and its guaranteed share.
+/* The quota and the guaranteed share of each team, and the resources that the team uses.
  *
- * A team's use is counted by its attempts as they take and leave machines (attempt.c), its unknown
- * tasks by the tasks' states (task.c). The placement reads how much is left. */
+ * Attempts update the use of a team when they take and release resources on machines (attempt_lifecycle.c). The
+ * jobs update the unknown tasks of their team when the state of a task changes (job.c). The placement reads how many
+ * more tasks of a job fit into the quota. */
 #pragma once
 #include "core/job.h"
 #include "core/team.h"
 #include "core/types.h"
 
 typedef struct {
-  FtTeam *teams; /* owned; as many as the settings name */
+  FtTeam *teams; /* owned; one for each team of the settings */
   guint n_teams;
 } FtQuota;
 
-/* What all machines that are not reconciled can hold, in CPUs and GPUs. */
+/* The total capacity, in CPUs and GPUs, of all machines that are not reconciled. */
 typedef struct {
   double cpus, gpus;
 } FtUnreconciledCapacity;
 
-/* A quota of the settings' teams; the settings are borrowed. */
+/* Initializes the quota with the teams of the settings, which are borrowed and must outlive it. */
 void ft_quota_init (FtQuota *quota, const FtSettings *settings);
 
 /* Frees the teams. */
 void ft_quota_clear (FtQuota *quota);
 
-/* The team of that name; borrowed, NULL: not in the settings. */
+/* Returns the team of that name, which is borrowed; NULL: the settings contain no such team. */
 FtTeam *ft_quota_team (const FtQuota *quota, const char *name);
 
-/* Index of a team of the quota, from 0. */
+/* Returns the index of a team of the quota, from 0. */
 guint ft_quota_team_index (const FtQuota *quota, const FtTeam *team);
 
-/* How many more tasks of this kind the team's limit allows now. What it may run unseen counts as
- * used: its unknown tasks, but no more than `unseen`. */
-guint ft_quota_tasks_left (const FtTeam *team, const FtJobSpec *spec, const FtUnreconciledCapacity *unseen);
+/* Returns how many more tasks of `spec` the team's limit allows now. The team's unknown tasks count as running, but
+ * only up to the capacity of the machines that are not reconciled. */
+guint ft_quota_tasks_left (const FtTeam *team, const FtJobSpec *spec, const FtUnreconciledCapacity *unreconciled);
 
-/* Sets `guaranteed` of the jobs that are within their team's guarantee: those that fit there together with the
- * team's earlier unfinished jobs. Sorts `jobs` (of FtJob) by acceptance. */
+/* Sets `guaranteed` of each job to whether the job fits into its team's guaranteed share together with the team's
+ * earlier unfinished jobs. Sorts `jobs` (an array of FtJob) by the order of acceptance. */
 void ft_quota_mark_guaranteed (const FtQuota *quota, GPtrArray *jobs);
--- a/src/core/tuning.c
+++ b/src/core/tuning.c
@@ -4,7 +4,7 @@
 
 static const char *const log_choices[] = FT_LOG_CHOICES;
 
-/* A row of FT_OPERATOR_SETTINGS as an element of the table. */
+/* Converts a row of FT_OPERATOR_SETTINGS into an element of the table. */
 #define ROW(name, field, unit, least, most, standard, what)                                                            \
   { name, unit, what, least, most, standard, offsetof (FtTuning, field), NULL },
 
--- a/src/core/tuning.h
+++ b/src/core/tuning.h
@@ -1,7 +1,7 @@
-/* Operators' settings: their names, ranges, defaults and the checks between them.
+/* The operators' settings: their names, ranges and defaults, and the checks that compare them with each other.
  *
- * They live in the key-value store and are changed through the administration API only. The table is made from
- * FT_OPERATOR_SETTINGS (constants.h). Read by all controllers; the scheduler gets a copy. */
+ * The settings are stored in the key-value store and are changed only through the administration API. The table is
+ * generated from FT_OPERATOR_SETTINGS (constants.h). All controllers read the settings; the scheduler gets a copy. */
 #pragma once
 #include "core/types.h"
 
@@ -14,31 +14,36 @@
   double log_level;
 } FtTuning;
 
+/* The description of a setting. */
 typedef struct {
-  const char *name, *unit, *what;
-  double least, most, standard;
-  gsize offset;               /* of the value in FtTuning */
-  const char *const *choices; /* what the value counts through; NULL: it is a number */
+  const char *name, *unit;
+  const char *what;           /* the description that operators see */
+  double least, most;         /* the range of the value */
+  double standard;            /* the default value */
+  gsize offset;               /* offset of the value in FtTuning */
+  const char *const *choices; /* the texts for which the values 0, 1, ... stand; NULL: the value is a number */
 } FtTuningInfo;
 
-/* The table, static; `count` gets its length. */
+/* Returns the table of the settings, which is static. Sets `count` to its length. */
 const FtTuningInfo *ft_tuning_table (guint *count);
 
-/* The setting of that name; static, NULL: there is none. */
+/* Returns the setting of that name, which is static; NULL: there is none. */
 const FtTuningInfo *ft_tuning_find (const char *name);
 
 /* Sets all values to their defaults. */
 void ft_tuning_defaults (FtTuning *tuning);
 
-/* The value of one setting. */
+/* Returns the value of one setting. */
 double ft_tuning_get (const FtTuning *tuning, const FtTuningInfo *info);
 
-/* Sets it, unchecked. */
+/* Sets the value of one setting without a check of its range. */
 void ft_tuning_set (FtTuning *tuning, const FtTuningInfo *info, double value);
 
-/* The answer grace period in microseconds: the longest time for which a leader without the key-value store may go on
- * answering heartbeats. What it keeps alive must be gone within cancel_s of a cancellation that it cannot see. */
+/* Returns the answer grace period in microseconds: the longest time for which a leader that cannot reach the key-value
+ * store may continue to answer heartbeats. Answers keep tasks running, and the leader cannot see that a task is
+ * cancelled; such a task must still end within cancel_s of its cancellation. */
 gint64 ft_tuning_answer_grace (const FtSettings *settings);
 
-/* NULL if the settings together keep every rule; otherwise the reason for operators, new. */
+/* Checks the settings against each other and against the settings file. Returns NULL if they are valid; otherwise the
+ * reason in words for operators, which the caller frees. */
 char *ft_tuning_check (const FtTuning *tuning, const FtSettings *settings);
