--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -4,9 +4,9 @@
 #include "core/machine_watch.h"
 #include "core/scheduler_private.h"
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
-/* Lends the modules that deal with machines what they need of each other. */
+/* Gives the modules that deal with machines pointers to the modules that they use. */
 static void
 init_workers (FtScheduler *scheduler)
 {
@@ -32,7 +32,7 @@
   ft_autoscaler_init (&scheduler->autoscaler);
 }
 
-/* Whoever keeps a pointer to a job that is about to be freed drops it. */
+/* A job is about to be freed: drops the placement's pointers to it. */
 static void
 on_job_removed (FtJob *job, gpointer data)
 {
@@ -68,7 +68,7 @@
 {
   if (scheduler == NULL)
     return;
-  /* Attempts know their jobs: machines go first. */
+  /* Attempts point to their jobs and are owned by the machines, so the machines are freed first. */
   ft_machine_table_clear (&scheduler->machine_table);
   ft_job_table_clear (&scheduler->job_table);
   ft_autoscaler_clear (&scheduler->autoscaler);
@@ -117,7 +117,7 @@
   }
   FtMachine *machine = ft_machine_table_add (&scheduler->machine_table, name, addr, type, zone, spot);
   ft_registry_loaded (&scheduler->registry, row, machine);
-  /* A former leader that lost the store may have answered it until then. */
+  /* A former leader that lost contact with the store may have answered the machine's heartbeats until then. */
   gint64 answered_until = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
   ft_reachability_registered (&machine->reachability, answered_until, scheduler->context.now);
 }
@@ -168,7 +168,7 @@
       g_hash_table_iter_remove (&it);
   }
   ft_recovery_tick (&scheduler->recovery);
-  ft_placement_pass (&scheduler->placement); /* pauses end with time alone */
+  ft_placement_pass (&scheduler->placement); /* a retry pause ends without any event */
   if (ft_recovery_is_loaded (&scheduler->recovery))
     ft_autoscaler_tick (&scheduler->autoscaler);
 }
@@ -178,8 +178,8 @@
 {
   scheduler->context.now = now;
   scheduler->context.may_start = may_start;
-  /* Many heartbeats come between two passes; what each has freed is filled by its
-   * answer, without one. */
+  /* Many heartbeats arrive between two passes. The room that a heartbeat frees is filled when it is answered, without
+   * a pass. */
   if (scheduler->context.placement_due && now >= scheduler->placement.next_pass)
     ft_placement_pass (&scheduler->placement);
 }
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -1,13 +1,12 @@
-/* The leader's scheduler: events and their times in, actions out. No I/O.
+/* The leader's scheduler: takes events with their times, and returns actions. It does no I/O.
  *
- * The facade of the core: it owns the core's modules, sets the time of each event and hands it to the
- * modules that it concerns. Called by the node (src/net), which does the I/O: it feeds in rows,
+ * The scheduler is the facade of the core. It owns the core's modules, sets the time of each event and passes the
+ * event to the modules that it concerns. The node (src/net) calls it and does the I/O: the node passes in rows,
  * heartbeats and results, and requests the next write, direct request or cloud call.
  *
- * One scheduler lives as long as one leadership; it is dropped, with all that is not written, when
- * the lease is lost or a higher fencing token is seen. `now` is in microseconds of the steady clock,
- * `wall_ms` in milliseconds of the time of day. Strings and arrays passed in stay the caller's unless
- * said otherwise. */
+ * A scheduler exists for one leadership. It is freed, with everything that is not written, when the lease is lost or a
+ * higher fencing token is seen. `now` is in microseconds of the steady clock, `wall_ms` in milliseconds of the time of
+ * day. Unless a comment says otherwise, the caller keeps the ownership of the strings and arrays that it passes. */
 #pragma once
 #include "core/cloud_call.h"
 #include "core/direct_command.h"
@@ -17,141 +16,153 @@
 
 typedef struct _FtScheduler FtScheduler;
 
-/* `settings` is borrowed. `token`: the fencing token of this leadership. `answer_grace_us`: see
- * ft_lease_new(). `seed`: of all random choices. */
+/* Returns a new scheduler; free it with ft_scheduler_free(). `settings` is borrowed and must outlive it. It keeps a
+ * reference of its own to `catalog`. `token` is the fencing token of this leadership. `answer_grace_us`: see
+ * ft_lease_new(). `seed` seeds all random choices. */
 FtScheduler *ft_scheduler_new (const FtSettings *settings, FtCatalog *catalog, guint64 token, gint64 answer_grace_us,
                                gint64 now, guint32 seed);
-/* Frees it with all that is not written; NULL is ignored. */
+/* Frees the scheduler with everything that is not written; NULL is ignored. */
 void ft_scheduler_free (FtScheduler *scheduler);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtScheduler, ft_scheduler_free)
 
-/* Operators' settings; copied. */
+/* Sets the operators' settings; `tuning` is copied. */
 void ft_scheduler_set_tuning (FtScheduler *scheduler, const FtTuning *tuning);
 
 /* ---- recovery: the rows of the store, then ft_scheduler_loaded() ---- */
-/* An open job's row, at that revision. Takes the spec. */
+/* Adds an open job from its row, read at `revision`. Takes the spec. */
 void ft_scheduler_load_job (FtScheduler *scheduler, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms);
-/* A chunk of a job's done-set; after the row of its job. */
+/* Adds a chunk of a job's done-set; to be called after ft_scheduler_load_job() for the job. */
 void ft_scheduler_load_done (FtScheduler *scheduler, const char *ref, guint chunk, const char *bits);
-/* A machine named by the registry row `row`. */
+/* Adds a machine that the registry row `row` names. */
 void ft_scheduler_load_machine (FtScheduler *scheduler, const char *row, const char *name, const char *addr,
                                 const char *type, const char *zone, gboolean spot);
-/* All rows have been read: heartbeats count and writes are due from here on. */
+/* All rows have been read: from now on heartbeats are processed and writes are due. */
 void ft_scheduler_loaded (FtScheduler *scheduler, gint64 now);
-/* TRUE once ft_scheduler_loaded() has been called. */
+/* Returns TRUE once ft_scheduler_loaded() has been called. */
 gboolean ft_scheduler_is_loaded (const FtScheduler *scheduler);
 
 /* ---- jobs ---- */
-/* A job accepted after the failover. Takes the spec. */
+/* Adds a job that was accepted after the failover. Takes the spec. */
 void ft_scheduler_job_added (FtScheduler *scheduler, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms);
-/* The row of the job's cancellation was read. `age_us`: how long ago it was committed. */
+/* The row of the job's cancellation was read. `age_us`: time since the cancellation was committed, in microseconds. */
 void ft_scheduler_job_cancelled (FtScheduler *scheduler, const char *ref, gint64 age_us, gint64 now);
-/* A job that others depend on and of which nothing is known: its row is to be read, and its end, if it
- * has one, reported by ft_scheduler_job_end_read(). Borrowed until the next call; NULL: none now. */
+/* Returns the ref of a job that other jobs depend on and whose row is to be read now, because this leader knows neither
+ * the job nor its end. The caller reports an end that it reads by ft_scheduler_job_end_read(). The ref is borrowed
+ * until the next call; NULL: no row is to be read now. */
 const char *ft_scheduler_next_unread_job (FtScheduler *scheduler, gint64 now);
-/* `age_us`: how long ago it ended; negative: not known. */
+/* The row of the job shows that the job has ended. `age_us`: time since then, in microseconds; negative: unknown. */
 void ft_scheduler_job_end_read (FtScheduler *scheduler, const char *ref, FtJobEnd end, gint64 age_us, gint64 now);
-/* The cloud's machine types have changed. Keeps a reference of its own. */
+/* Replaces the catalog of the cloud's machine types. The scheduler keeps a reference of its own. */
 void ft_scheduler_set_catalog (FtScheduler *scheduler, FtCatalog *catalog);
 
-/* An open job's progress. `known`: the job is open here; if not, the rest is 0. */
+/* The progress of an open job. */
 typedef struct {
-  gboolean known, cancelled;
-  guint done, running; /* tasks */
+  gboolean known; /* the job is open at this leader; if it is not, all other fields are 0 */
+  gboolean cancelled;
+  guint done, running; /* number of tasks */
 } FtJobProgress;
-/* How far the job of that ref is. */
+/* Returns the progress of the job. */
 FtJobProgress ft_scheduler_job_progress (const FtScheduler *scheduler, const char *ref);
 
 /* ---- workers ---- */
-/* A heartbeat to us. The answer carries ft_scheduler_answer()'s commands. Returns
- * FALSE if the heartbeat shows a higher token: the caller must step down. */
+/* A worker has sent a heartbeat to this leader. The caller answers it with the commands of ft_scheduler_answer().
+ * Returns FALSE if the heartbeat shows a higher token: the caller must step down. */
 gboolean ft_scheduler_heartbeat (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now);
-/* Whether the lease is valid now; kept until the next such call, place or tick. */
+/* Sets whether tasks may be started, that is, whether the lease is valid. The value holds until the next call of this
+ * function, ft_scheduler_place() or ft_scheduler_tick(). */
 void ft_scheduler_set_may_start (FtScheduler *scheduler, gboolean may_start);
-/* The commands for the answer to this heartbeat. `starts`: the lease allows it. */
+/* Returns the commands (FtCommand) for the answer to this heartbeat; the caller frees the array. The commands contain
+ * starts only if ft_scheduler_set_may_start() allows them. */
 GArray *ft_scheduler_answer (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now);
 
-/* The next request to send, or NULL. */
+/* Returns the next command or probe to send to a worker, which the caller frees; NULL: there is none. */
 FtDirect *ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now);
-/* `heartbeat` may be NULL. Returns FALSE if a higher token was seen. */
+/* A direct request has ended. `heartbeat`: the status in the worker's answer; may be NULL. Returns FALSE if the status
+ * shows a higher token: the caller must step down. */
 gboolean ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirect *direct, FtDirectResult result,
                                    const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* ---- cloud ---- */
+/* The cloud has answered with its complete list of machines (FtListedMachine). */
 void ft_scheduler_machines_listed (FtScheduler *scheduler, GArray *list, gint64 now);
-/* The next request to the cloud, or NULL. */
+/* Returns the next call to the cloud, which the caller frees; NULL: there is none. */
 FtCloudCall *ft_scheduler_next_cloud (FtScheduler *scheduler, gint64 now);
-/* For a launch that went through, `call->names` are the machines. A call that
- * failed is to be repeated by the caller of ft_scheduler_next_cloud(). */
+/* A call to the cloud has ended. After a successful launch, `call->names` are the launched machines. The scheduler
+ * returns a failed call again from ft_scheduler_next_cloud(), after a pause. */
 void ft_scheduler_cloud_done (FtScheduler *scheduler, const FtCloudCall *call, FtCloudResult result, gint64 now);
 
 /* ---- store ---- */
-/* Writes (FtWrite) for one transaction of at most `ops` changes; empty if none is due. `spare`: the
- * store takes more changes than are urgent, so that what can wait may be written too.
- * Each batch ends with one of the two calls below before the next is requested. */
+/* Returns the writes (FtWrite) for one transaction of at most `ops` changes, which the caller frees; the array is empty
+ * if no write is due. `spare`: the store takes more changes than the urgent ones, so that the batch may contain writes
+ * that can wait. The caller ends each batch with one of the two calls below before it requests the next batch. */
 GPtrArray *ft_scheduler_next_writes (FtScheduler *scheduler, guint ops, gboolean spare, gint64 now);
-/* The batch is committed. May end jobs. */
+/* The batch is committed. The call may end jobs. */
 void ft_scheduler_writes_committed (FtScheduler *scheduler, GPtrArray *writes, gint64 now);
-/* Nothing of the batch is committed; all of it will be returned again. `conflicted` names the job whose
- * row is not at the revision that the write was conditional on, or is NULL: its row is to be read, and
- * reported by one of the two calls below. */
+/* Nothing of the batch is committed; later batches contain its writes again. `conflicted` is the ref of the job whose
+ * row is not at the revision that the write was conditional on, or NULL. The caller reads the row of that job and
+ * reports the result by one of the two calls below. */
 void ft_scheduler_writes_failed (FtScheduler *scheduler, GPtrArray *writes, const char *conflicted, gint64 now);
-/* The row of a conflicted job says that it is open, at this revision: neither done nor cancelled. */
+/* The row of a conflicted job shows at `revision` that the job is open, that is, neither done nor cancelled. */
 void ft_scheduler_job_still_open (FtScheduler *scheduler, const char *ref, guint64 revision, gint64 now);
-/* The row of a conflicted job says that it is done, or else cancelled; either is final. */
+/* The row of a conflicted job shows that the job is done (`done` is TRUE) or cancelled; both are final. */
 void ft_scheduler_job_conflict_resolved (FtScheduler *scheduler, const char *ref, gboolean done, gint64 now);
-/* The store has refused a batch as invalid: its values may be above a limit that has changed. Rows of
- * the registry are written at half the size from now on. */
+/* The store has refused a batch as invalid: its limit on the size of a value may have become lower. From now on, rows
+ * of the registry are written at half the size. */
 void ft_scheduler_lower_value_limit (FtScheduler *scheduler);
 
 /* ---- time ---- */
-/* Timeouts, placement and fleet; to be called at regular intervals. `may_start`: the lease is valid now. */
+/* Processes timeouts, runs a placement pass and scales the fleet; to be called at regular intervals. `may_start`: the
+ * lease is valid now. */
 void ft_scheduler_tick (FtScheduler *scheduler, gint64 now, gboolean may_start);
-/* Runs a placement pass if anything has changed and the last pass is a while ago. */
+/* Runs a placement pass if one is due and FT_PASS_EVERY_S have passed since the last one. `may_start`: the lease is
+ * valid now. */
 void ft_scheduler_place (FtScheduler *scheduler, gint64 now, gboolean may_start);
-/* Advisory: a peer reports that the job is cancelled. Its tasks are stopped; the job's rows stay
- * until the cancellation is read. */
+/* A peer reports that the job is cancelled. The report is advisory: the job's tasks are stopped, but its rows stay
+ * until the cancellation is read from the store. */
 void ft_scheduler_cancellation_advised (FtScheduler *scheduler, const char *ref, gint64 now);
-/* All cancellations committed before `at` have been passed to ft_scheduler_job_cancelled(). */
+/* All cancellations that were committed before `at` have been passed to ft_scheduler_job_cancelled(). */
 void ft_scheduler_cancellations_known (FtScheduler *scheduler, gint64 at);
-/* This controller answers no heartbeats now: that none comes proves nothing. */
+/* This controller does not answer heartbeats at present, so that missing heartbeats prove nothing about a machine. */
 void ft_scheduler_not_answering (FtScheduler *scheduler, gint64 now);
-/* This controller is behind with its heartbeats: silence up to now proves nothing. */
+/* This controller was late in processing heartbeats, so that the silence of a machine up to `now` proves nothing. */
 void ft_scheduler_was_late (FtScheduler *scheduler, gint64 now);
-/* When a worker last showed our token; 0: none has yet. */
+/* Returns the time of the last heartbeat that showed the token of this leadership; 0: there was none. */
 gint64 ft_scheduler_last_heartbeat_at (const FtScheduler *scheduler);
-/* Machines, jobs and attempts looked at so far, in whatever is done for heartbeats. */
+/* Returns the number of machines, jobs and attempts that the core has examined so far. Tests limit the work by it. */
 guint ft_scheduler_examined (const FtScheduler *scheduler);
-/* Tasks of all open jobs. */
+/* Returns the number of tasks of all open jobs. */
 guint ft_scheduler_open_tasks (const FtScheduler *scheduler);
-/* Machines that should be reporting. */
+/* Returns the number of machines that should be sending heartbeats. */
 guint ft_scheduler_count_expected_machines (const FtScheduler *scheduler);
 
 /* ---- for operators and the peers ---- */
-/* An open job as operators see it; all borrowed. */
+/* An open job as operators see it; all strings are borrowed. */
 typedef struct {
   const char *ref, *job_class, *state;
   guint tasks, done, running;
-  const char *why_waiting; /* empty: nothing of it waits */
+  const char *why_waiting; /* empty: no task of the job waits */
 } FtJobInfo;
 typedef void (*FtJobVisitor) (const FtJobInfo *job, gpointer data);
-/* Visits all open jobs, in no order. */
+/* Calls `visit` for each open job, in no particular order. */
 void ft_scheduler_each_job (FtScheduler *scheduler, FtJobVisitor visit, gpointer data);
-/* Refs of the job's dependencies that are not done: new, NULL-terminated. */
+/* Returns the refs of the job's dependencies that are not done, in a new NULL-terminated array. */
 GStrv ft_scheduler_job_dependencies (const FtScheduler *scheduler, const char *ref);
-/* Refs of the jobs that depend on the job: new, NULL-terminated. */
+/* Returns the refs of the jobs that depend on the job, in a new NULL-terminated array. */
 GStrv ft_scheduler_job_dependents (const FtScheduler *scheduler, const char *ref);
-/* Jobs that are known to be open, and of them those that wait for dependencies. */
+/* Counts the open jobs that are not being cancelled, and those among them that wait for dependencies. */
 void ft_scheduler_count_jobs (const FtScheduler *scheduler, guint *open, guint *waiting);
+/* The strings are borrowed. `unused_why`: why the machine gets no new tasks; empty: it may get some. */
 typedef void (*FtMachineVisitor) (const char *name, const char *state, const char *type, const char *zone,
                                   gboolean spot, guint64 incarnation, guint tasks, const char *unused_why,
                                   gpointer data);
-/* Visits all machines that are known, in no order. */
+/* Calls `visit` for each known machine, in no particular order. */
 void ft_scheduler_each_machine (FtScheduler *scheduler, FtMachineVisitor visit, gpointer data);
+/* `cpus` and `gpus`: what the team uses now. `limit` is borrowed. */
 typedef void (*FtTeamVisitor) (const FtTeamLimit *limit, double cpus, double gpus, gpointer data);
-/* Visits all teams of the settings, with what they use now. */
+/* Calls `visit` for each team of the settings. */
 void ft_scheduler_each_team (FtScheduler *scheduler, FtTeamVisitor visit, gpointer data);
-/* Whether a machine of that name is known. */
+/* Returns TRUE if a machine of that name is known. */
 gboolean ft_scheduler_has_machine (const FtScheduler *scheduler, const char *machine);
-/* Remembered by name, also for a machine not known yet. FALSE: not known now. */
+/* Drains the machine, or ends its drain. The name is stored, so that the drain also holds for a machine that becomes
+ * known later. Returns FALSE if no machine of that name is known now. */
 gboolean ft_scheduler_drain (FtScheduler *scheduler, const char *machine, gboolean drain);
--- a/src/core/scheduler_jobs.c
+++ b/src/core/scheduler_jobs.c
@@ -1,5 +1,5 @@
-/* The scheduler's events and questions about jobs and about the rows of the store: sets the time of
- * the event and hands it to the module that it concerns. */
+/* The scheduler's events and queries that concern jobs and the rows of the store. Each function sets the time of the
+ * event and passes the event to the module that it concerns. */
 #include "core/scheduler_private.h"
 
 /* ---- rows read from the store ---- */
@@ -14,7 +14,7 @@
 void
 ft_scheduler_load_done (FtScheduler *scheduler, const char *ref, guint chunk, const char *bits)
 {
-  /* A chunk without its job is left over from one whose end and chunks were written apart. */
+  /* A chunk without a job is left over from a job whose end was committed before its chunks were deleted. */
   if (!ft_job_table_load_done (&scheduler->job_table, ref, chunk, bits))
     ft_write_queue_delete_chunk (&scheduler->write_queue, ref, chunk);
 }
@@ -39,7 +39,7 @@
 ft_scheduler_job_added (FtScheduler *scheduler, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms)
 {
   scheduler->context.now = now;
-  /* Until the recovery is done the job may be one that a former leader has started. */
+  /* Until the recovery is done, a former leader may already have started tasks of the job. */
   FtTaskState initial = ft_recovery_is_done (&scheduler->recovery) ? FT_TASK_QUEUED : FT_TASK_UNKNOWN;
   ft_job_table_add (&scheduler->job_table, spec, revision, initial, wall_ms);
 }
@@ -61,15 +61,15 @@
 FtJobProgress
 ft_scheduler_job_progress (const FtScheduler *scheduler, const char *ref)
 {
-  FtJobProgress view = { 0 };
+  FtJobProgress progress = { 0 };
   const FtJob *job = ft_job_table_find (&scheduler->job_table, ref);
   if (job == NULL)
-    return view;
-  view.known = TRUE;
-  view.cancelled = job->state == FT_JOB_CANCELLING;
-  view.done = ft_job_finished (job);
-  view.running = ft_job_live (job) - job->counts[FT_TASK_STARTING];
-  return view;
+    return progress;
+  progress.known = TRUE;
+  progress.cancelled = job->state == FT_JOB_CANCELLING;
+  progress.done = ft_job_finished (job);
+  progress.running = ft_job_live (job) - job->counts[FT_TASK_STARTING];
+  return progress;
 }
 
 guint
--- a/src/core/scheduler_operators.c
+++ b/src/core/scheduler_operators.c
@@ -1,4 +1,4 @@
-/* The scheduler as operators and the peers see it, and what operators change by hand. */
+/* The state of the scheduler as operators and the peers see it, and the drains that operators set. */
 #include "core/explain.h"
 #include "core/scheduler_private.h"
 
--- a/src/core/scheduler_private.h
+++ b/src/core/scheduler_private.h
@@ -1,6 +1,6 @@
-/* What a scheduler is composed of: one of each of the core's modules, which borrow from each other what
- * they are given at creation. All of it belongs to one leadership and is freed with it. For the
- * scheduler's own sources and for tests that look inside. */
+/* The composition of a scheduler: one of each of the core's modules. The modules borrow from each other the pointers
+ * that they are given at creation. All modules belong to one leadership and are freed together with the scheduler.
+ * Used by the scheduler's own sources, and by tests that check the state of a module. */
 #pragma once
 #include "core/autoscaler.h"
 #include "core/context.h"
@@ -35,5 +35,6 @@
   FtAutoscaler autoscaler;
 };
 
-/* The machine has been returned or has failed: tells all modules that it concerns. */
+/* The machine has been returned to the cloud or has failed: updates all modules that it concerns. `reason` goes to the
+ * log. */
 void ft_scheduler_machine_gone (FtScheduler *scheduler, FtMachine *machine, const char *reason);
--- a/src/core/scheduler_workers.c
+++ b/src/core/scheduler_workers.c
@@ -1,5 +1,5 @@
-/* The scheduler's events from workers and from the cloud, and its requests to them: hands each event to the modules
- * that it concerns, in their order. */
+/* The scheduler's events from workers and from the cloud, and its requests to them. Each function passes the event to
+ * the modules that it concerns; their order matters. */
 #include "core/direct_commands.h"
 #include "core/heartbeat_answer.h"
 #include "core/scheduler_private.h"
@@ -22,7 +22,7 @@
   scheduler->context.now = now;
   if (heartbeat->token > scheduler->context.token)
     return FALSE;
-  /* Before the registry is read, what a machine may hold is unknown. */
+  /* Until the registry has been read, the tasks that a machine may hold are unknown. */
   if (ft_recovery_is_loaded (&scheduler->recovery)
       && !ft_machine_table_is_gone (&scheduler->machine_table, heartbeat->machine)) {
     FtMachine *machine = ft_worker_heartbeats_machine (&scheduler->worker_heartbeats, heartbeat);
@@ -49,17 +49,17 @@
 ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now)
 {
   scheduler->context.now = now;
-  /* Machines that do not answer probes keep their place for long: commands go first. */
+  /* A probe that gets no answer stays in flight for a long time, so commands are sent first. */
   FtDirect *direct = ft_direct_commands_next (&scheduler->machine_queues);
   return direct != NULL ? direct : ft_probes_next (&scheduler->probes, &scheduler->machine_queues);
 }
 
-/* What the result alone says; the worker's status comes after it. */
+/* Applies the result of a direct request. The worker's status, if there is one, is applied afterwards. */
 static void
 apply_direct_result (FtMachine *machine, const FtDirect *direct, FtDirectResult result)
 {
   machine->requests.command_in_flight = FALSE;
-  ft_machine_queue_direct (machine); /* what was decided while the request was in flight */
+  ft_machine_queue_direct (machine); /* commands may have become due while the request was in flight */
   if (result == FT_DIRECT_UNANSWERED)
     ft_probes_unanswered (machine);
   ft_direct_commands_settle (machine, direct, result);
@@ -99,7 +99,7 @@
 }
 
 static void
-machines_returned (FtScheduler *scheduler, const GPtrArray *names)
+on_machines_returned (FtScheduler *scheduler, const GPtrArray *names)
 {
   for (guint i = 0; i < names->len; i++) {
     FtMachine *machine = ft_machine_table_find (&scheduler->machine_table, g_ptr_array_index (names, i));
@@ -123,7 +123,7 @@
   if (call->op != FT_CLOUD_SCALE_IN)
     return;
   if (result == FT_CLOUD_OK)
-    machines_returned (scheduler, call->names);
+    on_machines_returned (scheduler, call->names);
   ft_recovery_tick (&scheduler->recovery);
 }
 
