--- a/src/core/placement_search.c
+++ b/src/core/placement_search.c
@@ -99,6 +99,7 @@
          && (no_room_spec->spot || !spec->spot);
 }
 
+/* Returns TRUE if the pass has already found that no machine has room for `spec`. */
 static gboolean
 is_known_without_room (const FtPlacementSearch *search, const FtJobSpec *spec)
 {
