--- a/src/core/context.h
+++ b/src/core/context.h
@@ -19,7 +19,7 @@
   FtTuning tuning;        /* operators' settings */
   gboolean may_start;     /* the lease is valid now */
   gboolean placement_due; /* a placement pass may find something to do; set by any module */
-  guint looked_at;        /* machines and jobs looked at so far, by any module: tests bound the work by it */
+  guint examined_count;   /* machines and jobs looked at so far, by any module: tests bound the work by it */
   gint64 last_heard;      /* last heartbeat under our token: proof that workers receive our answers */
   gint64 last_tick;
   gint64 on_time_since;             /* we were late ourselves before: silence until then proves nothing */
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -19,7 +19,7 @@
          && attempt->direct_start != FT_DIRECT_START_UNANSWERED;
 }
 
-static FtDirect *
+static FtDirectRequest *
 request_to (FtMachine *machine)
 {
   if (!may_send (machine))
@@ -30,7 +30,7 @@
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtAttempt *attempt = value;
-    if (attempt->stop == FT_ATTEMPT_STOP_WANTED && attempt->state == FT_ATTEMPT_ON_WORKER) {
+    if (attempt->stop == FT_ATTEMPT_STOP_REQUESTED && attempt->state == FT_ATTEMPT_ON_WORKER) {
       attempt->stop = FT_ATTEMPT_STOP_SENT;
       ft_worker_command_add (commands, FT_COMMAND_STOP, attempt);
     } else if (may_start_directly (attempt)) {
@@ -38,17 +38,17 @@
       ft_worker_command_add (commands, FT_COMMAND_START, attempt);
     }
   }
-  return commands->len > 0 ? ft_worker_command_direct (machine, g_steal_pointer (&commands)) : NULL;
+  return commands->len > 0 ? ft_worker_command_request_new (machine, g_steal_pointer (&commands)) : NULL;
 }
 
-FtDirect *
+FtDirectRequest *
 ft_direct_commands_next (FtMachineQueues *queues)
 {
   FtMachine *machine;
   while ((machine = g_queue_pop_head (&queues->directs)) != NULL) {
     machine->requests.direct_queued = FALSE;
-    machine->context->looked_at++;
-    FtDirect *direct = request_to (machine);
+    machine->context->examined_count++;
+    FtDirectRequest *direct = request_to (machine);
     if (direct != NULL)
       return direct;
   }
@@ -64,7 +64,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *attempt = value;
     gboolean wants_start = attempt->state == FT_ATTEMPT_PLACED && attempt->stop == FT_ATTEMPT_STOP_NONE;
-    gboolean wants_stop = !ft_attempt_has_exited (attempt) && attempt->stop == FT_ATTEMPT_STOP_WANTED;
+    gboolean wants_stop = !ft_attempt_has_exited (attempt) && attempt->stop == FT_ATTEMPT_STOP_REQUESTED;
     if (wants_start || wants_stop)
       return TRUE;
   }
@@ -72,20 +72,20 @@
 }
 
 static void
-settle_start (FtAttempt *attempt, const FtDirect *direct, FtDirectResult result)
+settle_start (FtAttempt *attempt, const FtDirectRequest *direct, FtDirectResult result)
 {
   if (result == FT_DIRECT_UNANSWERED && attempt->incarnation == direct->incarnation)
     ft_attempt_direct_start_unanswered (attempt);
   else
     ft_attempt_direct_start_answered (attempt);
   /* All of it was refused: this copy was not executed and never will be. */
-  if (result == FT_DIRECT_CONFLICT && attempt->state == FT_ATTEMPT_PLACED && ft_attempt_stop_wanted (attempt)
+  if (result == FT_DIRECT_CONFLICT && attempt->state == FT_ATTEMPT_PLACED && ft_attempt_stop_requested (attempt)
       && attempt->sent_sequence == 0)
     ft_attempt_end (attempt);
 }
 
 void
-ft_direct_commands_settle (FtMachine *machine, const FtDirect *direct, FtDirectResult result)
+ft_direct_commands_settle (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result)
 {
   for (guint i = 0; i < direct->commands->len; i++) {
     const FtCommand *command = &g_array_index (direct->commands, FtCommand, i);
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -107,14 +107,14 @@
 }
 
 guint
-ft_job_live (const FtJob *job)
+ft_job_bound_tasks (const FtJob *job)
 {
   return job->counts[FT_TASK_STARTING] + job->counts[FT_TASK_FETCHING] + job->counts[FT_TASK_RUNNING]
          + job->counts[FT_TASK_CHECKPOINTING];
 }
 
 guint
-ft_job_finished (const FtJob *job)
+ft_job_finished_tasks (const FtJob *job)
 {
   return job->counts[FT_TASK_FINISHED] + job->counts[FT_TASK_DONE];
 }
@@ -139,7 +139,7 @@
 }
 
 guint
-ft_job_chunks (const FtJob *job)
+ft_job_chunk_count (const FtJob *job)
 {
   return (job->spec->tasks + FT_DONE_CHUNK_TASKS - 1) / FT_DONE_CHUNK_TASKS;
 }
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -23,7 +23,7 @@
 ft_placement_quota_left (const FtPlacement *placement, const FtTeam *team, const FtJobSpec *spec)
 {
   FtUnreconciledCapacity unreconciled;
-  ft_recovery_unreconciled (placement->recovery, &unreconciled.cpus, &unreconciled.gpus);
+  ft_recovery_unreconciled_capacity (placement->recovery, &unreconciled.cpus, &unreconciled.gpus);
   return ft_quota_tasks_left (team, spec, &unreconciled);
 }
 
@@ -49,7 +49,7 @@
     ft_placement_rank_refresh (job, placement->context->now);
     g_ptr_array_add (placement->order, job);
   }
-  placement->context->looked_at += placement->order->len;
+  placement->context->examined_count += placement->order->len;
   ft_quota_mark_guaranteed (placement->quota, placement->order);
   g_ptr_array_sort (placement->order, ft_placement_rank_jobs);
   g_ptr_array_set_size (placement->waiting, 0);
@@ -102,7 +102,7 @@
   attempt->placed_at = placement->context->now;
   attempt->placed_pass = placement->pass;
   raise_watermark (job, index);
-  ft_machine_queue_direct (machine);
+  ft_machine_queue_direct_request (machine);
   g_message ("task %s/%u: placed on %s attempt %" G_GUINT64_FORMAT, job->spec->ref, index, machine->name, id);
 }
 
@@ -111,7 +111,7 @@
 static gboolean
 gang_may_be_placed (FtPlacement *placement, FtJob *job)
 {
-  guint unfinished = job->spec->tasks - ft_job_finished (job);
+  guint unfinished = job->spec->tasks - ft_job_finished_tasks (job);
   if (job->counts[FT_TASK_QUEUED] == unfinished)
     return ft_placement_quota_left (placement, job->team, job->spec) >= unfinished;
   if (job->counts[FT_TASK_UNKNOWN] > 0 || job->spec->kind == FT_KIND_SERVICE)
@@ -119,7 +119,7 @@
   for (guint i = 0; i < job->spec->tasks; i++) {
     FtAttempt *attempt = job->tasks[i].attempt;
     if (attempt != NULL && !ft_attempt_has_exited (attempt))
-      ft_attempt_want_stop (attempt, job->spec->checkpoint_s > 0 ? job->spec->save_s : 0);
+      ft_attempt_request_stop (attempt, job->spec->checkpoint_s > 0 ? job->spec->save_s : 0);
   }
   return FALSE;
 }
@@ -259,7 +259,7 @@
     if (!has_tasks_to_place (placement, job))
       continue;
     examined++;
-    placement->context->looked_at++;
+    placement->context->examined_count++;
     gboolean plain = job->spec->kind != FT_KIND_GANG && !job->spec->one_zone && !job->spec->spread;
     if (plain && ft_machine_allowed (machine, job->spec))
       place_on_machine (placement, job, machine, FT_PASS_TASKS_MAX);
--- a/src/core/placement_search.c
+++ b/src/core/placement_search.c
@@ -22,7 +22,7 @@
         && machine->memory_gb < machine->type->memory_gb)
       g_ptr_array_add (search->machines, value);
   }
-  context->looked_at += g_hash_table_size (machine_table->machines);
+  context->examined_count += g_hash_table_size (machine_table->machines);
 }
 
 void
@@ -122,7 +122,7 @@
   guint start = n > 0 ? (guint) g_rand_int_range (search->context->random, 0, (gint32) n) : 0;
   for (guint i = 0; i < n && seen < search->context->tuning.sample_size; i++) {
     FtMachine *machine = g_ptr_array_index (search->machines, (start + i) % n);
-    search->context->looked_at++;
+    search->context->examined_count++;
     if (!is_candidate (search, job, task, zones, machine))
       continue;
     seen++;
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -101,7 +101,7 @@
 guint
 ft_scheduler_count_expected_machines (const FtScheduler *scheduler)
 {
-  return ft_machine_table_up (&scheduler->machine_table);
+  return ft_machine_table_should_report_count (&scheduler->machine_table);
 }
 
 /* ---- recovery ---- */
@@ -112,11 +112,11 @@
 {
   FtMachine *known = g_hash_table_lookup (scheduler->machine_table.machines, name);
   if (known != NULL || g_hash_table_contains (scheduler->machine_table.gone, name)) {
-    ft_registry_loaded (&scheduler->registry, row, known);
+    ft_registry_load_entry (&scheduler->registry, row, known);
     return;
   }
   FtMachine *machine = ft_machine_table_add (&scheduler->machine_table, name, addr, type, zone, spot);
-  ft_registry_loaded (&scheduler->registry, row, machine);
+  ft_registry_load_entry (&scheduler->registry, row, machine);
   /* A former leader that lost contact with the store may have answered the machine's heartbeats until then. */
   gint64 answered_until = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
   ft_reachability_registered (&machine->reachability, answered_until, scheduler->context.now);
@@ -133,7 +133,7 @@
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
-    ft_reachability_loaded (&machine->reachability, now);
+    ft_reachability_registry_loaded (&machine->reachability, now);
     if (machine->state == FT_MACHINE_BOOTING && machine->registered)
       ft_machine_set_state (machine, FT_MACHINE_UP, "in the registry");
   }
@@ -163,7 +163,7 @@
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
-    ft_machine_watch (machine);
+    ft_machine_check_timeouts (machine);
     if (machine->state == FT_MACHINE_GONE && !ft_machine_has_request_in_flight (machine))
       g_hash_table_iter_remove (&it);
   }
@@ -211,5 +211,5 @@
 guint
 ft_scheduler_examined (const FtScheduler *scheduler)
 {
-  return scheduler->context.looked_at;
+  return scheduler->context.examined_count;
 }
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -76,10 +76,10 @@
 GArray *ft_scheduler_answer (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* Returns the next command or probe to send to a worker, which the caller frees; NULL: there is none. */
-FtDirect *ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now);
+FtDirectRequest *ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now);
 /* A direct request has ended. `heartbeat`: the status in the worker's answer; may be NULL. Returns FALSE if the status
  * shows a higher token: the caller must step down. */
-gboolean ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirect *direct, FtDirectResult result,
+gboolean ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirectRequest *direct, FtDirectResult result,
                                    const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* ---- cloud ---- */
--- a/src/core/scheduler_jobs.c
+++ b/src/core/scheduler_jobs.c
@@ -67,8 +67,8 @@
     return progress;
   progress.known = TRUE;
   progress.cancelled = job->state == FT_JOB_CANCELLING;
-  progress.done = ft_job_finished (job);
-  progress.running = ft_job_live (job) - job->counts[FT_TASK_STARTING];
+  progress.done = ft_job_finished_tasks (job);
+  progress.running = ft_job_bound_tasks (job) - job->counts[FT_TASK_STARTING];
   return progress;
 }
 
