--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -35,7 +35,7 @@
 /* Seconds by which a leader shortens every lease, because its timers may fire late. */
 #define FT_LEASE_MARGIN_S 0.3
 /* Seconds after which a leader starts no more tasks, counted from the time up to which it knows all cancellations.
- * A watch request whose answer is lost takes 4 of them. */
+ * A watch request whose answer is lost takes 4 of these seconds. */
 #define FT_CANCELLATIONS_FRESH_S 6.0
 /* Seconds by which the answer grace period is shortened, because timers may fire late. */
 #define FT_ANSWER_GRACE_MARGIN_S 2.0
@@ -209,10 +209,10 @@
 #define FT_FETCH_RATE_MIN 1e-3
 /* Share of the fetch time of an image that remains on average on a machine that is already fetching the image. */
 #define FT_FETCH_REMAINING_SHARE 0.8
-/* Cost, in seconds of waiting, of a machine whose CPUs would all be left free, in the choice of a machine. A
- * machine counts with the share of its CPUs that the placement would leave free. */
+/* Cost, in seconds of waiting, that the choice of a machine assigns to a machine whose CPUs all stay free. The cost
+ * is proportional to the share of the CPUs that the placement leaves free. */
 #define FT_SCORE_ROOM_LEFT_S 2.0
-/* Cost, in seconds of waiting, of an ordinary machine in the choice of a machine. */
+/* Cost, in seconds of waiting, that the choice of a machine assigns to an ordinary machine. */
 #define FT_SCORE_ORDINARY_S 0.5
 /* Losses of spot machines that the estimate of the loss rate assumes before any observation. */
 #define FT_SPOT_PRIOR_LOSSES 0.5
@@ -338,7 +338,7 @@
 #define FT_ANCESTORS_READS_MAX 16
 
 /* ---- registry ---- */
-/* Bytes of a machine's entry in a registry row in addition to the texts of the entry, as JSON with spaces. */
+/* Bytes that a machine's entry in a registry row takes in addition to its texts, as JSON with spaces. */
 #define FT_REGISTRY_ENTRY_BYTES 68
 /* Share of the largest value that the entries of a registry row may take: the rest is for the JSON around the
  * entries. */
