--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -79,8 +79,8 @@
 }
 
 /* Raises the job's dispatch watermark above the index of a placed task. The task is sent only after the raised
- * watermark is committed. After the first time, the watermark is raised by more than one
- * task, so that one write covers many tasks that are placed one by one. */
+ * watermark is committed. After the first time, the watermark is raised by more than one task, so that one write covers
+ * many tasks that are placed one by one. */
 static void
 raise_watermark (FtJob *job, guint index)
 {
