--- a/src/core/attempt_lifecycle.c
+++ b/src/core/attempt_lifecycle.c
@@ -88,7 +88,7 @@
     return;
   attempt->stop = FT_ATTEMPT_STOP_WANTED;
   attempt->grace_s = grace_s;
-  ft_machine_queue_direct (attempt->machine);
+  ft_machine_queue_direct_request (attempt->machine);
 }
 
 void
--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -74,7 +74,7 @@
 ft_autoscaler_call_done (FtAutoscaler *autoscaler, const FtCloudCall *call, FtCloudResult result)
 {
   FtCoreContext *context = autoscaler->context;
-  if (result != FT_CLOUD_FAILED)
+  if (result != FT_CLOUD_UNANSWERED)
     context->cloud_answered_at = context->now;
   if (call->op == FT_CLOUD_SCALE_IN)
     ft_cloud_calls_return_done (autoscaler->machine_table, call);
--- a/src/core/capacity_demand.c
+++ b/src/core/capacity_demand.c
@@ -73,7 +73,7 @@
 }
 
 GArray *
-ft_capacity_demand_find (const FtPlacement *placement)
+ft_capacity_demand_compute (const FtPlacement *placement)
 {
   const FtCoreContext *context = placement->context;
   GArray *demands = g_array_new (FALSE, TRUE, sizeof (FtCapacityDemand));
--- a/src/core/capacity_demand.h
+++ b/src/core/capacity_demand.h
@@ -16,7 +16,7 @@
 } FtCapacityDemand;
 
 /* The demand of the open jobs, in their order of placement: a new array of FtCapacityDemand. */
-GArray *ft_capacity_demand_find (const FtPlacement *placement);
+GArray *ft_capacity_demand_compute (const FtPlacement *placement);
 
 /* The machine may serve that demand. */
 gboolean ft_capacity_demand_served_by (const FtCapacityDemand *demand, const FtMachine *machine);
--- a/src/core/capacity_supply.c
+++ b/src/core/capacity_supply.c
@@ -21,7 +21,7 @@
 }
 
 FtCapacitySupply
-ft_capacity_supply_find (const FtMachineTable *table, const FtCloudPools *pools, const FtCapacityDemand *demand)
+ft_capacity_supply_compute (const FtMachineTable *table, const FtCloudPools *pools, const FtCapacityDemand *demand)
 {
   FtCapacitySupply supply = { 0 };
   GHashTableIter it;
--- a/src/core/capacity_supply.h
+++ b/src/core/capacity_supply.h
@@ -12,8 +12,8 @@
 } FtCapacitySupply;
 
 /* What there is for that demand; `demand` NULL: all machines. */
-FtCapacitySupply ft_capacity_supply_find (const FtMachineTable *table, const FtCloudPools *pools,
-                                          const FtCapacityDemand *demand);
+FtCapacitySupply ft_capacity_supply_compute (const FtMachineTable *table, const FtCloudPools *pools,
+                                             const FtCapacityDemand *demand);
 
 /* Idle capacity to keep, as a share of what is in use: the longer machines take to boot, the more. */
 double ft_capacity_headroom (const FtCoreContext *context);
--- a/src/core/cloud_call.h
+++ b/src/core/cloud_call.h
@@ -19,6 +19,6 @@
 
 typedef enum {
   FT_CLOUD_OK,
-  FT_CLOUD_REFUSED, /* not carried out */
-  FT_CLOUD_FAILED,  /* no answer: perhaps carried out */
+  FT_CLOUD_REFUSED,    /* not carried out */
+  FT_CLOUD_UNANSWERED, /* no answer: perhaps carried out */
 } FtCloudResult;
--- a/src/core/cloud_calls.c
+++ b/src/core/cloud_calls.c
@@ -69,7 +69,7 @@
     call->type = g_strdup (pool->type);
     call->zone = g_strdup (pool->zone);
     call->spot = pool->spot;
-    call->count = pool->asked;
+    call->count = pool->requested;
     return call;
   }
   return NULL;
@@ -104,13 +104,13 @@
   FtCloudPool *pool = ft_cloud_pools_get (pools, call->type, call->zone, call->spot);
   if (g_strcmp0 (pool->booking, call->booking) != 0)
     return FALSE;
-  if (result == FT_CLOUD_FAILED) {
+  if (result == FT_CLOUD_UNANSWERED) {
     ft_cloud_pool_request_unanswered (pool, now + ft_seconds (FT_LAUNCH_RETRY_S));
     return TRUE;
   }
   if (result == FT_CLOUD_OK)
     add_launched (table, pool, call);
-  if (result == FT_CLOUD_REFUSED || call->names->len < pool->asked)
+  if (result == FT_CLOUD_REFUSED || call->names->len < pool->requested)
     ft_cloud_pool_refused (pool, now);
   ft_cloud_pool_request_answered (pool);
   return TRUE;
--- a/src/core/cloud_pool.c
+++ b/src/core/cloud_pool.c
@@ -63,7 +63,7 @@
 guint
 ft_cloud_pool_requested (const FtCloudPool *pool)
 {
-  return pool->request != FT_LAUNCH_REQUEST_NONE ? pool->asked : 0;
+  return pool->request != FT_LAUNCH_REQUEST_NONE ? pool->requested : 0;
 }
 
 void
@@ -71,7 +71,7 @@
 {
   if (!set_request (pool, FT_LAUNCH_REQUEST_PENDING))
     return;
-  pool->asked = count;
+  pool->requested = count;
   /* The token makes the name unique: no other leadership uses it. */
   pool->booking = g_strdup_printf ("flintrack-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, token, pools->next_booking++);
   pool->send_at = now;
--- a/src/core/cloud_pool.h
+++ b/src/core/cloud_pool.h
@@ -22,7 +22,7 @@
 
   FtLaunchRequest request; /* changed by the functions of this module only */
   char *booking;           /* identifies the request; NULL if there is none */
-  guint asked;             /* machines that the request is for */
+  guint requested;         /* machines that the request is for */
   gint64 send_at;          /* while pending: earliest time at which it is sent, in microseconds */
 } FtCloudPool;
 
--- a/src/core/direct_command.h
+++ b/src/core/direct_command.h
@@ -7,11 +7,11 @@
   char *machine, *addr;
   guint64 incarnation; /* the worker refuses the request under another one */
   GArray *commands;    /* FtCommand; empty: a probe */
-} FtDirect;
+} FtDirectRequest;
 
 /* Frees the request; NULL is allowed. */
-void ft_direct_free (FtDirect *direct);
-G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtDirect, ft_direct_free)
+void ft_direct_request_free (FtDirectRequest *direct);
+G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtDirectRequest, ft_direct_request_free)
 
 typedef enum {
   FT_DIRECT_OK,
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -19,7 +19,7 @@
          && attempt->direct_start != FT_DIRECT_START_UNANSWERED;
 }
 
-static FtDirect *
+static FtDirectRequest *
 request_to (FtMachine *machine)
 {
   if (!may_send (machine))
@@ -38,17 +38,17 @@
       ft_worker_command_add (commands, FT_COMMAND_START, attempt);
     }
   }
-  return commands->len > 0 ? ft_worker_command_direct (machine, g_steal_pointer (&commands)) : NULL;
+  return commands->len > 0 ? ft_worker_command_request_new (machine, g_steal_pointer (&commands)) : NULL;
 }
 
-FtDirect *
+FtDirectRequest *
 ft_direct_commands_next (FtMachineQueues *queues)
 {
   FtMachine *machine;
   while ((machine = g_queue_pop_head (&queues->directs)) != NULL) {
     machine->requests.direct_queued = FALSE;
     machine->context->looked_at++;
-    FtDirect *direct = request_to (machine);
+    FtDirectRequest *direct = request_to (machine);
     if (direct != NULL)
       return direct;
   }
@@ -72,7 +72,7 @@
 }
 
 static void
-settle_start (FtAttempt *attempt, const FtDirect *direct, FtDirectResult result)
+settle_start (FtAttempt *attempt, const FtDirectRequest *direct, FtDirectResult result)
 {
   if (result == FT_DIRECT_UNANSWERED && attempt->incarnation == direct->incarnation)
     ft_attempt_direct_start_unanswered (attempt);
@@ -85,7 +85,7 @@
 }
 
 void
-ft_direct_commands_settle (FtMachine *machine, const FtDirect *direct, FtDirectResult result)
+ft_direct_commands_settle (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result)
 {
   for (guint i = 0; i < direct->commands->len; i++) {
     const FtCommand *command = &g_array_index (direct->commands, FtCommand, i);
--- a/src/core/direct_commands.h
+++ b/src/core/direct_commands.h
@@ -7,10 +7,10 @@
 #include "core/machine.h"
 
 /* The next request with commands, of the machines in the queue: new; NULL: none. */
-FtDirect *ft_direct_commands_next (FtMachineQueues *queues);
+FtDirectRequest *ft_direct_commands_next (FtMachineQueues *queues);
 
 /* The machine has something to be sent that no event queues it for: a command that could not be sent when it arose. */
 gboolean ft_direct_commands_wanted (const FtMachine *machine);
 
 /* A request to the machine has its result: records what became of the starts that it carried. */
-void ft_direct_commands_settle (FtMachine *machine, const FtDirect *direct, FtDirectResult result);
+void ft_direct_commands_settle (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result);
--- a/src/core/heartbeat_answer.c
+++ b/src/core/heartbeat_answer.c
@@ -12,7 +12,7 @@
   ft_reachability_answer_sent (reachability, machine->reconciled, context->now);
   if (heartbeat->incarnation != machine->incarnation)
     return FALSE;
-  ft_reachability_answered (reachability, heartbeat->sequence);
+  ft_reachability_sequence_answered (reachability, heartbeat->sequence);
   return heartbeat->sequence == machine->sequence && heartbeat->token >= context->token
          && machine->incarnation > machine->expired_incarnation;
 }
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -57,7 +57,7 @@
 }
 
 void
-ft_machine_queue_direct (FtMachine *machine)
+ft_machine_queue_direct_request (FtMachine *machine)
 {
   if (machine->requests.direct_queued || machine->state == FT_MACHINE_GONE)
     return;
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -47,7 +47,7 @@
  * independent of the other, and of the queues: work decided while a command is in flight queues the machine
  * again. */
 typedef struct {
-  gboolean direct_queued;     /* is in FtMachineQueues.directs; set by ft_machine_queue_direct() */
+  gboolean direct_queued;     /* is in FtMachineQueues.directs; set by ft_machine_queue_direct_request() */
   gboolean probe_queued;      /* is in FtMachineQueues.probes; set by ft_machine_queue_probe() */
   gboolean command_in_flight; /* a direct request or a probe has been sent and is not answered */
   gboolean return_in_flight;  /* a cloud call to return it has been sent and is not answered */
@@ -116,7 +116,7 @@
 void ft_machine_set_reconciled (FtMachine *machine);
 
 /* The machine may want a direct request. */
-void ft_machine_queue_direct (FtMachine *machine);
+void ft_machine_queue_direct_request (FtMachine *machine);
 
 /* The machine may want a probe. */
 void ft_machine_queue_probe (FtMachine *machine);
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -98,7 +98,7 @@
 static gboolean
 zone_alone_lost (const FtCoreContext *context, const FtZone *zone)
 {
-  gint64 silent_since = MAX (zone->last_heard, context->loaded_at);
+  gint64 silent_since = MAX (zone->last_report_at, context->loaded_at);
   return context->cancellations_known_until > silent_since + ft_seconds (FT_ZONE_STORE_SEEN_S);
 }
 
@@ -107,8 +107,8 @@
 window_allows (FtMachineEviction *eviction, ReportingCount count)
 {
   gint64 now = eviction->context->now;
-  if (now - eviction->window_at > ft_seconds (FT_SILENT_SCALE_IN_WINDOW_S)) {
-    eviction->window_at = now;
+  if (now - eviction->window_started_at > ft_seconds (FT_SILENT_SCALE_IN_WINDOW_S)) {
+    eviction->window_started_at = now;
     eviction->window_terminated = 0;
   }
   guint most = MAX (FT_SILENT_SCALE_IN_MIN, (guint) (FT_SILENT_SCALE_IN_SHARE * (count.reporting + count.lost)));
--- a/src/core/machine_eviction.h
+++ b/src/core/machine_eviction.h
@@ -19,7 +19,7 @@
   const FtJobTable *job_table;
   const FtRecovery *recovery;
 
-  gint64 window_at;              /* when the window began in which terminations for silence are bounded */
+  gint64 window_started_at;      /* when the window began in which terminations for silence are bounded */
   guint window_terminated;       /* machines terminated for silence within it */
   gint64 unseen_cancellation_us; /* age of the oldest cancellation of which tasks may run unseen; 0: none */
   gboolean store_unreachable;    /* the store has not shown cancellations for so long that silent machines must go */
--- a/src/core/machine_table.c
+++ b/src/core/machine_table.c
@@ -95,7 +95,7 @@
 }
 
 guint
-ft_machine_table_up (const FtMachineTable *table)
+ft_machine_table_should_report_count (const FtMachineTable *table)
 {
   return ft_machine_table_count (table, ft_machine_should_report);
 }
--- a/src/core/machine_table.h
+++ b/src/core/machine_table.h
@@ -47,4 +47,4 @@
 guint ft_machine_table_count (const FtMachineTable *table, FtMachinePredicate predicate);
 
 /* Machines that should be sending heartbeats. */
-guint ft_machine_table_up (const FtMachineTable *table);
+guint ft_machine_table_should_report_count (const FtMachineTable *table);
--- a/src/core/machine_watch.c
+++ b/src/core/machine_watch.c
@@ -28,14 +28,14 @@
 }
 
 void
-ft_machine_watch (FtMachine *machine)
+ft_machine_check_timeouts (FtMachine *machine)
 {
   if (machine->state == FT_MACHINE_GONE)
     return; /* nothing is sent to it either */
   check_lease (machine);
   check_silence (machine);
   if (ft_direct_commands_wanted (machine))
-    ft_machine_queue_direct (machine);
+    ft_machine_queue_direct_request (machine);
   if (ft_machine_wants_probe (machine))
     ft_machine_queue_probe (machine);
 }
--- a/src/core/machine_watch.h
+++ b/src/core/machine_watch.h
@@ -4,4 +4,4 @@
 #include "core/machine.h"
 
 /* Called by the scheduler for each machine on each tick, after the zones have been updated. */
-void ft_machine_watch (FtMachine *machine);
+void ft_machine_check_timeouts (FtMachine *machine);
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -97,7 +97,7 @@
   attempt->placed_at = placement->context->now;
   attempt->placed_pass = placement->pass;
   raise_watermark (job, index);
-  ft_machine_queue_direct (machine);
+  ft_machine_queue_direct_request (machine);
   g_message ("task %s/%u: placed on %s attempt %" G_GUINT64_FORMAT, job->spec->ref, index, machine->name, id);
 }
 
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -17,15 +17,15 @@
          && !machine->requests.command_in_flight && machine->state != FT_MACHINE_GONE;
 }
 
-static FtDirect *
+static FtDirectRequest *
 probe (FtProbes *probes, FtMachine *machine)
 {
   ft_reachability_probe_sent (&machine->reachability, machine->context->now);
   probes->in_flight++;
-  return ft_worker_command_direct (machine, ft_commands_new ());
+  return ft_worker_command_request_new (machine, ft_commands_new ());
 }
 
-FtDirect *
+FtDirectRequest *
 ft_probes_next (FtProbes *probes, FtMachineQueues *queues)
 {
   FtMachine *machine;
@@ -47,7 +47,7 @@
 }
 
 void
-ft_probes_again (FtMachine *machine)
+ft_probes_retry_now (FtMachine *machine)
 {
   ft_reachability_probe_now (&machine->reachability, machine->context->now);
   ft_machine_queue_probe (machine);
--- a/src/core/probes.h
+++ b/src/core/probes.h
@@ -15,10 +15,10 @@
 gboolean ft_machine_wants_probe (const FtMachine *machine);
 
 /* The next probe to send, of the machines in the queue: new; NULL: none. */
-FtDirect *ft_probes_next (FtProbes *probes, FtMachineQueues *queues);
+FtDirectRequest *ft_probes_next (FtProbes *probes, FtMachineQueues *queues);
 
 /* A request to the machine got no answer. */
 void ft_probes_unanswered (FtMachine *machine);
 
 /* The machine refused a request for its incarnation, which it has named: it is probed again at once. */
-void ft_probes_again (FtMachine *machine);
+void ft_probes_retry_now (FtMachine *machine);
--- a/src/core/reachability.c
+++ b/src/core/reachability.c
@@ -10,7 +10,7 @@
 }
 
 void
-ft_reachability_loaded (FtReachability *reachability, gint64 now)
+ft_reachability_registry_loaded (FtReachability *reachability, gint64 now)
 {
   reachability->last_status_at = reachability->last_heartbeat_at = now;
   reachability->probe_at = now + ft_seconds (FT_PROBE_FIRST_S);
@@ -19,7 +19,7 @@
 }
 
 void
-ft_reachability_first_heard (FtReachability *reachability, gint64 now)
+ft_reachability_first_heartbeat (FtReachability *reachability, gint64 now)
 {
   reachability->last_answer_at = now;
 }
@@ -31,7 +31,7 @@
 }
 
 void
-ft_reachability_reported (FtReachability *reachability, gboolean is_heartbeat, gint64 now)
+ft_reachability_status_received (FtReachability *reachability, gboolean is_heartbeat, gint64 now)
 {
   reachability->last_status_at = now;
   if (is_heartbeat)
@@ -40,7 +40,7 @@
 }
 
 gboolean
-ft_reachability_token_shown (FtReachability *reachability)
+ft_reachability_token_acknowledged (FtReachability *reachability)
 {
   gboolean first = !reachability->acknowledged_token;
   reachability->acknowledged_token = TRUE;
@@ -48,7 +48,7 @@
 }
 
 void
-ft_reachability_answered (FtReachability *reachability, guint64 sequence)
+ft_reachability_sequence_answered (FtReachability *reachability, guint64 sequence)
 {
   reachability->answered = MAX (reachability->answered, sequence);
 }
@@ -62,7 +62,7 @@
 }
 
 gboolean
-ft_reachability_answers_shown (FtReachability *reachability, gboolean missing, gboolean expected, gint64 now)
+ft_reachability_update_acknowledgements (FtReachability *reachability, gboolean missing, gboolean expected, gint64 now)
 {
   if (missing)
     reachability->unacknowledged++;
--- a/src/core/reachability.h
+++ b/src/core/reachability.h
@@ -31,22 +31,22 @@
 void ft_reachability_registered (FtReachability *reachability, gint64 answered_until, gint64 now);
 
 /* The registry is read: silence counts from here. */
-void ft_reachability_loaded (FtReachability *reachability, gint64 now);
+void ft_reachability_registry_loaded (FtReachability *reachability, gint64 now);
 
 /* The first heartbeat of a machine that was not known. */
-void ft_reachability_first_heard (FtReachability *reachability, gint64 now);
+void ft_reachability_first_heartbeat (FtReachability *reachability, gint64 now);
 
 /* A new incarnation has begun: none of its heartbeats has been answered. */
 void ft_reachability_new_incarnation (FtReachability *reachability);
 
 /* A status has come that is the machine's newest. `is_heartbeat`: not the answer to a command. */
-void ft_reachability_reported (FtReachability *reachability, gboolean is_heartbeat, gint64 now);
+void ft_reachability_status_received (FtReachability *reachability, gboolean is_heartbeat, gint64 now);
 
 /* That status shows our token. TRUE: it is the first to do so. */
-gboolean ft_reachability_token_shown (FtReachability *reachability);
+gboolean ft_reachability_token_acknowledged (FtReachability *reachability);
 
 /* We answer the heartbeat of that sequence, of the present incarnation. */
-void ft_reachability_answered (FtReachability *reachability, guint64 sequence);
+void ft_reachability_sequence_answered (FtReachability *reachability, guint64 sequence);
 
 /* We answer a heartbeat, whatever incarnation it is of. `reconciled`: the machine is; otherwise its next heartbeat
  * shows our token soon, and a probe can wait. */
@@ -55,7 +55,8 @@
 /* A heartbeat does, or does not, show what our answers brought. `missing`: something is not there; `expected`:
  * something had been sent. One lost packet looks the same, hence the count. TRUE: the machine is not receiving from now
  * on. */
-gboolean ft_reachability_answers_shown (FtReachability *reachability, gboolean missing, gboolean expected, gint64 now);
+gboolean ft_reachability_update_acknowledgements (FtReachability *reachability, gboolean missing, gboolean expected,
+                                                  gint64 now);
 
 /* A command has reached the machine. */
 void ft_reachability_command_arrived (FtReachability *reachability);
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -27,7 +27,7 @@
 void
 ft_scale_in_idle (FtMachineTable *table, const FtCloudPools *pools, gboolean any_jobs)
 {
-  FtCapacitySupply supply = ft_capacity_supply_find (table, pools, NULL);
+  FtCapacitySupply supply = ft_capacity_supply_compute (table, pools, NULL);
   double standby = any_jobs ? FT_STANDBY_MACHINES : 0;
   double spare = supply.free - ft_capacity_headroom (table->context) * supply.in_use - standby;
   if (spare < 1)
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -47,7 +47,7 @@
 {
   gint64 now = table->context->now;
   return pool->request == FT_LAUNCH_REQUEST_NONE && pool->refused_until <= now
-         && ft_zone_launchable (ft_zone_get (table->zones, pool->zone), now) > 0;
+         && ft_zone_launch_limit (ft_zone_get (table->zones, pool->zone), now) > 0;
 }
 
 /* The cheapest pool that has not refused of late; among equals the emptiest,
@@ -85,8 +85,8 @@
   if (pool == NULL || wanted == 0)
     return;
   FtZone *zone = ft_zone_get (table->zones, pool->zone);
-  guint count = MIN (MIN (wanted, FT_SCALE_OUT_MAX), ft_zone_launchable (zone, context->now));
-  ft_zone_launched (zone, context->now);
+  guint count = MIN (MIN (wanted, FT_SCALE_OUT_MAX), ft_zone_launch_limit (zone, context->now));
+  ft_zone_launch_requested (zone, context->now);
   if (pool->spot && context->tuning.spot_share < 1)
     count = 1; /* one at a time, to keep within the share */
   ft_cloud_pools_request (pools, pool, count, context->token, context->now);
@@ -109,10 +109,10 @@
 void
 ft_scale_out_plan (const FtPlacement *placement, FtMachineTable *table, FtCloudPools *pools)
 {
-  g_autoptr (GArray) demands = ft_capacity_demand_find (placement);
+  g_autoptr (GArray) demands = ft_capacity_demand_compute (placement);
   for (guint i = 0; i < demands->len; i++) {
     const FtCapacityDemand *demand = &g_array_index (demands, FtCapacityDemand, i);
-    FtCapacitySupply supply = ft_capacity_supply_find (table, pools, demand);
+    FtCapacitySupply supply = ft_capacity_supply_compute (table, pools, demand);
     double reserve = ft_capacity_headroom (table->context) * supply.in_use;
     double wanted = demand->machines + reserve - supply.free - supply.booting;
     /* A small rest waits for room to become free, unless none can: the one
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -101,7 +101,7 @@
 guint
 ft_scheduler_up (const FtScheduler *scheduler)
 {
-  return ft_machine_table_up (&scheduler->machine_table);
+  return ft_machine_table_should_report_count (&scheduler->machine_table);
 }
 
 /* ---- recovery ---- */
@@ -133,7 +133,7 @@
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
-    ft_reachability_loaded (&machine->reachability, now);
+    ft_reachability_registry_loaded (&machine->reachability, now);
     if (machine->state == FT_MACHINE_BOOTING && machine->registered)
       ft_machine_set_state (machine, FT_MACHINE_UP, "in the registry");
   }
@@ -163,7 +163,7 @@
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
-    ft_machine_watch (machine);
+    ft_machine_check_timeouts (machine);
     if (machine->state == FT_MACHINE_GONE && !ft_machine_has_request_in_flight (machine))
       g_hash_table_iter_remove (&it);
   }
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -72,9 +72,9 @@
 GArray *ft_scheduler_answer (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* The next request to send, or NULL. */
-FtDirect *ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now);
+FtDirectRequest *ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now);
 /* `heartbeat` may be NULL. Returns FALSE if a higher token was seen. */
-gboolean ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirect *direct, FtDirectResult result,
+gboolean ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirectRequest *direct, FtDirectResult result,
                                    const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* ---- cloud ---- */
--- a/src/core/scheduler_workers.c
+++ b/src/core/scheduler_workers.c
@@ -45,28 +45,28 @@
   return ft_heartbeat_answer (&scheduler->machine_table, &scheduler->placement, heartbeat);
 }
 
-FtDirect *
+FtDirectRequest *
 ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now)
 {
   scheduler->context.now = now;
   /* Machines that do not answer probes keep their place for long: commands go first. */
-  FtDirect *direct = ft_direct_commands_next (&scheduler->machine_queues);
+  FtDirectRequest *direct = ft_direct_commands_next (&scheduler->machine_queues);
   return direct != NULL ? direct : ft_probes_next (&scheduler->probes, &scheduler->machine_queues);
 }
 
 /* What the result alone says; the worker's status comes after it. */
 static void
-apply_direct_result (FtMachine *machine, const FtDirect *direct, FtDirectResult result)
+apply_direct_result (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result)
 {
   machine->requests.command_in_flight = FALSE;
-  ft_machine_queue_direct (machine); /* what was decided while the request was in flight */
+  ft_machine_queue_direct_request (machine); /* what was decided while the request was in flight */
   if (result == FT_DIRECT_UNANSWERED)
     ft_probes_unanswered (machine);
   ft_direct_commands_settle (machine, direct, result);
 }
 
 gboolean
-ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirect *direct, FtDirectResult result,
+ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirectRequest *direct, FtDirectResult result,
                           const FtWorkerHeartbeat *heartbeat, gint64 now)
 {
   scheduler->context.now = now;
@@ -83,7 +83,7 @@
   if (machine->state != FT_MACHINE_TERMINATING || !machine->reconciled)
     apply_status (scheduler, machine, heartbeat, FALSE);
   if (result == FT_DIRECT_CONFLICT && !machine->reconciled)
-    ft_probes_again (machine);
+    ft_probes_retry_now (machine);
   ft_recovery_tick (&scheduler->recovery);
   return TRUE;
 }
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -37,10 +37,10 @@
   g_array_append_val (commands, command);
 }
 
-FtDirect *
-ft_worker_command_direct (FtMachine *machine, GArray *commands)
+FtDirectRequest *
+ft_worker_command_request_new (FtMachine *machine, GArray *commands)
 {
-  FtDirect *direct = g_new0 (FtDirect, 1);
+  FtDirectRequest *direct = g_new0 (FtDirectRequest, 1);
   direct->machine = g_strdup (machine->name);
   direct->addr = g_strdup (machine->addr);
   direct->incarnation = machine->incarnation;
@@ -50,7 +50,7 @@
 }
 
 void
-ft_direct_free (FtDirect *direct)
+ft_direct_request_free (FtDirectRequest *direct)
 {
   if (direct == NULL)
     return;
--- a/src/core/worker_commands.h
+++ b/src/core/worker_commands.h
@@ -16,4 +16,4 @@
 void ft_worker_command_add (GArray *commands, FtCommandOp op, const FtAttempt *attempt);
 
 /* A request with these commands, which it takes, to the machine, which has one in flight from then on. */
-FtDirect *ft_worker_command_direct (FtMachine *machine, GArray *commands);
+FtDirectRequest *ft_worker_command_request_new (FtMachine *machine, GArray *commands);
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -16,7 +16,7 @@
     machine = ft_machine_table_add (heartbeats->machine_table, heartbeat->machine, heartbeat->addr, heartbeat->type,
                                     heartbeat->zone, heartbeat->spot);
     ft_machine_set_reconciled (machine);
-    ft_reachability_first_heard (&machine->reachability, heartbeats->context->now);
+    ft_reachability_first_heartbeat (&machine->reachability, heartbeats->context->now);
     g_message ("machine %s: known (by its first heartbeat)", machine->name);
   }
   ft_machine_set_addr (machine, heartbeat->addr);
@@ -52,7 +52,7 @@
 note_contact (FtMachine *machine, gboolean is_heartbeat)
 {
   FtCoreContext *context = machine->context;
-  ft_reachability_reported (&machine->reachability, is_heartbeat, context->now);
+  ft_reachability_status_received (&machine->reachability, is_heartbeat, context->now);
   ft_zone_reported (machine->zone_view, context->now);
   if (machine->state != FT_MACHINE_BOOTING && machine->state != FT_MACHINE_SILENT)
     return;
@@ -79,7 +79,7 @@
     expected |= sent;
     missing |= sent && attempt->state == FT_ATTEMPT_PLACED;
   }
-  if (ft_reachability_answers_shown (&machine->reachability, missing, expected, context->now))
+  if (ft_reachability_update_acknowledgements (&machine->reachability, missing, expected, context->now))
     g_message ("machine %s: not receiving our answers (%u heartbeats show nothing of them)", machine->name,
                machine->reachability.unacknowledged);
 }
@@ -93,7 +93,7 @@
                     gboolean is_heartbeat)
 {
   FtCoreContext *context = heartbeats->context;
-  if (ft_reachability_token_shown (&machine->reachability))
+  if (ft_reachability_token_acknowledged (&machine->reachability))
     context->placement_due = TRUE;
   context->last_heard = context->now;
   if (!machine->reconciled) {
--- a/src/core/write_queue_outcome.c
+++ b/src/core/write_queue_outcome.c
@@ -11,7 +11,7 @@
   job->watermark_in_flight = FALSE;
   for (guint i = job->spec->dispatch_watermark; i < watermark; i++)
     if (job->tasks[i].attempt != NULL)
-      ft_machine_queue_direct (job->tasks[i].attempt->machine);
+      ft_machine_queue_direct_request (job->tasks[i].attempt->machine);
   job->spec->dispatch_watermark = MAX (job->spec->dispatch_watermark, watermark);
 }
 
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -40,7 +40,7 @@
 void
 ft_zone_reported (FtZone *zone, gint64 now)
 {
-  zone->last_heard = now;
+  zone->last_report_at = now;
   set_unreachable (zone, FALSE);
 }
 
@@ -63,7 +63,7 @@
 static gboolean
 quiet (const FtCoreContext *context, const FtZone *zone)
 {
-  gint64 since = MAX (zone->last_heard, MAX (context->on_time_since, context->answering_since));
+  gint64 since = MAX (zone->last_report_at, MAX (context->on_time_since, context->answering_since));
   return zone->members >= FT_ZONE_MEMBERS
          && context->now - MAX (since, context->loaded_at) > ft_reachability_overdue_us (context);
 }
@@ -71,8 +71,8 @@
 static gboolean
 heard_of_late (const FtCoreContext *context, const FtZone *zone)
 {
-  return zone->members > 0 && zone->last_heard > 0
-         && context->now - zone->last_heard <= ft_reachability_overdue_us (context);
+  return zone->members > 0 && zone->last_report_at > 0
+         && context->now - zone->last_report_at <= ft_reachability_overdue_us (context);
 }
 
 void
@@ -95,7 +95,7 @@
 }
 
 guint
-ft_zone_launchable (const FtZone *zone, gint64 now)
+ft_zone_launch_limit (const FtZone *zone, gint64 now)
 {
   if (!zone->unreachable)
     return G_MAXUINT;
@@ -103,7 +103,7 @@
 }
 
 void
-ft_zone_launched (FtZone *zone, gint64 now)
+ft_zone_launch_requested (FtZone *zone, gint64 now)
 {
   if (zone->unreachable)
     zone->probe_at = now + (gint64) (FT_ZONE_PROBE_EVERY_S * FT_SECOND);
--- a/src/core/zone.h
+++ b/src/core/zone.h
@@ -15,10 +15,10 @@
 
 struct _FtZone {
   char *name;
-  gint64 last_heard;    /* when the last status from a machine of the zone arrived, in microseconds; 0: never */
-  guint members;        /* machines that should be sending heartbeats, as of the last update */
-  gboolean unreachable; /* no member reports; changed by this module only */
-  gint64 probe_at;      /* while unreachable: earliest next launch, which shows whether it still is */
+  gint64 last_report_at; /* when the last status from a machine of the zone arrived, in microseconds; 0: never */
+  guint members;         /* machines that should be sending heartbeats, as of the last update */
+  gboolean unreachable;  /* no member reports; changed by this module only */
+  gint64 probe_at;       /* while unreachable: earliest next launch, which shows whether it still is */
 };
 
 /* name -> FtZone, owned. */
@@ -35,7 +35,7 @@
 void ft_zones_update (GHashTable *zones, GHashTable *machines, const FtCoreContext *context);
 
 /* Machines that may be launched in the zone now: all, or one to see whether it is back. */
-guint ft_zone_launchable (const FtZone *zone, gint64 now);
+guint ft_zone_launch_limit (const FtZone *zone, gint64 now);
 
 /* A launch has been requested in the zone. */
-void ft_zone_launched (FtZone *zone, gint64 now);
+void ft_zone_launch_requested (FtZone *zone, gint64 now);
--- a/src/net/leader_cloud.c
+++ b/src/net/leader_cloud.c
@@ -39,7 +39,7 @@
   const char *error = json_string_value (json_object_get (body, "error"));
   if (status == FT_HTTP_UNAVAILABLE && g_strcmp0 (error, "no capacity") == 0)
     return FT_CLOUD_REFUSED;
-  return FT_CLOUD_FAILED;
+  return FT_CLOUD_UNANSWERED;
 }
 
 static FtLeaderOutcome
@@ -49,7 +49,7 @@
   FtLeaderCloud *cloud = request->owner;
   FtCloudResult result = scale_result (status, body, call);
   cloud->calls_in_flight--;
-  if (status == FT_HTTP_OK && result == FT_CLOUD_FAILED)
+  if (status == FT_HTTP_OK && result == FT_CLOUD_UNANSWERED)
     ft_malformed_log_add (cloud->term->node->malformed, FT_COUNT_MALFORMED_CLOUD, "answer to a rental");
   ft_scheduler_cloud_done (cloud->term->scheduler, call, result, g_get_monotonic_time ());
   return FT_LEADER_OUTCOME_PROGRESS;
--- a/src/net/leader_commands.c
+++ b/src/net/leader_commands.c
@@ -15,7 +15,7 @@
 
 typedef struct {
   FtLeaderRequest base;
-  FtDirect *direct; /* owned */
+  FtDirectRequest *direct; /* owned */
 } CommandRequest;
 
 /* `heartbeat`: the worker's state as it answered, or NULL. */
@@ -30,7 +30,7 @@
 static FtLeaderOutcome
 on_command_answer (FtLeaderRequest *request, guint status, const guint8 *body, gsize size)
 {
-  const FtDirect *direct = ((CommandRequest *) request)->direct;
+  const FtDirectRequest *direct = ((CommandRequest *) request)->direct;
   FtLeaderCommands *commands = request->owner;
   const FtNode *node = request->term->node;
   gboolean has_heartbeat = status == FT_HTTP_OK || status == FT_HTTP_CONFLICT;
@@ -53,7 +53,7 @@
 static void
 send_command_request (FtLeaderRequest *request)
 {
-  const FtDirect *direct = ((CommandRequest *) request)->direct;
+  const FtDirectRequest *direct = ((CommandRequest *) request)->direct;
   const FtNode *node = request->term->node;
   json_t *body = ft_message_commands (ft_lease_token (node->lease), direct->incarnation, direct->commands);
   ft_http_send_raw (node->worker_client, "POST", direct->addr, "/commands", FT_BODY_CBOR, body, FT_COMMAND_TIMEOUT_S,
@@ -64,7 +64,7 @@
 static void
 command_request_clear (FtLeaderRequest *request)
 {
-  ft_direct_free (((CommandRequest *) request)->direct);
+  ft_direct_request_free (((CommandRequest *) request)->direct);
 }
 
 static const FtLeaderRequestKind command_kind = {
@@ -98,7 +98,7 @@
 ft_leader_commands_send (FtLeaderCommands *commands, gint64 now)
 {
   while (commands->in_flight < FT_DIRECT_MAX) {
-    FtDirect *direct = ft_scheduler_next_direct (commands->term->scheduler, now);
+    FtDirectRequest *direct = ft_scheduler_next_direct (commands->term->scheduler, now);
     if (direct == NULL)
       return;
     CommandRequest *request = ft_leader_request_new (commands->term, &command_kind, commands);
--- a/src/net/leader_commands.h
+++ b/src/net/leader_commands.h
@@ -1,4 +1,4 @@
-/* Direct commands: what the leader sends to workers at once (FtDirect) instead of with the
+/* Direct commands: what the leader sends to workers at once (FtDirectRequest) instead of with the
  * answer to their next heartbeat. */
 #pragma once
 #include "net/leader_term.h"
--- a/tests/sim/node.hpp
+++ b/tests/sim/node.hpp
@@ -147,7 +147,7 @@
   void batch_over (const PointerArray &writes, bool applied, const char *conflicted_job);
 
   // node_workers.cpp
-  using DirectCommand = std::shared_ptr<FtDirect>;
+  using DirectCommand = std::shared_ptr<FtDirectRequest>;
   using DirectFinish = std::function<void (guint status, Heartbeat heartbeat)>;
   void send_direct_commands ();
   void send_direct_command (const DirectCommand &direct);
--- a/tests/sim/node_cloud.cpp
+++ b/tests/sim/node_cloud.cpp
@@ -40,7 +40,7 @@
     });
   };
   world.after (late, [&world, from = name (), execute] { world.deliver (from, "cloud", execute); });
-  schedule (kCallTimeout, [finish] { finish (FT_CLOUD_FAILED); });
+  schedule (kCallTimeout, [finish] { finish (FT_CLOUD_UNANSWERED); });
 }
 
 void
--- a/tests/sim/node_workers.cpp
+++ b/tests/sim/node_workers.cpp
@@ -44,8 +44,8 @@
 void
 Node::send_direct_commands ()
 {
-  while (FtDirect *direct = ft_scheduler_next_direct (scheduler_.get (), clock ()))
-    send_direct_command (DirectCommand (direct, ft_direct_free));
+  while (FtDirectRequest *direct = ft_scheduler_next_direct (scheduler_.get (), clock ()))
+    send_direct_command (DirectCommand (direct, ft_direct_request_free));
 }
 
 // The worker executes them when the message arrives, and its answer goes back.
--- a/tests/test_module_reachability.cpp
+++ b/tests/test_module_reachability.cpp
@@ -22,7 +22,7 @@
     settings.lease_s = 14;
     context.settings = &settings;
     context.now = 100 * kS;
-    ft_reachability_reported (&machine, TRUE, context.now);
+    ft_reachability_status_received (&machine, TRUE, context.now);
   }
   bool
   silent (bool zone_unreachable, bool reconciled)
@@ -35,7 +35,7 @@
   {
     guint found = 0;
     for (guint i = 0; i < n; i++)
-      found += ft_reachability_answers_shown (&machine, TRUE, TRUE, context.now) ? 1 : 0;
+      found += ft_reachability_update_acknowledgements (&machine, TRUE, TRUE, context.now) ? 1 : 0;
     return found;
   }
 };
@@ -54,7 +54,7 @@
 TEST_F (ReachabilityModule, AnAcknowledgedHeartbeatBeginsTheCountAnew)
 {
   miss (FT_UNACKNOWLEDGED_MAX - 1);
-  ft_reachability_answers_shown (&machine, FALSE, FALSE, context.now);
+  ft_reachability_update_acknowledgements (&machine, FALSE, FALSE, context.now);
   EXPECT_EQ (miss (FT_UNACKNOWLEDGED_MAX - 1), 0u);
   EXPECT_FALSE (ft_reachability_not_receiving (&machine));
 }
@@ -62,9 +62,9 @@
 TEST_F (ReachabilityModule, OnlyWhatHadBeenSentShowsThatAMachineReceivesAgain)
 {
   miss (FT_UNACKNOWLEDGED_MAX);
-  ft_reachability_answers_shown (&machine, FALSE, FALSE, context.now); // nothing had been sent: no proof
+  ft_reachability_update_acknowledgements (&machine, FALSE, FALSE, context.now); // nothing had been sent: no proof
   EXPECT_TRUE (ft_reachability_not_receiving (&machine));
-  ft_reachability_answers_shown (&machine, FALSE, TRUE, context.now);
+  ft_reachability_update_acknowledgements (&machine, FALSE, TRUE, context.now);
   EXPECT_FALSE (ft_reachability_not_receiving (&machine));
   miss (FT_UNACKNOWLEDGED_MAX);
   ft_reachability_command_arrived (&machine);
@@ -78,13 +78,13 @@
 {
   gint64 limit = 100 * kS + ft_reachability_silence_us (&context);
   context.now = limit;
-  ft_reachability_reported (&machine, FALSE, context.now);
+  ft_reachability_status_received (&machine, FALSE, context.now);
   EXPECT_FALSE (ft_reachability_not_reporting (&machine, &context));
   context.now = limit + 1;
   EXPECT_TRUE (ft_reachability_not_reporting (&machine, &context));
   EXPECT_FALSE (silent (false, true));
   EXPECT_TRUE (ft_reachability_recent (&machine, &context));
-  ft_reachability_reported (&machine, TRUE, context.now);
+  ft_reachability_status_received (&machine, TRUE, context.now);
   EXPECT_FALSE (ft_reachability_not_reporting (&machine, &context));
 }
 
@@ -112,7 +112,7 @@
   EXPECT_TRUE (silent (true, false)) << "nothing comes from its zone";
   ft_reachability_request_unanswered (&machine);
   EXPECT_TRUE (silent (false, false));
-  ft_reachability_reported (&machine, FALSE, context.now);
+  ft_reachability_status_received (&machine, FALSE, context.now);
   EXPECT_EQ (machine.probe_fails, 0u);
 }
 
@@ -123,7 +123,7 @@
   context.now = 1000 * kS;
   EXPECT_FALSE (ft_reachability_lease_over (&machine, &context)) << "it was never answered";
   ft_reachability_registered (&machine, 105 * kS, 100 * kS); // by a former leader, until then
-  ft_reachability_loaded (&machine, 102 * kS);
+  ft_reachability_registry_loaded (&machine, 102 * kS);
   EXPECT_EQ (machine.last_answer_at, 105 * kS);
   ft_reachability_answer_sent (&machine, TRUE, 110 * kS);
   context.now = 110 * kS + ft_reachability_lease_us (&context);
--- a/tests/test_scheduler_commands.cpp
+++ b/tests/test_scheduler_commands.cpp
@@ -47,10 +47,10 @@
   OneMachine harness;
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 1), 5, 101 * kS, 0);
   ft_scheduler_place (harness.scheduler, 101 * kS, TRUE);
-  FtDirect *direct = ft_scheduler_next_direct (harness.scheduler, 101 * kS);
+  FtDirectRequest *direct = ft_scheduler_next_direct (harness.scheduler, 101 * kS);
   ASSERT_NE (direct, nullptr);
   ft_scheduler_direct_done (harness.scheduler, direct, FT_DIRECT_UNANSWERED, nullptr, 103 * kS);
-  ft_direct_free (direct);
+  ft_direct_request_free (direct);
   FtJob *job = harness.job ("req-1");
   ft_attempt_want_stop (job->tasks[0].attempt, 0);
   g_autoptr (GArray) first = harness.exchange (104 * kS, 2);
--- a/tests/test_scheduler_heartbeats.cpp
+++ b/tests/test_scheduler_heartbeats.cpp
@@ -111,9 +111,9 @@
   send_all_commands ()
   {
     for (bool left = true; left;) {
-      FtDirect *direct = ft_scheduler_next_direct (scheduler, now);
+      FtDirectRequest *direct = ft_scheduler_next_direct (scheduler, now);
       left = direct != nullptr;
-      ft_direct_free (direct);
+      ft_direct_request_free (direct);
     }
   }
 
