--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -2,7 +2,7 @@
 
 #include "core/job.h"
 
-/* As operators see them. */
+/* Names of the states that operators see. */
 static const char *const names[] = { "booting", "up", "silent", "returning", "gone" };
 
 void
@@ -102,7 +102,7 @@
   FtMachineState from = machine->state;
   if (from == to)
     return TRUE;
-  /* A machine that is being returned can only become GONE, which is final. */
+  /* A machine in TERMINATING can only become GONE, and GONE is final. */
   if (from == FT_MACHINE_GONE || (from == FT_MACHINE_TERMINATING && to != FT_MACHINE_GONE)
       || to == FT_MACHINE_BOOTING) {
     g_warning ("machine %s: refused move %s -> %s (%s)", machine->name, names[from], names[to], reason);
@@ -142,9 +142,9 @@
 gboolean
 ft_machine_usable (const FtMachine *machine)
 {
-  gboolean known = machine->registered && machine->reconciled && machine->type != NULL;
-  gboolean wanted = !machine->fitness.drained && !machine->fitness.quarantined && machine->notice_until == 0;
-  return machine->state == FT_MACHINE_UP && known && wanted && machine->incarnation > machine->expired_incarnation
+  gboolean complete = machine->registered && machine->reconciled && machine->type != NULL;
+  gboolean fit = !machine->fitness.drained && !machine->fitness.quarantined && machine->notice_until == 0;
+  return machine->state == FT_MACHINE_UP && complete && fit && machine->incarnation > machine->expired_incarnation
          && machine->reachability.acknowledged_token && !ft_machine_not_receiving (machine)
          && !ft_machine_not_reporting (machine) && ft_reachability_recent (&machine->reachability, machine->context);
 }
@@ -171,8 +171,9 @@
   return spec->zone == NULL || g_strcmp0 (spec->zone, machine->zone) == 0;
 }
 
+/* Returns how many tasks fit that take `each` of a resource of which `free_amount` is left. */
 static guint
-fits (double free_amount, double each)
+tasks_that_fit (double free_amount, double each)
 {
   if (each <= 0)
     return G_MAXUINT16;
@@ -185,9 +186,9 @@
   const FtMachineType *type = machine->type;
   if (type == NULL)
     return 0;
-  guint n = fits (type->cpus - machine->cpus, spec->cpus);
-  n = MIN (n, fits (type->memory_gb - machine->memory_gb, spec->memory_gb));
-  return MIN (n, fits (type->gpus - machine->gpus, spec->gpus));
+  guint n = tasks_that_fit (type->cpus - machine->cpus, spec->cpus);
+  n = MIN (n, tasks_that_fit (type->memory_gb - machine->memory_gb, spec->memory_gb));
+  return MIN (n, tasks_that_fit (type->gpus - machine->gpus, spec->gpus));
 }
 
 gboolean
@@ -204,7 +205,7 @@
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *attempt = value;
-    /* A finished task whose result is not committed needs its machine too. */
+    /* A finished task also needs its machine until its result is committed. */
     if (!ft_attempt_has_exited (attempt) || (attempt->job != NULL && attempt->bound))
       return FALSE;
   }
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -1,17 +1,17 @@
-/* A machine as the leader knows it: its lifecycle, what it holds and whether it may be used.
+/* The leader's record of a machine: its lifecycle, its attempts and whether new work may be started on it.
  *
  *     BOOTING ----> UP <----> SILENT        UP and SILENT follow the machine's heartbeats
  *        |          |           |
  *        +----------+-----------+---> TERMINATING ---> GONE
  *
- * A machine becomes known when a launch is answered, when the cloud lists it, when its first
- * heartbeat arrives or when the registry is read after a failover. TERMINATING is final but for GONE:
- * from then on it gets no starts, and return calls are sent until the cloud confirms. A machine
- * that is GONE stays in the table while a request that concerns it is in flight.
+ * A machine is added to the machine table when the cloud answers the request that launched it, when the cloud's list
+ * names it, when its first heartbeat arrives, or when the registry is read after a failover. A machine in TERMINATING
+ * gets no starts and can only become GONE; calls to return it are sent until the cloud confirms the return. A machine
+ * that is GONE stays in the table while a request to it or about it is in flight.
  *
- * Machines are owned by the machine table. They know nothing of the modules above: what these have
- * to do for a machine is put in one of the queues of FtMachineQueues, and that a placement pass may
- * find something is noted in the context. */
+ * Machines are owned by the machine table. This module does not call the modules above it. Instead it puts a machine
+ * into one of the queues of FtMachineQueues, and sets `placement_due` in the context when a placement pass may find
+ * something to place. */
 #pragma once
 #include "core/attempt.h"
 #include "core/context.h"
@@ -22,131 +22,137 @@
 typedef struct _FtRegistryRow FtRegistryRow;
 
 typedef enum {
-  FT_MACHINE_BOOTING,     /* launched, no heartbeat yet */
-  FT_MACHINE_UP,          /* its heartbeats come */
-  FT_MACHINE_SILENT,      /* its heartbeats came, and no longer do */
-  FT_MACHINE_TERMINATING, /* gets no starts; is being returned to the cloud */
-  FT_MACHINE_GONE,        /* returned or failed */
+  FT_MACHINE_BOOTING,     /* launched; no heartbeat has arrived yet */
+  FT_MACHINE_UP,          /* heartbeats of the machine arrive */
+  FT_MACHINE_SILENT,      /* heartbeats of the machine have stopped arriving */
+  FT_MACHINE_TERMINATING, /* the machine is being returned to the cloud and gets no starts */
+  FT_MACHINE_GONE,        /* the machine has been returned to the cloud or has failed */
 } FtMachineState;
 
-/* Machines that wait for something to be done for them. A machine is in each at most once. Owned
- * by the scheduler; filled by the machines. */
+/* Queues of machines that need a request. Each queue holds a machine at most once. The scheduler owns the queues;
+ * this module fills them. */
 typedef struct {
-  GQueue directs;     /* FtMachine that may want a direct request; emptied by the direct commands */
-  GQueue probes;      /* FtMachine that may want a probe; emptied by the probes */
-  GQueue terminating; /* FtMachine in FT_MACHINE_TERMINATING; read by the cloud calls */
+  GQueue directs;     /* FtMachine that may need a direct request; consumed by ft_direct_commands_next() */
+  GQueue probes;      /* FtMachine that may need a probe; consumed by ft_probes_next() */
+  GQueue terminating; /* FtMachine in FT_MACHINE_TERMINATING; read by ft_cloud_calls_next() */
 } FtMachineQueues;
 
-/* Empty queues. */
+/* Initializes the queues as empty. */
 void ft_machine_queues_init (FtMachineQueues *queues);
 
 /* Empties the queues; the machines are not freed. */
 void ft_machine_queues_clear (FtMachineQueues *queues);
 
-/* The requests that concern a machine. At most one command and one return call are in flight for it; each is
- * independent of the other, and of the queues: work decided while a command is in flight queues the machine
- * again. */
+/* The requests to and about a machine. At most one command and one return call are in flight for a machine, and the
+ * two are independent of each other. They are also independent of the queues: work that is decided on while a command
+ * is in flight puts the machine into a queue again. */
 typedef struct {
-  gboolean direct_queued;     /* is in FtMachineQueues.directs; set by ft_machine_queue_direct_request() */
-  gboolean probe_queued;      /* is in FtMachineQueues.probes; set by ft_machine_queue_probe() */
+  gboolean direct_queued;     /* the machine is in FtMachineQueues.directs; set by ft_machine_queue_direct_request() */
+  gboolean probe_queued;      /* the machine is in FtMachineQueues.probes; set by ft_machine_queue_probe() */
   gboolean command_in_flight; /* a direct request or a probe has been sent and is not answered */
-  gboolean return_in_flight;  /* a cloud call to return it has been sent and is not answered */
-  gint64 return_at;           /* earliest next such call, in microseconds */
+  gboolean return_in_flight;  /* a cloud call to return the machine has been sent and is not answered */
+  gint64 return_at;           /* earliest time of the next cloud call to return the machine, in microseconds */
 } FtMachineRequests;
 
-/* What speaks against new starts on a machine, beside its state and its reachability. The facts are independent of
- * each other: an operator may drain a machine that is quarantined, and a doubt or a fault alone does not quarantine. */
+/* Reasons against new starts on a machine, beside its state and its reachability. They are independent of each other:
+ * an operator may drain a machine that is quarantined, and neither `start_in_doubt` nor a single fault quarantines a
+ * machine. */
 typedef struct {
-  gboolean drained;        /* by an operator; also kept by name in the machine table */
-  gboolean quarantined;    /* faulty, or a start was in doubt for too long; never revoked */
-  gboolean start_in_doubt; /* a direct start of this incarnation got no answer, so that it may be executed late */
-  guint faults;            /* failures in a row that count against it; see fault.h */
-  guint64 last_failed;     /* revision of the job that failed here last; 0: none since a task completed */
+  gboolean drained;        /* an operator has drained the machine; the machine table keeps the name as well */
+  gboolean quarantined;    /* the machine is faulty, or a cancelled start got no answer for too long; never revoked */
+  gboolean start_in_doubt; /* a direct start of this incarnation got no answer and may be executed late */
+  guint faults;            /* failures in a row that count against the machine; see fault.h */
+  guint64 last_failed;     /* revision of the job that last failed here; 0: no failure since a task completed */
 } FtMachineFitness;
 
 struct _FtMachine {
   FtCoreContext *context;  /* borrowed */
   FtMachineQueues *queues; /* borrowed */
   char *name, *addr, *zone, *type_name;
-  FtZone *zone_view;         /* its zone, of the machine table */
-  const FtMachineType *type; /* of the context's catalog; NULL if not in it */
+  FtZone *zone_view;         /* the machine's zone; borrowed from the machine table */
+  const FtMachineType *type; /* borrowed from the context's catalog; NULL: the catalog does not have the type */
   gboolean spot;
   FtMachineState state;          /* changed by ft_machine_set_state() only */
-  guint64 incarnation, sequence; /* of its newest status */
-  guint64 expired_incarnation;   /* incarnations up to here are over */
+  guint64 incarnation, sequence; /* of the machine's newest status */
+  guint64 expired_incarnation;   /* incarnations up to this one have ended or expired and get no commands */
   FtReachability reachability;
-  gint64 launched_at;
-  gint64 idle_since;             /* with ft_machine_idle(): since when */
-  gint64 notice_until;           /* when its interruption notice ends; 0: none */
-  gboolean counted_unreconciled; /* counted by the recovery among the unreconciled machines */
-  gboolean reconciled;           /* reported under our token, or certainly empty; ft_machine_set_reconciled() sets it */
-  FtRegistryRow *row;            /* the registry row that names it; NULL: none yet */
-  FtRegistryRow *split_row;      /* a stored row that names it until `row` is stored; NULL: none */
-  gboolean registered;           /* that row is committed */
-  gboolean listed_running;       /* the cloud's list named it as running before any heartbeat */
+  gint64 launched_at;            /* when the machine was launched, as far as it is known; in microseconds */
+  gint64 idle_since;             /* when the machine became idle, in microseconds; valid while it is idle */
+  gint64 notice_until;           /* end of the interruption notice's period, in microseconds; 0: no notice */
+  gboolean counted_unreconciled; /* the recovery counts the machine among the unreconciled ones */
+  gboolean reconciled;           /* has reported with this leader's fencing token, or is certainly empty */
+  FtRegistryRow *row;            /* the registry row that names the machine; NULL: none yet */
+  FtRegistryRow *split_row;      /* the stored row that names the machine until `row` is stored; NULL: none */
+  gboolean registered;           /* a committed registry row names the machine */
+  gboolean listed_running;       /* the cloud's list showed the machine as running before its first heartbeat */
   FtMachineRequests requests;
   FtMachineFitness fitness;
-  double cpus, gpus, memory_gb; /* taken by attempts not known to be over */
+  double cpus, gpus, memory_gb; /* reserved for attempts that are not known to be over */
   GHashTable *attempts;         /* set of FtAttempt, owned */
-  GHashTable *images;           /* names known to be cached */
+  GHashTable *images;           /* names of the images that the machine is known to have cached */
 };
 
-/* A machine in FT_MACHINE_BOOTING. Called by ft_machine_table_add(), which sets its zone view and whether it is
- * drained. `addr` may be NULL. */
+/* Creates a machine in FT_MACHINE_BOOTING. Called by ft_machine_table_add(), which sets `zone_view` and
+ * `fitness.drained`. `addr` may be NULL. */
 FtMachine *ft_machine_new (FtCoreContext *context, FtMachineQueues *queues, const char *name, const char *addr,
                            const char *type, const char *zone, gboolean spot);
 
-/* Called by the machine table. Ends its attempts without a trace, and takes it out of the queues of requests. */
+/* Frees the machine and its attempts, and removes it from the queues of direct requests and probes. The tasks of the
+ * attempts do not change. Called by the machine table. */
 void ft_machine_free (FtMachine *machine);
 
-/* The one place where a machine's state changes. `reason` is logged. FALSE: a move that the lifecycle does
- * not have; refused. */
+/* Changes the machine's state; no other function does. `reason` is logged. Returns FALSE if the lifecycle does not
+ * have this transition; the state then stays. */
 gboolean ft_machine_set_state (FtMachine *machine, FtMachineState to, const char *reason);
 
-/* The state's name as operators see it. */
+/* Returns the name of the state that operators see; static. */
 const char *ft_machine_state_name (FtMachineState state);
 
-/* Begins its return: it gets no more starts, and return calls are sent until the cloud confirms. */
+/* Starts returning the machine: it gets no more starts, and calls to return it are sent until the cloud confirms the
+ * return. `reason` is logged. */
 void ft_machine_terminate (FtMachine *machine, const char *reason);
 
-/* The cloud may have given it an address, or another one. */
+/* Sets the machine's address, which the cloud may have assigned or changed. */
 void ft_machine_set_addr (FtMachine *machine, const char *addr);
 
-/* All that the machine may run unseen is known. The caller notifies the recovery. */
+/* Marks the machine as reconciled: this leader knows every attempt that the machine may run. The caller notifies the
+ * recovery. */
 void ft_machine_set_reconciled (FtMachine *machine);
 
-/* The machine may want a direct request. */
+/* Puts the machine into the queue of direct requests, since it may need one. */
 void ft_machine_queue_direct_request (FtMachine *machine);
 
-/* The machine may want a probe. */
+/* Puts the machine into the queue of probes, since it may need one. */
 void ft_machine_queue_probe (FtMachine *machine);
 
-/* Its heartbeats should arrive: it has been up, and is not being returned. */
+/* Whether the machine should be sending heartbeats: it has been up, and is not being returned. */
 gboolean ft_machine_should_report (const FtMachine *machine);
 
-/* New work may be started on it now. */
+/* Whether new work may be started on the machine now. */
 gboolean ft_machine_usable (const FtMachine *machine);
 
-/* The job's constraints allow the machine. */
+/* Whether the job's constraints allow the machine. */
 gboolean ft_machine_allowed (const FtMachine *machine, const FtJobSpec *spec);
 
-/* How many tasks of this kind the machine has room for. */
+/* Returns how many tasks of the job the machine has room for. */
 guint ft_machine_room (const FtMachine *machine, const FtJobSpec *spec);
 
-/* A request that concerns the machine is in flight: its answer will name it. */
+/* Whether a request to or about the machine is in flight: its answer will name the machine. */
 gboolean ft_machine_has_request_in_flight (const FtMachine *machine);
 
-/* Nothing is, or may still come to be, on the machine, and no result there is needed. */
+/* Whether the machine is idle: no attempt runs or may still start there, and none has a result that is not committed
+ * yet. */
 gboolean ft_machine_idle (const FtMachine *machine);
 
-/* The attempt of that identity on the machine; NULL: none. */
+/* Returns the machine's attempt `id` at task `index` of the job `ref`; borrowed. NULL: there is none. */
 FtAttempt *ft_machine_attempt (const FtMachine *machine, const char *ref, guint index, guint64 id);
 
 /* ---- reachability ---- */
 
-/* Its heartbeats arrive, but neither answers nor commands seem to reach it. */
+/* Whether the machine's heartbeats arrive, but neither answers nor commands seem to reach it. */
 gboolean ft_machine_not_receiving (const FtMachine *machine);
 
-/* Commands reach it, but its heartbeats reach no controller: what is started there ends with its worker
- * lease. Judged by its own heartbeats alone, over the time in which this leader could have answered them. */
+/* Whether the machine answers commands, but its heartbeats reach no controller, so that tasks started there end when
+ * its worker lease runs out. Only heartbeats are considered, and only the time in which this leader could have answered
+ * them. */
 gboolean ft_machine_not_reporting (const FtMachine *machine);
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -2,9 +2,9 @@
 
 #include "core/fault.h"
 
-/* Machines whose heartbeats arrive, and machines whose heartbeats should arrive and do not. */
 typedef struct {
-  guint reporting, lost;
+  guint reporting; /* machines that are up, receive our answers and send heartbeats */
+  guint lost;      /* machines that should be reporting and are not */
 } ReportingCount;
 
 static ReportingCount
@@ -40,7 +40,8 @@
   return FALSE;
 }
 
-/* The age of the oldest cancellation of which tasks may run unseen; 0: none. */
+/* Returns the age in microseconds of the oldest cancellation of a job whose tasks may still run on machines that are
+ * not reconciled; 0: there is none. */
 static gint64
 unseen_cancellation_age (const FtMachineEviction *eviction)
 {
@@ -58,9 +59,9 @@
   return age;
 }
 
-/* A cancellation as old as that leaves no time to wait for the machine. */
+/* Whether a cancellation of this age (microseconds) leaves no time to wait until the machine can be reached. */
 static gboolean
-is_pressing (const FtCoreContext *context, gint64 age)
+is_cancellation_urgent (const FtCoreContext *context, gint64 age)
 {
   return age > (gint64) (FT_CANCELLED_SCALE_IN_SHARE * context->settings->cancel_s * FT_SECOND);
 }
@@ -71,30 +72,31 @@
   return context->cloud_answered_at > 0 && context->now - context->cloud_answered_at < ft_seconds (FT_CLOUD_SEEN_S);
 }
 
-/* Any task may have been cancelled since the store last answered, and one on a machine that hangs outlives its
- * worker lease. A leader that is itself cut off gets few heartbeats and no cloud answers; it must not return, late,
- * machines that its successor uses. */
+/* Whether the store has been unreachable for so long that any task may have been cancelled without this leader's
+ * knowledge. A cancelled task on a hung machine outlives its worker lease, so lost machines must then be returned. A
+ * leader that is itself cut off must not do this late, since its successor may use these machines. A leader counts as
+ * cut off if few machines report and the cloud does not answer. */
 static gboolean
 is_store_unreachable (const FtCoreContext *context, ReportingCount count)
 {
-  return is_pressing (context, context->now - context->cancellations_known_until)
+  return is_cancellation_urgent (context, context->now - context->cancellations_known_until)
          && (FT_STORE_UNREACHABLE_REPORTING_RATIO * count.lost <= count.reporting || cloud_answers (context));
 }
 
-/* What an unreconciled machine holds is unknown, and without the store so is what was cancelled. Were that alone a
- * reason to return a machine, each cancellation would empty a zone that is cut off: hence only after
- * FT_CANCELLED_SCALE_IN_SHARE of cancel_s. */
+/* The tasks on an unreconciled machine are unknown, and without the store the cancellations are unknown too. This
+ * alone is no reason to return a machine, since each cancellation would then empty a zone that is cut off. Such
+ * machines are therefore returned only after FT_CANCELLED_SCALE_IN_SHARE of cancel_s. */
 gboolean
 ft_machine_eviction_may_hold_cancelled (const FtMachineEviction *eviction, const FtMachine *machine)
 {
   return holds_cancelled (machine)
-         || (!machine->reconciled && is_pressing (eviction->context, eviction->unseen_cancellation_us))
+         || (!machine->reconciled && is_cancellation_urgent (eviction->context, eviction->unseen_cancellation_us))
          || (eviction->store_unreachable && !ft_machine_idle (machine));
 }
 
 /* ---- lost machines ---- */
 
-/* The store has answered since a machine of the zone last reported: the zone is cut off, not this leader. */
+/* Whether the zone is cut off and not this leader: the store has answered since a machine of the zone last reported. */
 static gboolean
 zone_alone_lost (const FtCoreContext *context, const FtZone *zone)
 {
@@ -102,7 +104,8 @@
   return context->cancellations_known_until > silent_since + ft_seconds (FT_ZONE_STORE_SEEN_S);
 }
 
-/* TRUE if one more machine may be terminated for silence in the present window. */
+/* Whether one more machine may be terminated for silence in the current window. Starts a new window if the current one
+ * has ended. */
 static gboolean
 window_allows (FtMachineEviction *eviction, ReportingCount count)
 {
@@ -115,11 +118,12 @@
   return eviction->window_terminated < most;
 }
 
-/* A controller that is itself cut off must not return a healthy fleet: silence counts against a machine only while
- * the store answers and most other machines report, and only a few machines are returned within a window, unless
- * all of their zone is unreachable. Machines that do not receive our answers count like silent ones. */
+/* Whether a lost machine may be terminated. A controller that is itself cut off must not return a healthy fleet.
+ * Silence therefore counts against a machine only while the store answers, and only while most other machines report or
+ * the machine has been silent for long. Only a few machines are returned within a window, unless their whole zone is
+ * unreachable. Machines that do not receive our answers count as silent here. */
 static gboolean
-may_give_up (FtMachineEviction *eviction, const FtMachine *machine, ReportingCount count)
+may_terminate_lost (FtMachineEviction *eviction, const FtMachine *machine, ReportingCount count)
 {
   const FtCoreContext *context = eviction->context;
   gboolean window_open = window_allows (eviction, count);
@@ -138,13 +142,14 @@
 not_receiving_long (const FtMachine *machine)
 {
   const FtCoreContext *context = machine->context;
-  /* A controller that was late itself has answered too late: that does not count against the machine. */
+  /* The time in which this controller itself was late does not count against the machine. */
   return machine->state == FT_MACHINE_UP && ft_machine_not_receiving (machine)
          && context->now - MAX (machine->reachability.not_receiving_since, context->on_time_since)
                 > ft_seconds (FT_NOT_RECEIVING_SCALE_IN_S);
 }
 
-/* Its worker lease has expired, and so will the next. */
+/* Whether the machine has sent no heartbeat for so long that its worker lease has expired. A new incarnation would
+ * expire as well. */
 static gboolean
 not_reporting_long (const FtMachine *machine)
 {
@@ -154,9 +159,9 @@
                 > ft_reachability_lease_us (context);
 }
 
-/* Why a machine counts as lost and may be returned, for the log; NULL: it does not. */
+/* Returns the reason why the machine counts as lost, as a text for the log; NULL: the machine is not lost. */
 static const char *
-why_lost (const FtMachine *machine)
+reason_lost (const FtMachine *machine)
 {
   if (machine->state == FT_MACHINE_SILENT)
     return "silent";
@@ -183,9 +188,11 @@
   return machine->state == FT_MACHINE_BOOTING && machine->context->now - machine->launched_at > limit;
 }
 
-/* Seconds since the oldest cancelled start on the machine that got no answer; `others`: there is other work. */
+/* Returns the age in seconds of the oldest attempt on the machine whose direct start got no answer and which has been
+ * cancelled; 0: there is none. Sets `*others` to whether another attempt on the machine has not exited, or has a
+ * result that is not committed. */
 static double
-doubt_age_s (const FtMachine *machine, gboolean *others)
+unanswered_start_age_s (const FtMachine *machine, gboolean *others)
 {
   double age_s = 0;
   GHashTableIter it;
@@ -194,9 +201,9 @@
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *attempt = value;
-    gboolean doubt = attempt->state == FT_ATTEMPT_PLACED && attempt->direct_start == FT_DIRECT_START_UNANSWERED
-                     && ft_attempt_stop_wanted (attempt);
-    if (doubt)
+    gboolean in_doubt = attempt->state == FT_ATTEMPT_PLACED && attempt->direct_start == FT_DIRECT_START_UNANSWERED
+                        && ft_attempt_stop_wanted (attempt);
+    if (in_doubt)
       age_s = MAX (age_s, (double) (machine->context->now - attempt->placed_at) / FT_SECOND);
     else
       *others |= !ft_attempt_has_exited (attempt) || attempt->bound;
@@ -204,22 +211,23 @@
   return age_s;
 }
 
-/* A cancelled task whose direct start got no answer may still start, late, as
- * long as the machine's incarnation lasts: such a machine is quarantined, emptied and returned. */
+/* Whether to return the machine because a cancelled start may still be executed on it. A direct start that got no
+ * answer may be executed late, as long as the machine's incarnation lasts. The machine is quarantined first, and
+ * returned when it has no other work or the start has been in doubt for too long. */
 static gboolean
-start_in_doubt (FtMachine *machine)
+must_return_for_doubt (FtMachine *machine)
 {
   gboolean others;
   if (!machine->fitness.start_in_doubt)
-    return FALSE; /* nearly all: their attempts need no look */
-  double age_s = doubt_age_s (machine, &others);
+    return FALSE; /* nearly all machines: their attempts need no check */
+  double age_s = unanswered_start_age_s (machine, &others);
   if (age_s <= FT_DOUBT_S)
     return FALSE;
   machine->fitness.quarantined = TRUE;
   return !others || age_s > FT_DOUBT_MAX * machine->context->settings->cancel_s;
 }
 
-/* What was started before it became faulty may complete first. */
+/* Whether the machine is faulty and idle. Tasks that were started before the machine became faulty may complete. */
 static gboolean
 faulty_and_idle (const FtMachine *machine)
 {
@@ -229,17 +237,17 @@
 static void
 check_machine (FtMachineEviction *eviction, FtMachine *machine, ReportingCount count)
 {
-  const char *lost_why = why_lost (machine);
+  const char *lost_reason = reason_lost (machine);
   if (taken_by_cloud (machine)) {
     ft_machine_terminate (machine, "taken by the cloud");
-  } else if (lost_why != NULL
+  } else if (lost_reason != NULL
              && (ft_machine_eviction_may_hold_cancelled (eviction, machine)
-                 || may_give_up (eviction, machine, count))) {
+                 || may_terminate_lost (eviction, machine, count))) {
     eviction->window_terminated += !machine->zone_view->unreachable;
-    ft_machine_terminate (machine, lost_why);
+    ft_machine_terminate (machine, lost_reason);
   } else if (boot_failed (machine)) {
-    ft_machine_terminate (machine, "did not come up");
-  } else if (start_in_doubt (machine)) {
+    ft_machine_terminate (machine, "did not boot in time");
+  } else if (must_return_for_doubt (machine)) {
     ft_machine_terminate (machine, "a cancelled start may still be executed");
   } else if (faulty_and_idle (machine)) {
     ft_machine_terminate (machine, "faulty");
--- a/src/core/machine_eviction.h
+++ b/src/core/machine_eviction.h
@@ -1,9 +1,10 @@
-/* Eviction: terminates machines that are of no use any more or endanger a promise.
+/* Eviction: terminates machines that are lost, unusable, or may run cancelled work.
  *
- * That is a machine that is silent, does not receive our answers, or reports to no controller; one that the cloud has
- * taken back; one that did not come up; one on which a cancelled start may still be executed; and one that is
- * faulty. A leader that is itself cut off must not return a healthy fleet: what is terminated for silence
- * is bounded by a share within a window, unless it may hold work that a user has cancelled.
+ * The reasons are: the machine is silent, does not receive our answers, or reports to no controller; the cloud has
+ * taken it back; it did not boot in time; a cancelled start may still be executed on it; or it is faulty. A leader that
+ * is itself cut off must not return a healthy fleet. The number of machines that are terminated for silence within a
+ * window is therefore bounded by a share of the fleet. The bound does not apply to machines that may hold cancelled
+ * work.
  *
  * Called by the autoscaler on each tick, also without a valid lease. The calls to the cloud are made by cloud_calls.h.
  */
@@ -14,19 +15,20 @@
 #include "core/recovery.h"
 
 typedef struct {
-  FtCoreContext *context; /* borrowed, as all up to the blank line */
+  FtCoreContext *context; /* borrowed, like the other fields up to the blank line */
   FtMachineTable *machine_table;
   const FtJobTable *job_table;
   const FtRecovery *recovery;
 
-  gint64 window_started_at;      /* when the window began in which terminations for silence are bounded */
-  guint window_terminated;       /* machines terminated for silence within it */
-  gint64 unseen_cancellation_us; /* age of the oldest cancellation of which tasks may run unseen; 0: none */
-  gboolean store_unreachable;    /* the store has not shown cancellations for so long that silent machines must go */
+  gint64 window_started_at;      /* start of the window that bounds terminations for silence, in microseconds */
+  guint window_terminated;       /* machines terminated for silence within the window */
+  gint64 unseen_cancellation_us; /* age of the oldest cancelled job with tasks in FT_TASK_UNKNOWN; 0: none */
+  gboolean store_unreachable;    /* cancellations could not be read from the store for too long */
 } FtMachineEviction;
 
-/* Terminates what is to be terminated now. */
+/* Terminates each machine that has a reason to be terminated now. */
 void ft_machine_eviction_tick (FtMachineEviction *eviction);
 
-/* The machine may hold tasks that a user has cancelled: these must be gone in time, on a silent machine too. */
+/* Whether the machine may hold tasks that a user has cancelled. Cancelled tasks must end within cancel_s, on a silent
+ * machine too. */
 gboolean ft_machine_eviction_may_hold_cancelled (const FtMachineEviction *eviction, const FtMachine *machine);
--- a/src/core/machine_table.h
+++ b/src/core/machine_table.h
@@ -1,7 +1,7 @@
-/* The machines that the leader knows, their zones, and the names that are gone or drained.
+/* The table of the leader's machines and their zones, and of the names of machines that are gone or drained.
  *
- * Owns the machines and the zones. A name that is gone is kept as long as the leadership: a heartbeat or a
- * list that comes late must not bring the machine back. */
+ * The table owns the machines and the zones. It keeps the name of a machine that is gone until the leadership ends, so
+ * that a late heartbeat or an outdated list does not add the machine again. */
 #pragma once
 #include "core/machine.h"
 #include "core/zone.h"
@@ -11,40 +11,42 @@
   FtMachineQueues *queues; /* borrowed */
   GHashTable *machines;    /* name -> FtMachine, owned */
   GHashTable *zones;       /* name -> FtZone, owned */
-  GHashTable *gone;        /* names returned or failed */
-  GHashTable *drained;     /* names drained by operators */
+  GHashTable *gone;        /* names of machines that have been returned or have failed */
+  GHashTable *drained;     /* names of machines that operators have drained */
 } FtMachineTable;
 
-/* An empty table. */
+/* Initializes the table as empty. `context` and `queues` are borrowed and must outlive it. */
 void ft_machine_table_init (FtMachineTable *table, FtCoreContext *context, FtMachineQueues *queues);
 
-/* Frees the machines and the zones. Attempts leave their jobs, which must still exist. */
+/* Frees the machines, with their attempts, and the zones. The jobs of the attempts must still exist, since each attempt
+ * is removed from its job. */
 void ft_machine_table_clear (FtMachineTable *table);
 
-/* Makes a machine of a name that is not known; borrowed. `addr` may be NULL. */
+/* Adds a machine of a name that the table does not have; borrowed. `addr` may be NULL. */
 FtMachine *ft_machine_table_add (FtMachineTable *table, const char *name, const char *addr, const char *type,
                                  const char *zone, gboolean spot);
 
-/* The machine of that name; borrowed, NULL: not known. */
+/* Returns the machine of that name; borrowed. NULL: the table has none. */
 FtMachine *ft_machine_table_find (const FtMachineTable *table, const char *name);
 
-/* The name was a machine's that has been returned or has failed. */
+/* Whether a machine of that name has been returned or has failed. */
 gboolean ft_machine_table_is_gone (const FtMachineTable *table, const char *name);
 
-/* The machine has been returned or has failed: all on it is over. It stays in the table while a request
- * that concerns it is in flight. */
+/* Marks the machine as returned or failed and ends all attempts on it. `reason` is logged. The machine stays in the
+ * table while a request to or about it is in flight. */
 void ft_machine_table_set_gone (FtMachineTable *table, FtMachine *machine, const char *reason);
 
-/* By an operator. Remembered by name, also for a machine that is not known. */
+/* Drains the machine of that name for an operator, or ends its drain. The name is kept even if the table has no such
+ * machine yet. */
 void ft_machine_table_set_drained (FtMachineTable *table, const char *name, gboolean drained);
 
-/* All machines are of the types of the context's catalog, which is new. */
+/* Looks up the types of all machines again, since the context has a new catalog. */
 void ft_machine_table_catalog_changed (FtMachineTable *table);
 
 typedef gboolean (*FtMachinePredicate) (const FtMachine *machine);
 
-/* For how many machines of the table the predicate is TRUE. */
+/* Returns the number of machines for which the predicate is TRUE. */
 guint ft_machine_table_count (const FtMachineTable *table, FtMachinePredicate predicate);
 
-/* Machines that should be sending heartbeats. */
+/* Returns the number of machines that should be sending heartbeats, see ft_machine_should_report(). */
 guint ft_machine_table_should_report_count (const FtMachineTable *table);
--- a/src/core/machine_watch.c
+++ b/src/core/machine_watch.c
@@ -4,16 +4,16 @@
 #include "core/probes.h"
 #include "core/zone.h"
 
-/* A worker that runs has dropped its tasks by now, but one that hangs has
- * not: what was on the machine is over only when a heartbeat of a later incarnation
- * comes or the machine is gone. The expired incarnation is not used again. */
+/* Expires the machine's incarnation when its worker lease has run out; no command is sent to an expired incarnation.
+ * The attempts are not ended here: a running worker has stopped its tasks by now, but a hung worker has not. The
+ * attempts end when a heartbeat of a later incarnation arrives or the machine is gone. */
 static void
 check_lease (FtMachine *machine)
 {
   if (machine->incarnation <= machine->expired_incarnation
       || !ft_reachability_lease_over (&machine->reachability, machine->context))
     return;
-  g_message ("machine %s: incarnation %" G_GUINT64_FORMAT " expired (its worker lease is over)", machine->name,
+  g_message ("machine %s: incarnation %" G_GUINT64_FORMAT " expired (its worker lease has run out)", machine->name,
              machine->incarnation);
   machine->expired_incarnation = machine->incarnation;
 }
@@ -31,7 +31,7 @@
 ft_machine_check_timeouts (FtMachine *machine)
 {
   if (machine->state == FT_MACHINE_GONE)
-    return; /* nothing is sent to it either */
+    return; /* a machine that is gone gets no requests */
   check_lease (machine);
   check_silence (machine);
   if (ft_direct_commands_wanted (machine))
--- a/src/core/machine_watch.h
+++ b/src/core/machine_watch.h
@@ -1,7 +1,8 @@
-/* What becomes of a machine with time alone, without any event: its worker's lease runs out, it falls silent, and what
- * could not be sent when it came up is sent. */
+/* Time-driven changes of a machine: its worker lease expires, or it becomes silent. This module also queues the machine
+ * for commands that could not be sent earlier, and for probes that are due. */
 #pragma once
 #include "core/machine.h"
 
-/* Called by the scheduler for each machine on each tick, after the zones have been updated. */
+/* Checks the machine's worker lease and its silence, and queues it for the requests that it needs. Called by the
+ * scheduler for each machine on each tick, after ft_zones_update(). */
 void ft_machine_check_timeouts (FtMachine *machine);
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -34,7 +34,7 @@
   if (zone->unreachable == unreachable)
     return;
   zone->unreachable = unreachable;
-  g_message ("zone %s: %s", zone->name, unreachable ? "unreachable, no machine of it is heard" : "reachable again");
+  g_message ("zone %s: %s", zone->name, unreachable ? "unreachable (no machine in it reports)" : "reachable again");
 }
 
 void
@@ -59,9 +59,10 @@
   }
 }
 
-/* Whether a member must have reported by now, had it been able to. */
+/* Whether at least one of the zone's members would have reported by now if the zone were reachable. The zone must have
+ * enough members, and time in which this leader was late or answered no heartbeats does not count. */
 static gboolean
-quiet (const FtCoreContext *context, const FtZone *zone)
+all_members_overdue (const FtCoreContext *context, const FtZone *zone)
 {
   gint64 since = MAX (zone->last_report_at, MAX (context->on_time_since, context->answering_since));
   return zone->members >= FT_ZONE_MEMBERS
@@ -69,7 +70,7 @@
 }
 
 static gboolean
-heard_of_late (const FtCoreContext *context, const FtZone *zone)
+reported_recently (const FtCoreContext *context, const FtZone *zone)
 {
   return zone->members > 0 && zone->last_report_at > 0
          && context->now - zone->last_report_at <= ft_reachability_overdue_us (context);
@@ -80,17 +81,17 @@
 {
   GHashTableIter it;
   gpointer value;
-  gboolean any_heard = FALSE;
+  gboolean any_reported = FALSE;
   count_members (zones, machines);
   g_hash_table_iter_init (&it, zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    any_heard |= heard_of_late (context, value);
-  /* A leader to which no machine reports is itself cut off, and can judge no zone. */
-  if (!any_heard)
+    any_reported |= reported_recently (context, value);
+  /* A leader to which no machine reports is itself cut off and cannot tell whether a zone is reachable. */
+  if (!any_reported)
     return;
   g_hash_table_iter_init (&it, zones);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    if (quiet (context, value))
+    if (all_members_overdue (context, value))
       set_unreachable (value, TRUE);
 }
 
