--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -10,8 +10,8 @@
          && machine->reconciled && machine->incarnation > machine->expired_incarnation;
 }
 
-/* A start that went out with an answer to a heartbeat, or directly without an answer, is not sent a second time: either
- * copy may still be executed. */
+/* Whether a start of the attempt may be sent in a direct request. A start that was sent in the answer to a heartbeat,
+ * or in a direct request that got no answer, is not sent directly again, since the first copy may still be executed. */
 static gboolean
 may_start_directly (const FtAttempt *attempt)
 {
@@ -78,7 +78,7 @@
     ft_attempt_direct_start_unanswered (attempt);
   else
     ft_attempt_direct_start_answered (attempt);
-  /* All of it was refused: this copy was not executed and never will be. */
+  /* The worker has refused all commands of the request, so this start will never be executed. */
   if (result == FT_DIRECT_CONFLICT && attempt->state == FT_ATTEMPT_PLACED && ft_attempt_stop_wanted (attempt)
       && attempt->sent_sequence == 0)
     ft_attempt_end (attempt);
--- a/src/core/direct_commands.h
+++ b/src/core/direct_commands.h
@@ -1,16 +1,18 @@
-/* Direct commands: requests that bring a machine its starts and stops without waiting for its next heartbeat.
+/* Direct commands: starts and stops that are sent to a machine without waiting for its next heartbeat.
  *
- * Machines that may want one are in the queue of directs. A machine has at most one request in flight. A start that
- * got no answer may still be executed, late, as long as the machine's incarnation lasts; its attempt remembers that. */
+ * Machines that may need a direct request are in FtMachineQueues.directs. A machine has at most one request in flight.
+ * A start that got no answer may still be executed late, as long as the machine's incarnation lasts. The attempt
+ * records this in `direct_start`. */
 #pragma once
 #include "core/direct_command.h"
 #include "core/machine.h"
 
-/* The next request with commands, of the machines in the queue: new; NULL: none. */
+/* Returns the next request with commands for a machine in the queue; new. NULL: no machine in the queue needs one. */
 FtDirectRequest *ft_direct_commands_next (FtMachineQueues *queues);
 
-/* The machine has something to be sent that no event queues it for: a command that could not be sent when it arose. */
+/* Whether the machine needs a command that may not have been sent when it was decided on. Checked on each tick, since
+ * no event queues the machine for it. */
 gboolean ft_direct_commands_wanted (const FtMachine *machine);
 
-/* A request to the machine has its result: records what became of the starts that it carried. */
+/* Records the result of a request to the machine in the attempts whose starts it carried. */
 void ft_direct_commands_settle (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result);
--- a/src/core/heartbeat_answer.c
+++ b/src/core/heartbeat_answer.c
@@ -2,10 +2,10 @@
 
 #include "core/worker_commands.h"
 
-/* Notes that the heartbeat is answered. FALSE: the answer carries no commands, since the heartbeat is not the
- * newest, or its worker does not know our token yet, or its incarnation is over. */
+/* Records that the heartbeat is being answered. Returns FALSE if the answer may carry no commands: the heartbeat is not
+ * the newest, or its worker has not seen our token yet, or its incarnation has expired or ended. */
 static gboolean
-note_answer (FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
+record_answer (FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
 {
   const FtCoreContext *context = machine->context;
   FtReachability *reachability = &machine->reachability;
@@ -52,11 +52,11 @@
 {
   GArray *commands = ft_commands_new ();
   FtMachine *machine = ft_machine_table_find (table, heartbeat->machine);
-  if (machine == NULL || !note_answer (machine, heartbeat))
+  if (machine == NULL || !record_answer (machine, heartbeat))
     return commands;
-  /* What the heartbeat has freed is filled by this very answer. */
+  /* The room that the heartbeat has freed is filled with starts in this same answer. */
   ft_placement_fill (placement, machine);
-  /* What is stopped or forgotten makes room for what starts. */
+  /* Stops and forgets come first, since they make room for the starts. */
   add_stops_and_forgets (commands, machine);
   add_starts (commands, machine, heartbeat->sequence);
   return commands;
--- a/src/core/heartbeat_answer.h
+++ b/src/core/heartbeat_answer.h
@@ -1,10 +1,11 @@
-/* The commands in the answer to a worker heartbeat. They are executed before the next heartbeat or never.
+/* The commands in the answer to a worker heartbeat. The worker executes them before it sends its next heartbeat, or
+ * never.
  *
- * Called by the scheduler once the heartbeat has been taken in. */
+ * Called by the scheduler once the heartbeat has been applied. */
 #pragma once
 #include "core/machine_table.h"
 #include "core/placement.h"
 
-/* The commands for that heartbeat's answer: a new array of FtCommand, empty for a heartbeat that is not its machine's
- * newest. What the heartbeat has freed is filled first. */
+/* Returns the commands for the answer to the heartbeat: a new array of FtCommand. It is empty if the heartbeat is not
+ * the newest of its machine. Room on the machine that the heartbeat has shown to be free is filled first. */
 GArray *ft_heartbeat_answer (FtMachineTable *table, FtPlacement *placement, const FtWorkerHeartbeat *heartbeat);
--- a/src/core/interruption_notice.c
+++ b/src/core/interruption_notice.c
@@ -3,6 +3,8 @@
 #include "core/attempt_lifecycle.h"
 #include "core/job.h"
 
+/* Stops the attempt if it can save its progress, or if it will have run for only a small share of its estimate when the
+ * machine is taken back. */
 static void
 stop_if_useful (FtAttempt *attempt, double notice_s)
 {
@@ -24,7 +26,7 @@
   machine->notice_until = machine->context->now + ft_seconds (notice_s);
   if (!first)
     return;
-  g_message ("machine %s: interruption notice, taken by the cloud in %.1f s", machine->name, notice_s);
+  g_message ("machine %s: interruption notice (the cloud takes it back in %.1f s)", machine->name, notice_s);
   ft_spot_risk_lost (spot_risk);
   g_autoptr (GList) all = g_hash_table_get_values (machine->attempts);
   for (GList *link = all; link != NULL; link = link->next) {
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -2,9 +2,9 @@
 
 #include "core/worker_commands.h"
 
-/* Whether it is known that the machine is there, and that both ways work. */
+/* Whether it is uncertain that the machine runs and that messages pass in both directions. */
 static gboolean
-in_question (const FtMachine *machine)
+needs_probes (const FtMachine *machine)
 {
   return !machine->reconciled || ft_machine_not_receiving (machine)
          || (machine->state == FT_MACHINE_UP && ft_reachability_overdue (&machine->reachability, machine->context));
@@ -13,7 +13,7 @@
 gboolean
 ft_machine_wants_probe (const FtMachine *machine)
 {
-  return in_question (machine) && machine->context->now >= machine->reachability.probe_at && machine->addr != NULL
+  return needs_probes (machine) && machine->context->now >= machine->reachability.probe_at && machine->addr != NULL
          && !machine->requests.command_in_flight && machine->state != FT_MACHINE_GONE;
 }
 
--- a/src/core/probes.h
+++ b/src/core/probes.h
@@ -1,24 +1,25 @@
-/* Probes: requests without commands, whose answer is the worker's status.
+/* Probes: direct requests without commands. The worker answers a probe with its status.
  *
- * A machine is probed while it is not reconciled after a failover, while it seems not to receive our answers, and when
- * its heartbeat is overdue: the probe tells whether the machine or only the exchange is lost. The scheduler's tick puts
- * machines in the queue of probes; the command queue takes them out. */
+ * A machine is probed while it is not reconciled after a failover, while it seems not to receive our answers, and while
+ * its heartbeat is overdue. A probe shows whether the machine is lost or only its heartbeats or our answers are. The
+ * scheduler's tick puts machines into the queue of probes; ft_probes_next() takes them out. */
 #pragma once
 #include "core/direct_command.h"
 #include "core/machine.h"
 
 typedef struct {
-  guint in_flight; /* bounded, so that machines that do not answer keep out no others */
+  guint in_flight; /* at most FT_PROBES_MAX, so that unanswered probes do not block other requests */
 } FtProbes;
 
-/* The machine is to be probed now. */
+/* Whether a probe of the machine is needed and due now. */
 gboolean ft_machine_wants_probe (const FtMachine *machine);
 
-/* The next probe to send, of the machines in the queue: new; NULL: none. */
+/* Returns the next probe to send to a machine in the queue; new. NULL: no probe is due, or too many are in flight. */
 FtDirectRequest *ft_probes_next (FtProbes *probes, FtMachineQueues *queues);
 
-/* A request to the machine got no answer. */
+/* Records that a request to the machine got no answer. It counts only if the machine needs probes. */
 void ft_probes_unanswered (FtMachine *machine);
 
-/* The machine refused a request for its incarnation, which it has named: it is probed again at once. */
+/* Queues the machine for another probe at once, after it has refused a request and its answer has named its current
+ * incarnation. */
 void ft_probes_retry_now (FtMachine *machine);
--- a/src/core/reachability.c
+++ b/src/core/reachability.c
@@ -1,6 +1,6 @@
 #include "core/reachability.h"
 
-/* ---- what happens ---- */
+/* ---- events ---- */
 
 void
 ft_reachability_registered (FtReachability *reachability, gint64 answered_until, gint64 now)
@@ -14,7 +14,7 @@
 {
   reachability->last_status_at = reachability->last_heartbeat_at = now;
   reachability->probe_at = now + ft_seconds (FT_PROBE_FIRST_S);
-  /* It may have been answered while we read. */
+  /* A former leader may have answered the machine while this leader was reading the registry. */
   reachability->last_answer_at = MAX (reachability->last_answer_at, now);
 }
 
@@ -102,7 +102,7 @@
   reachability->probe_fails++;
 }
 
-/* ---- what follows ---- */
+/* ---- conclusions ---- */
 
 gboolean
 ft_reachability_not_receiving (const FtReachability *reachability)
@@ -135,8 +135,8 @@
          > ft_reachability_silence_us (context);
 }
 
-/* Probes alone say nothing while a heartbeat is not due: right after a failover
- * this controller is busy, and gives back no healthy fleet for its own lateness. */
+/* Unanswered probes prove nothing before the heartbeat is overdue. Right after a failover this controller is busy and
+ * may be late itself, and it must not return a healthy fleet for that. */
 gboolean
 ft_reachability_silent (const FtReachability *reachability, const FtCoreContext *context, gboolean zone_unreachable,
                         gboolean reconciled)
--- a/src/core/reachability.h
+++ b/src/core/reachability.h
@@ -1,108 +1,116 @@
-/* Whether a machine's worker and this leader reach each other, each way.
+/* Reachability of a machine: whether messages pass between its worker and this leader, in each direction.
  *
- * Three failures are distinguished. A machine is silent if nothing comes from it, neither heartbeats nor answers to
- * probes. It is not receiving if its heartbeats come but show nothing of our answers. It is not reporting if it answers
- * our commands but its own heartbeats reach no controller. The lease of a worker runs from the last answer that it may
- * have received.
+ * Three failures are distinguished. A machine is silent if neither heartbeats nor answers to probes arrive from it. It
+ * is not receiving if its heartbeats arrive but do not acknowledge our answers. It is not reporting if it answers our
+ * commands but its heartbeats reach no controller. A worker lease runs from the last answer that the worker may have
+ * received.
  *
- * Silence counts only while this leader was there to hear: see on_time_since and answering_since of the context. The
- * facts are kept per machine (FtMachine.reachability) and changed by the functions below only. Called by the heartbeats
- * and their answers, the probes, and the scheduler's tick. Times are microseconds of the steady clock. */
+ * Time counts as silence only if this leader could have received a heartbeat in it: see `on_time_since` and
+ * `answering_since` of FtCoreContext. Each machine has one such record (FtMachine.reachability), which only the
+ * functions below change. They are called by the modules of heartbeats, heartbeat answers and probes, and on the
+ * scheduler's tick. Times are in microseconds of the steady clock. */
 #pragma once
 #include "core/context.h"
 
 typedef struct {
-  /* From the machine to us. */
-  gint64 last_status_at;    /* its last heartbeat, or answer to a command of ours */
-  gint64 last_heartbeat_at; /* its last heartbeat of its own */
-  gint64 probe_at;          /* earliest next probe */
-  guint probe_fails;        /* requests without answer since its last status, while that was in question */
-  /* From us to the machine. */
-  gboolean acknowledged_token; /* it has shown our token: a status with a lower one is a late copy */
-  guint64 answered;            /* highest sequence of its incarnation that we have answered */
-  gint64 last_answer_at;       /* our last answer to a heartbeat of it, or a former leader's; 0: none */
-  guint unacknowledged;        /* newer heartbeats in a row that show nothing of our answers */
-  gint64 not_receiving_since;  /* 0: it receives our answers, for all we know */
+  /* From the machine to this leader. */
+  gint64 last_status_at;    /* arrival of the last status, in a heartbeat or in the answer to a command */
+  gint64 last_heartbeat_at; /* arrival of the last heartbeat */
+  gint64 probe_at;          /* earliest time of the next probe */
+  guint probe_fails;        /* requests without answer since the last status, see ft_probes_unanswered() */
+  /* From this leader to the machine. */
+  gboolean acknowledged_token; /* a status has shown our token; a status with a lower token is a late copy */
+  guint64 answered;            /* highest heartbeat sequence of the current incarnation that has been answered */
+  gint64 last_answer_at;       /* last answer to a heartbeat, by this leader or a former one; 0: none */
+  guint unacknowledged;        /* heartbeats in a row that do not acknowledge our answers */
+  gint64 not_receiving_since;  /* since when the machine does not receive our answers; 0: it seems to receive them */
 } FtReachability;
 
-/* ---- what happens ---- */
+/* ---- events ---- */
 
-/* The machine is in the registry. `answered_until`: a former leader may have answered it until then. */
+/* Records that the machine was read from the registry. `answered_until`: time until which a former leader may have
+ * answered its heartbeats. */
 void ft_reachability_registered (FtReachability *reachability, gint64 answered_until, gint64 now);
 
-/* The registry is read: silence counts from here. */
+/* Records that the whole registry has been read: the machine's silence counts from `now` on. */
 void ft_reachability_registry_loaded (FtReachability *reachability, gint64 now);
 
-/* The first heartbeat of a machine that was not known. */
+/* Records the first heartbeat of a machine that was not in the machine table. */
 void ft_reachability_first_heartbeat (FtReachability *reachability, gint64 now);
 
-/* A new incarnation has begun: none of its heartbeats has been answered. */
+/* Records that a new incarnation has begun, none of whose heartbeats has been answered. */
 void ft_reachability_new_incarnation (FtReachability *reachability);
 
-/* A status has come that is the machine's newest. `is_heartbeat`: not the answer to a command. */
+/* Records the arrival of the machine's newest status. `is_heartbeat`: the status came in a heartbeat, not in the answer
+ * to a command. */
 void ft_reachability_status_received (FtReachability *reachability, gboolean is_heartbeat, gint64 now);
 
-/* That status shows our token. TRUE: it is the first to do so. */
+/* Records that the machine's newest status shows our fencing token. Returns TRUE for the first such status. */
 gboolean ft_reachability_token_acknowledged (FtReachability *reachability);
 
-/* We answer the heartbeat of that sequence, of the present incarnation. */
+/* Records that the heartbeat `sequence` of the current incarnation is being answered. */
 void ft_reachability_sequence_answered (FtReachability *reachability, guint64 sequence);
 
-/* We answer a heartbeat, whatever incarnation it is of. `reconciled`: the machine is; otherwise its next heartbeat
- * shows our token soon, and a probe can wait. */
+/* Records that a heartbeat of any incarnation is being answered. `reconciled`: whether the machine is reconciled. If it
+ * is not, its next probe is postponed, since its next heartbeat will show our token soon. */
 void ft_reachability_answer_sent (FtReachability *reachability, gboolean reconciled, gint64 now);
 
-/* A heartbeat does, or does not, show what our answers brought. `missing`: something is not there; `expected`:
- * something had been sent. One lost packet looks the same, hence the count. TRUE: the machine is not receiving from now
- * on. */
+/* Records whether a heartbeat acknowledges our answers. `missing`: the heartbeat lacks our token or a task that an
+ * answer started; `expected`: an answer has carried a start that the heartbeat should show. A lost packet has the same
+ * effect once, so only FT_UNACKNOWLEDGED_MAX such heartbeats in a row count. Returns TRUE if the machine counts as not
+ * receiving from `now` on. */
 gboolean ft_reachability_update_acknowledgements (FtReachability *reachability, gboolean missing, gboolean expected,
                                                   gint64 now);
 
-/* A command has reached the machine. */
+/* Records that a command has reached the machine, which shows that it receives. */
 void ft_reachability_command_arrived (FtReachability *reachability);
 
-/* The machine is probed; the pause until the next probe grows with those in vain. */
+/* Records that a probe is being sent. The pause until the next probe doubles with each request that got no answer, up
+ * to FT_PROBE_DOUBLINGS times. */
 void ft_reachability_probe_sent (FtReachability *reachability, gint64 now);
 
-/* The machine is to be probed at once. */
+/* Makes the next probe due at `now`. */
 void ft_reachability_probe_now (FtReachability *reachability, gint64 now);
 
-/* A request got no answer, while the machine is in question. */
+/* Records that a request got no answer. Called only for machines that need probes. */
 void ft_reachability_request_unanswered (FtReachability *reachability);
 
-/* ---- what follows ---- */
+/* ---- conclusions ---- */
 
-/* Its heartbeats arrive, but neither answers nor commands seem to reach it. */
+/* Whether the machine's heartbeats arrive, but neither answers nor commands seem to reach it. */
 gboolean ft_reachability_not_receiving (const FtReachability *reachability);
 
-/* Nothing has come since then, for all we can tell. */
+/* Returns the time since which no status has arrived and this leader was not late itself. */
 gint64 ft_reachability_silent_since (const FtReachability *reachability, const FtCoreContext *context);
 
-/* The ordinary gap between two heartbeats is over, with a margin. */
+/* Whether a status is overdue: none has arrived for longer than the longest ordinary gap between two heartbeats and
+ * FT_OVERDUE_MARGIN_S. */
 gboolean ft_reachability_overdue (const FtReachability *reachability, const FtCoreContext *context);
 
-/* Since when it could have sent a heartbeat to us, and has not. */
+/* Returns the time since which no heartbeat has arrived although this leader could have received and answered one. */
 gint64 ft_reachability_no_heartbeat_since (const FtReachability *reachability, const FtCoreContext *context);
 
-/* No heartbeat of it has arrived for too long; its answers to commands do not count. */
+/* Whether no heartbeat has arrived for longer than ft_reachability_silence_us(). Answers to commands do not count. */
 gboolean ft_reachability_not_reporting (const FtReachability *reachability, const FtCoreContext *context);
 
-/* Nothing arrives from the machine. `zone_unreachable`: nothing arrives from any machine of its zone, so that no probes
- * are needed; `reconciled`: the machine is, which takes fewer probes. */
+/* Whether the machine is silent: no status arrives from it, and probes have confirmed this or the silence has lasted
+ * for ft_reachability_silence_us(). `zone_unreachable`: no machine of its zone reports, so that no probes are needed;
+ * `reconciled`: the machine is reconciled, so that fewer probes are needed. */
 gboolean ft_reachability_silent (const FtReachability *reachability, const FtCoreContext *context,
                                  gboolean zone_unreachable, gboolean reconciled);
 
-/* A status has come of late: the machine may get work. A heartbeat may be overdue by a little. */
+/* Whether the last status is recent enough for the machine to get work. A heartbeat may be overdue by up to
+ * FT_USABLE_MARGIN_S. */
 gboolean ft_reachability_recent (const FtReachability *reachability, const FtCoreContext *context);
 
-/* The worker's lease has run out: it has dropped its tasks, unless it hangs. */
+/* Whether the worker lease has run out. The worker has then stopped its tasks, unless it hangs. */
 gboolean ft_reachability_lease_over (const FtReachability *reachability, const FtCoreContext *context);
 
-/* How long a worker keeps its tasks after its last answered heartbeat, at most, in microseconds. */
+/* Returns the longest time for which a worker keeps its tasks after its last answered heartbeat, in microseconds. */
 gint64 ft_reachability_lease_us (const FtCoreContext *context);
 
-/* How long nothing comes from a machine until it counts as silent, in microseconds. */
+/* Returns the time without a status after which a machine counts as silent even without probes, in microseconds. */
 gint64 ft_reachability_silence_us (const FtCoreContext *context);
 
-/* After how long without one a machine's heartbeat is overdue, in microseconds. */
+/* Returns the time without a status after which a heartbeat is overdue, in microseconds. */
 gint64 ft_reachability_overdue_us (const FtCoreContext *context);
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -12,9 +12,9 @@
          && attempt->job->state == FT_JOB_OPEN;
 }
 
-/* A copy of a direct start may come late. While the worker knows the attempt it
- * does nothing; forgotten, it would start the task anew: beside another attempt,
- * or, if it is done, beyond the team's limit for a moment. */
+/* A copy of a direct start may arrive late. A worker that still remembers the attempt ignores the copy. A worker that
+ * has forgotten the attempt would start the task again: the task would run twice, or, if it is done, exceed the team's
+ * limit for a moment. */
 gboolean
 ft_worker_command_may_forget (const FtAttempt *attempt)
 {
--- a/src/core/worker_commands.h
+++ b/src/core/worker_commands.h
@@ -1,19 +1,21 @@
-/* The commands that attempts want their workers to get. Called by the heartbeat answers and the direct commands. */
+/* The commands that workers need for their attempts. Used by the heartbeat answers, the direct commands and the
+ * probes. */
 #pragma once
 #include "core/attempt.h"
 #include "core/direct_command.h"
 #include "core/machine.h"
 
-/* The attempt's start is to be sent: it is bound, its task lies below the stored dispatch watermark, its machine is in
- * the stored registry, and no heartbeat shows it yet. */
+/* Whether a start of the attempt is to be sent. The attempt must be bound and not stopped, its task index must be below
+ * the stored dispatch watermark, the stored registry must name its machine, and no status may show the attempt yet. */
 gboolean ft_worker_command_wants_start (const FtAttempt *attempt);
 
-/* The worker may forget the attempt: it has exited, its result is not needed, and no copy of its start can come late.
- */
+/* Whether the worker may forget the attempt: it has exited, its result is not needed, and no copy of its start can
+ * arrive late. */
 gboolean ft_worker_command_may_forget (const FtAttempt *attempt);
 
-/* Adds a command for the attempt to `commands`, of FtCommand. */
+/* Appends a command for the attempt to `commands`, an array of FtCommand. */
 void ft_worker_command_add (GArray *commands, FtCommandOp op, const FtAttempt *attempt);
 
-/* A request with these commands, which it takes, to the machine, which has one in flight from then on. */
+/* Returns a new request to the machine with these commands; takes ownership of `commands`. The machine counts as having
+ * a command in flight from then on. */
 FtDirectRequest *ft_worker_command_request_new (FtMachine *machine, GArray *commands);
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -11,20 +11,20 @@
 {
   FtMachine *machine = ft_machine_table_find (heartbeats->machine_table, heartbeat->machine);
   if (machine == NULL) {
-    /* Launched by a former leader, or by a request executed late. It is in no
-     * registry, so it has never been sent a command: it holds no task. */
+    /* The machine was launched by a former leader, or by a request that was executed late. The registry does not name
+     * it, so it has never been sent a command and holds no task. */
     machine = ft_machine_table_add (heartbeats->machine_table, heartbeat->machine, heartbeat->addr, heartbeat->type,
                                     heartbeat->zone, heartbeat->spot);
     ft_machine_set_reconciled (machine);
     ft_reachability_first_heartbeat (&machine->reachability, heartbeats->context->now);
-    g_message ("machine %s: known (by its first heartbeat)", machine->name);
+    g_message ("machine %s: added (first heartbeat)", machine->name);
   }
   ft_machine_set_addr (machine, heartbeat->addr);
   return machine;
 }
 
-/* Older than what is known of the machine, or a copy from before it knew us:
- * tokens only rise. Copies may come late by more than a lease. */
+/* Whether the status is older than the machine's newest one, or is a copy from before the worker saw our token. Copies
+ * may arrive later than a lease after they were sent. */
 static gboolean
 is_outdated (const FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
 {
@@ -48,8 +48,9 @@
 
 /* ---- reachability ---- */
 
+/* Records that a status has arrived: the machine becomes UP if it was booting or silent. */
 static void
-note_contact (FtMachine *machine, gboolean is_heartbeat)
+record_contact (FtMachine *machine, gboolean is_heartbeat)
 {
   FtCoreContext *context = machine->context;
   ft_reachability_status_received (&machine->reachability, is_heartbeat, context->now);
@@ -62,8 +63,9 @@
   context->placement_due = TRUE;
 }
 
-/* An answer has arrived if the next heartbeat shows what it brought: our token, the
- * tasks it started. A lost packet looks the same once, hence the count. */
+/* Determines whether our answers reach the machine. If an answer has arrived, the next heartbeat shows its effects: our
+ * token, and the tasks that the answer started. A single lost packet has the same effect as an answer that does not
+ * arrive, so only several heartbeats in a row count. */
 static void
 update_receiving (FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
 {
@@ -80,17 +82,17 @@
     missing |= sent && attempt->state == FT_ATTEMPT_PLACED;
   }
   if (ft_reachability_update_acknowledgements (&machine->reachability, missing, expected, context->now))
-    g_message ("machine %s: not receiving our answers (%u heartbeats show nothing of them)", machine->name,
+    g_message ("machine %s: not receiving our answers (%u heartbeats in a row acknowledge none)", machine->name,
                machine->reachability.unacknowledged);
 }
 
-/* ---- what a status says ---- */
+/* ---- contents of a status ---- */
 
-/* Only what was sent after the worker saw our token counts: before that a
- * command of the former leader may still have been executed. */
+/* Applies the task list of a status that shows our token. Earlier task lists do not count, since the worker could still
+ * execute a command of the former leader after it sent them. */
 static void
-token_acknowledged (FtWorkerHeartbeats *heartbeats, FtMachine *machine, const FtWorkerHeartbeat *heartbeat,
-                    gboolean is_heartbeat)
+apply_acknowledged_status (FtWorkerHeartbeats *heartbeats, FtMachine *machine, const FtWorkerHeartbeat *heartbeat,
+                           gboolean is_heartbeat)
 {
   FtCoreContext *context = heartbeats->context;
   if (ft_reachability_token_acknowledged (&machine->reachability))
@@ -98,7 +100,7 @@
   context->last_heard = context->now;
   if (!machine->reconciled) {
     ft_machine_set_reconciled (machine);
-    g_message ("machine %s: reconciled (its task list under our token has come)", machine->name);
+    g_message ("machine %s: reconciled (it has reported its tasks under our token)", machine->name);
   }
   ft_attempt_reports_apply (heartbeats->machine_table, heartbeats->job_table, machine, heartbeat, is_heartbeat);
 }
@@ -113,9 +115,9 @@
   if (heartbeat->incarnation > machine->incarnation)
     begin_incarnation (machine, heartbeat->incarnation);
   machine->sequence = heartbeat->sequence;
-  note_contact (machine, is_heartbeat);
+  record_contact (machine, is_heartbeat);
   if (heartbeat->token >= context->token)
-    token_acknowledged (heartbeats, machine, heartbeat, is_heartbeat);
+    apply_acknowledged_status (heartbeats, machine, heartbeat, is_heartbeat);
   if (is_heartbeat) {
     update_receiving (machine, heartbeat);
     ft_interruption_notice_apply (machine, heartbeat->notice_s, heartbeats->spot_risk);
