--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -21,19 +21,20 @@
   ft_cloud_pools_clear (&autoscaler->pools);
 }
 
-/* After a failover the fleet is known once all heartbeats have had their time; a few
- * machines that are not reconciled must not keep others from being launched. */
+/* Whether the autoscaler may judge the size of the fleet. After a failover it waits until every machine has had time to
+ * send a heartbeat. It does not wait longer for machines that are not reconciled, so that a few of them do not prevent
+ * launches. */
 static gboolean
-machines_known (const FtAutoscaler *autoscaler)
+fleet_is_known (const FtAutoscaler *autoscaler)
 {
   const FtCoreContext *context = autoscaler->context;
   double heartbeats_s = context->settings->heartbeat_s * FT_HEARTBEAT_GAP + FT_WORKER_TIMEOUT_S;
   return ft_recovery_is_done (autoscaler->recovery) || context->now - context->took_over_at > ft_seconds (heartbeats_s);
 }
 
-/* Counts the time for which spot machines have been up. */
+/* Adds the time since the last call to the machine-hours of the spot machines that are up. */
 static void
-observe_spot (FtAutoscaler *autoscaler)
+observe_spot_machines (FtAutoscaler *autoscaler)
 {
   gint64 now = autoscaler->context->now;
   guint up = 0;
@@ -55,10 +56,10 @@
 {
   const FtCoreContext *context = autoscaler->context;
   ft_machine_eviction_tick (&autoscaler->eviction);
-  if (!context->may_start || context->now < autoscaler->next_autoscale || !machines_known (autoscaler))
+  if (!context->may_start || context->now < autoscaler->next_autoscale || !fleet_is_known (autoscaler))
     return;
   autoscaler->next_autoscale = context->now + ft_seconds (FT_AUTOSCALE_EVERY_S);
-  observe_spot (autoscaler);
+  observe_spot_machines (autoscaler);
   ft_scale_out_plan (autoscaler->placement, autoscaler->machine_table, &autoscaler->pools);
   gboolean any_jobs = g_hash_table_size (autoscaler->job_table->jobs) > 0;
   ft_scale_in_idle (autoscaler->machine_table, &autoscaler->pools, any_jobs);
@@ -88,6 +89,6 @@
   FtCoreContext *context = autoscaler->context;
   context->cloud_answered_at = context->now;
   if (!ft_recovery_is_loaded (autoscaler->recovery))
-    return; /* the registry is not read: a listed machine may hold tasks */
+    return; /* the registry has not been read: a listed machine may run tasks */
   ft_cloud_inventory_apply (autoscaler->machine_table, autoscaler->recovery, list);
 }
--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -1,9 +1,9 @@
-/* Scales the fleet out and in, and makes the calls to the cloud for it.
+/* The autoscaler: scales the fleet out and in, and provides the calls to the cloud for this.
  *
- * Each step is a module of its own: what is wanted (capacity_demand.h), what there is (capacity_supply.h), launches
- * (scale_out.h), returns of idle machines (scale_in.h), terminations of machines that are lost or faulty
- * (machine_eviction.h), the cloud's list (cloud_inventory.h) and the calls (cloud_calls.h). The autoscaler runs them in
- * their order. Called by the scheduler on its ticks and for the network layer. */
+ * Each step is a module of its own: the demand (capacity_demand.h), the supply (capacity_supply.h), launches
+ * (scale_out.h), returns of idle machines (scale_in.h), terminations of lost or faulty machines (machine_eviction.h),
+ * the cloud's list of machines (cloud_inventory.h) and the calls to the cloud (cloud_calls.h). The autoscaler runs
+ * these steps in order. The scheduler calls it on its ticks and on behalf of the network layer. */
 #pragma once
 #include "core/cloud_call.h"
 #include "core/cloud_pool.h"
@@ -12,7 +12,7 @@
 #include "core/spot_risk.h"
 
 typedef struct {
-  FtCoreContext *context; /* borrowed, as all up to the blank line */
+  FtCoreContext *context; /* borrowed, like the other fields up to the blank line */
   FtMachineTable *machine_table;
   const FtJobTable *job_table;
   const FtPlacement *placement;
@@ -21,24 +21,25 @@
 
   FtCloudPools pools;
   FtMachineEviction eviction;
-  gint64 next_autoscale;
-  gint64 spot_observed_at; /* up to when `spot_risk` counts machine-hours; 0: not begun */
+  gint64 next_autoscale;   /* earliest time of the next scale-out and scale-in, in microseconds */
+  gint64 spot_observed_at; /* end of the time that `spot_risk` has counted, in microseconds; 0: none */
 } FtAutoscaler;
 
-/* The borrowed fields are set by the caller. */
+/* Initializes the fields that the autoscaler owns. The caller has set the borrowed fields. */
 void ft_autoscaler_init (FtAutoscaler *autoscaler);
 
-/* Frees what it owns. */
+/* Frees the fields that the autoscaler owns. */
 void ft_autoscaler_clear (FtAutoscaler *autoscaler);
 
-/* Plans launches and chooses the machines to return; the rows of the store have been read. */
+/* Terminates lost and faulty machines; at its interval also plans launches and terminates idle machines. The rows of
+ * the store must have been read. */
 void ft_autoscaler_tick (FtAutoscaler *autoscaler);
 
-/* The next call to the cloud that is due: new; NULL: none. */
+/* Returns the next call to the cloud that is due; new. NULL: none is due. */
 FtCloudCall *ft_autoscaler_next_call (FtAutoscaler *autoscaler);
 
-/* A call has its result. Machines that the cloud has confirmed to be returned are the caller's to set gone. */
+/* Applies the result of a call. The caller marks the machines whose return the cloud has confirmed as gone. */
 void ft_autoscaler_call_done (FtAutoscaler *autoscaler, const FtCloudCall *call, FtCloudResult result);
 
-/* The cloud's list of machines, of FtListedMachine, has been read. */
+/* Applies the cloud's list of machines, an array of FtListedMachine. */
 void ft_autoscaler_listed (FtAutoscaler *autoscaler, const GArray *list);
--- a/src/core/capacity_demand.c
+++ b/src/core/capacity_demand.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-/* Tasks of the job that a machine of the type holds. */
+/* Returns how many tasks of the job fit on an empty machine of the type. */
 static guint
 tasks_per_machine (const FtMachineType *type, const FtJobSpec *spec)
 {
@@ -14,7 +14,7 @@
   return (guint) MIN (count + FT_TASK_COUNT_ROUNDING, G_MAXUINT16);
 }
 
-/* The allowed type on which a task of the job costs least. */
+/* Returns the allowed machine type on which one task of the job costs least; NULL: no allowed type fits a task. */
 static const FtMachineType *
 cheapest_type (const FtCatalog *catalog, const FtJobSpec *spec)
 {
@@ -36,6 +36,7 @@
   return best;
 }
 
+/* Adds `more` to the demand for the same type and constraints. */
 static void
 add_demand (GArray *demands, const FtCapacityDemand *more)
 {
@@ -50,8 +51,8 @@
   g_array_append_val (demands, *more);
 }
 
-/* How many of a job's tasks one place can run after each other in time: what has
- * time until its deadline needs fewer machines. Urgent work waits for none. */
+/* Returns how many tasks of the job can run one after another in the room of one task before the deadline. The result
+ * is 1 for jobs without a deadline or an estimate, and for jobs of high priority, whose tasks must not wait. */
 static double
 tasks_in_sequence (const FtJob *job, const FtMachineType *type, gint64 now)
 {
@@ -62,7 +63,7 @@
   return 1 + MAX (0, left_s) / spec->estimate_s;
 }
 
-/* CPUs that each team's limit still allows, in the order of the teams. */
+/* Returns the CPUs that each team's limit still allows: a new array in the order of the quota's teams. */
 static double *
 quota_left (const FtQuota *quota)
 {
--- a/src/core/capacity_demand.h
+++ b/src/core/capacity_demand.h
@@ -1,22 +1,22 @@
-/* How many machines the queued tasks need, by machine type and constraints.
+/* The demand for capacity: how many machines the queued tasks need, by machine type and constraints.
  *
- * Each job counts on the allowed type on which a task of it costs least, within its team's quota. What has
- * time until its deadline needs fewer machines, since its tasks can run one after another. Called by the
- * scale-out. */
+ * Each job adds to the demand for the allowed machine type on which one of its tasks costs least, up to its team's
+ * quota. A job with time left until its deadline needs fewer machines, since its tasks can run one after another.
+ * Called by the scale-out. */
 #pragma once
 #include "core/placement.h"
 
-/* Machines wanted of a type, for jobs with the same constraints. */
+/* The demand for one machine type by jobs with the same constraints. */
 typedef struct {
   const FtMachineType *type; /* borrowed from the catalog */
-  const char *zone;          /* borrowed from a job; NULL: any */
-  gboolean spot;             /* spot machines are allowed */
-  double machines;
-  gboolean blocked; /* a job found no room at all in the last placement pass */
+  const char *zone;          /* borrowed from a job; NULL: any zone */
+  gboolean spot;             /* whether the jobs allow spot machines */
+  double machines;           /* machines that are needed, as a fraction */
+  gboolean blocked;          /* whether one of the jobs found no room in the last placement pass */
 } FtCapacityDemand;
 
-/* The demand of the open jobs, in their order of placement: a new array of FtCapacityDemand. */
+/* Returns the demand of the open jobs, in the order of their placement: a new array of FtCapacityDemand. */
 GArray *ft_capacity_demand_compute (const FtPlacement *placement);
 
-/* The machine may serve that demand. */
+/* Whether the machine can serve the demand. */
 gboolean ft_capacity_demand_served_by (const FtCapacityDemand *demand, const FtMachine *machine);
--- a/src/core/capacity_supply.c
+++ b/src/core/capacity_supply.c
@@ -1,6 +1,6 @@
 #include "core/capacity_supply.h"
 
-/* Share of the machine that is free, by its scarcest resource. */
+/* Returns the free share of the machine's scarcer resource, CPUs or memory. */
 static double
 free_share (const FtMachine *machine)
 {
@@ -12,7 +12,7 @@
 add_machine (FtCapacitySupply *supply, const FtMachine *machine)
 {
   if (machine->state == FT_MACHINE_BOOTING) {
-    /* Listed as running but no heartbeat yet: probably gone already. */
+    /* A machine that the cloud lists as running and that sends no heartbeat is probably gone already. */
     supply->booting += machine->listed_running || machine->zone_view->unreachable ? 0 : 1;
   } else if (ft_machine_usable (machine)) {
     supply->free += free_share (machine);
@@ -32,7 +32,7 @@
     if (machine->type != NULL && (demand == NULL || ft_capacity_demand_served_by (demand, machine)))
       add_machine (&supply, machine);
   }
-  /* Requests under way count as machines that will boot. */
+  /* Machines that have only been requested count as booting. */
   g_hash_table_iter_init (&it, pools->pools);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtCloudPool *pool = value;
--- a/src/core/cloud_call.h
+++ b/src/core/cloud_call.h
@@ -1,5 +1,5 @@
-/* A call to the cloud that the leader has decided on: the type alone. Made by the core (cloud_calls.h), sent by the
- * network layer, which hands it back with the result. */
+/* The type of a call to the cloud. The core creates calls (cloud_calls.h); the network layer sends them and returns
+ * them with their results. */
 #pragma once
 #include <glib.h>
 
@@ -7,10 +7,10 @@
 
 typedef struct {
   FtCloudOp op;
-  char *booking, *type, *zone; /* of a launch; the booking makes it idempotent */
+  char *booking, *type, *zone; /* of a launch, NULL for a return; the booking makes a launch idempotent */
   gboolean spot;
   guint count;      /* machines to launch */
-  GPtrArray *names; /* of the machines to return, or that were launched */
+  GPtrArray *names; /* names of the machines to return, or of the machines that the cloud has launched; owned */
 } FtCloudCall;
 
 /* Frees the call; NULL is allowed. */
@@ -18,7 +18,7 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtCloudCall, ft_cloud_call_free)
 
 typedef enum {
-  FT_CLOUD_OK,
-  FT_CLOUD_REFUSED,    /* not carried out */
-  FT_CLOUD_UNANSWERED, /* no answer: perhaps carried out */
+  FT_CLOUD_OK,         /* the cloud has carried out the call; a launch may have brought fewer machines than requested */
+  FT_CLOUD_REFUSED,    /* the cloud has not carried out the call */
+  FT_CLOUD_UNANSWERED, /* the call got no usable answer; the cloud may have carried it out */
 } FtCloudResult;
--- a/src/core/cloud_calls.c
+++ b/src/core/cloud_calls.c
@@ -22,9 +22,9 @@
   return call;
 }
 
-/* A leader that cannot reach the store returns only machines that hold cancelled tasks: these must have ended
- * within cancel_s, and a machine that hangs cannot stop them. Returning starts no task, and is idempotent: a successor
- * may return the same machines again. */
+/* Whether to return the machine now. A leader without a valid lease returns only machines that may hold cancelled
+ * tasks. Such tasks must end within cancel_s, and a hung machine cannot stop them. This is safe without the lease,
+ * since a return starts no task and is idempotent: a successor may return the same machines again. */
 static gboolean
 may_return_now (const FtMachineEviction *eviction, const FtMachine *machine)
 {
@@ -92,8 +92,8 @@
     if (ft_machine_table_find (table, name) != NULL || ft_machine_table_is_gone (table, name))
       continue;
     FtMachine *machine = ft_machine_table_add (table, name, NULL, pool->type, pool->zone, pool->spot);
-    ft_machine_set_reconciled (machine); /* it has never been sent a command */
-    g_message ("machine %s: known (launched by request %s)", name, call->booking);
+    ft_machine_set_reconciled (machine); /* the machine has never been sent a command */
+    g_message ("machine %s: added (launched by request %s)", name, call->booking);
   }
 }
 
--- a/src/core/cloud_calls.h
+++ b/src/core/cloud_calls.h
@@ -1,19 +1,22 @@
-/* The calls to the cloud that are due, and what their results mean.
+/* Creates the calls to the cloud that are due, and applies their results.
  *
- * Machines in FT_MACHINE_TERMINATING are returned first, many in a call, until the cloud confirms; then the pools'
- * launch requests are sent. Called by the autoscaler when the network layer asks for work or has a result. */
+ * Calls to return machines come first: each names many machines in FT_MACHINE_TERMINATING, and a machine is named again
+ * until the cloud confirms its return. The launch requests of the pools follow. Called by the autoscaler when the
+ * network layer can send a call or has a result. */
 #pragma once
 #include "core/cloud_call.h"
 #include "core/cloud_pool.h"
 #include "core/machine_eviction.h"
 #include "core/machine_table.h"
 
-/* The next call to make: new; NULL: none is due. */
+/* Returns the next call to send; new. NULL: none is due. */
 FtCloudCall *ft_cloud_calls_next (const FtMachineEviction *eviction, FtCloudPools *pools);
 
-/* A launch call has its result: takes the machines in. FALSE: it was not that of the request under way. */
+/* Applies the result of a launch call: adds the launched machines to the table. Returns FALSE if the call does not
+ * belong to the pool's current request. */
 gboolean ft_cloud_calls_launch_done (FtMachineTable *table, FtCloudPools *pools, const FtCloudCall *call,
                                      FtCloudResult result);
 
-/* A call to return machines has its result; it is repeated for those that the caller does not set gone. */
+/* Records that a call to return machines has been answered or has failed. Machines that the caller does not mark as
+ * gone are returned again after FT_TERMINATE_RETRY_S. */
 void ft_cloud_calls_return_done (FtMachineTable *table, const FtCloudCall *call);
--- a/src/core/cloud_inventory.h
+++ b/src/core/cloud_inventory.h
@@ -1,10 +1,11 @@
-/* The cloud's list of machines, as far as it is evidence.
+/* Applies the cloud's list of machines.
  *
- * The list lags behind and may go back: it adds machines and names those that failed; that a machine is
- * missing from it proves nothing. Called when a list has been read. */
+ * The list lags behind the cloud's actual state, and a later list may show an older state. It is therefore used only to
+ * add machines, to complete their records, and to find machines that have failed. A machine's absence from the list
+ * proves nothing. Called when a list has been read. */
 #pragma once
 #include "core/machine_table.h"
 #include "core/recovery.h"
 
-/* Takes in a list, of FtListedMachine; the registry has been read. */
+/* Applies `list`, an array of FtListedMachine. The registry must have been read. */
 void ft_cloud_inventory_apply (FtMachineTable *table, FtRecovery *recovery, const GArray *list);
--- a/src/core/cloud_pool.c
+++ b/src/core/cloud_pool.c
@@ -51,7 +51,8 @@
   return FALSE;
 }
 
-/* The one place where the state of the request changes. FALSE: a transition that requests do not have; refused. */
+/* Changes the state of the pool's request; no other function does. Returns FALSE if a request does not have this
+ * transition; the state then stays. */
 static gboolean
 set_request (FtCloudPool *pool, FtLaunchRequest to)
 {
@@ -72,7 +73,7 @@
   if (!set_request (pool, FT_LAUNCH_REQUEST_PENDING))
     return;
   pool->requested = count;
-  /* The token makes the name unique: no other leadership uses it. */
+  /* The fencing token makes the booking unique across leaderships. */
   pool->booking = g_strdup_printf ("flintrack-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, token, pools->next_booking++);
   pool->send_at = now;
   g_message ("scale out: launch request %s: %u %s in %s%s", pool->booking, count, pool->type, pool->zone,
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -2,6 +2,8 @@
 
 #include "core/capacity_supply.h"
 
+/* Whether the machine may be returned: it has been idle for long enough, and has run for the shortest time that the
+ * cloud charges. */
 static gboolean
 may_return (const FtMachine *machine)
 {
@@ -13,9 +15,10 @@
          && !machine->requests.command_in_flight;
 }
 
-/* Ordinary machines first, they cost more; among equals the longest idle. */
+/* Compares machines for sorting: ordinary machines come first, since they cost more; among equals, the machine that has
+ * been idle longest. */
 static gint
-dearest_first (gconstpointer first_element, gconstpointer second_element)
+compare_return_order (gconstpointer first_element, gconstpointer second_element)
 {
   const FtMachine *first = *(FtMachine *const *) first_element;
   const FtMachine *second = *(FtMachine *const *) second_element;
@@ -39,7 +42,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value))
     if (may_return (value))
       g_ptr_array_add (idle, value);
-  g_ptr_array_sort (idle, dearest_first);
+  g_ptr_array_sort (idle, compare_return_order);
   for (guint i = 0; i < idle->len && spare >= 1; i++, spare--)
     ft_machine_terminate (g_ptr_array_index (idle, i), "idle");
 }
--- a/src/core/scale_in.h
+++ b/src/core/scale_in.h
@@ -1,10 +1,11 @@
-/* Scale-in: returns machines that stand idle beyond the reserve.
+/* Scale-in: terminates idle machines in excess of the reserve.
  *
- * Machines that are lost, faulty or taken by the cloud are the eviction's (machine_eviction.h). Called by the
- * autoscaler at its interval, while the lease is valid. */
+ * Machines that are lost, faulty or taken back by the cloud are terminated by the eviction (machine_eviction.h). Called
+ * by the autoscaler at its interval, while the lease is valid. */
 #pragma once
 #include "core/cloud_pool.h"
 #include "core/machine_table.h"
 
-/* `any_jobs`: there are open jobs, so that one machine stands by. */
+/* Terminates machines that have been idle for long enough and exceed the reserve. `any_jobs`: whether there are open
+ * jobs, in which case FT_STANDBY_MACHINES stay idle in addition to the reserve. */
 void ft_scale_in_idle (FtMachineTable *table, const FtCloudPools *pools, gboolean any_jobs);
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -31,7 +31,7 @@
   return machine->spot && is_kept (machine);
 }
 
-/* TRUE if one more spot machine keeps within the operators' share. */
+/* Whether the share of spot machines stays within the operators' limit with one more spot machine. */
 static gboolean
 spot_allowed (const FtMachineTable *table)
 {
@@ -50,8 +50,9 @@
          && ft_zone_launch_limit (ft_zone_get (table->zones, pool->zone), now) > 0;
 }
 
-/* The cheapest pool that has not refused of late; among equals the emptiest,
- * so that a wave that takes one zone's spot machines takes few of ours. */
+/* Returns the cheapest pool for the demand in which machines may be launched now; NULL: there is none. Among pools of
+ * the same price it is the one with the fewest machines, so that few machines are lost when the cloud takes back the
+ * spot machines of one zone. */
 static FtCloudPool *
 best_pool (FtMachineTable *table, FtCloudPools *pools, const FtCapacityDemand *demand)
 {
@@ -88,11 +89,11 @@
   guint count = MIN (MIN (wanted, FT_SCALE_OUT_MAX), ft_zone_launch_limit (zone, context->now));
   ft_zone_launch_requested (zone, context->now);
   if (pool->spot && context->tuning.spot_share < 1)
-    count = 1; /* one at a time, to keep within the share */
+    count = 1; /* single launches keep the spot machines within the share */
   ft_cloud_pools_request (pools, pool, count, context->token, context->now);
 }
 
-/* TRUE if a job of this demand has found no room for longer than a machine takes to boot. */
+/* Whether a job of the demand has been waiting for room for longer than a machine takes to boot. */
 static gboolean
 blocked_long (const FtPlacement *placement, const FtCapacityDemand *demand)
 {
@@ -115,8 +116,8 @@
     FtCapacitySupply supply = ft_capacity_supply_compute (table, pools, demand);
     double reserve = ft_capacity_headroom (table->context) * supply.in_use;
     double wanted = demand->machines + reserve - supply.free - supply.booting;
-    /* A small rest waits for room to become free, unless none can: the one
-     * small job of a site without a machine must get one too. */
+    /* A demand for only a small part of a machine waits until room becomes free. A machine is launched for it only if
+     * no room can become free or a job has waited too long: a single small job must get a machine too. */
     gboolean stuck = demand->blocked && supply.booting < 1 && (supply.in_use <= 0 || blocked_long (placement, demand));
     if (wanted > FT_SCALE_OUT_FROM || stuck)
       launch (table, pools, demand, (guint) MAX (1, ceil (wanted)));
