--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -74,8 +74,8 @@
 
 /* Whether the store has been unreachable for so long that any task may have been cancelled without this leader's
  * knowledge. A cancelled task on a hung machine outlives its worker lease, so lost machines must then be returned. A
- * leader that is itself cut off must not do this late, since its successor may use these machines. A leader counts as
- * cut off if few machines report and the cloud does not answer. */
+ * leader that is itself cut off must not return machines late, since its successor may use them by then. A leader
+ * counts as cut off if few machines report and the cloud does not answer. */
 static gboolean
 is_store_unreachable (const FtCoreContext *context, ReportingCount count)
 {
@@ -142,7 +142,7 @@
 not_receiving_long (const FtMachine *machine)
 {
   const FtCoreContext *context = machine->context;
-  /* The time in which this controller itself was late does not count against the machine. */
+  /* A controller that was late has answered heartbeats too late, which does not count against the machine. */
   return machine->state == FT_MACHINE_UP && ft_machine_not_receiving (machine)
          && context->now - MAX (machine->reachability.not_receiving_since, context->on_time_since)
                 > ft_seconds (FT_NOT_RECEIVING_SCALE_IN_S);
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -2,7 +2,7 @@
 
 #include "core/worker_commands.h"
 
-/* Whether it is uncertain that the machine runs and that messages pass in both directions. */
+/* Whether it is uncertain that the machine runs, or that messages pass in both directions. */
 static gboolean
 needs_probes (const FtMachine *machine)
 {
--- a/src/core/reachability.c
+++ b/src/core/reachability.c
@@ -14,7 +14,7 @@
 {
   reachability->last_status_at = reachability->last_heartbeat_at = now;
   reachability->probe_at = now + ft_seconds (FT_PROBE_FIRST_S);
-  /* A former leader may have answered the machine while this leader was reading the registry. */
+  /* A heartbeat of the machine may have been answered while the registry was being read. */
   reachability->last_answer_at = MAX (reachability->last_answer_at, now);
 }
 
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -23,8 +23,8 @@
   return machine;
 }
 
-/* Whether the status is older than the machine's newest one, or is a copy from before the worker saw our token. Copies
- * may arrive later than a lease after they were sent. */
+/* Whether the status is older than the machine's newest one, or is a copy from before the worker saw our token. A copy
+ * may arrive more than a lease time after it was sent. */
 static gboolean
 is_outdated (const FtMachine *machine, const FtWorkerHeartbeat *heartbeat)
 {
