--- a/src/core/cloud_pool.h
+++ b/src/core/cloud_pool.h
@@ -59,6 +59,6 @@
 /* Records that the request has been answered: the pool has no request from then on. */
 void ft_cloud_pool_request_answered (FtCloudPool *pool);
 
-/* Records that the cloud has refused all or part of the request. The pool gets no launch request for FT_REFUSED_PAUSE_S
- * after `now` (microseconds). */
+/* Records that the cloud has refused all or part of the request. The pool gets no launch request for
+ * FT_LAUNCH_REFUSED_PAUSE_S after `now` (microseconds). */
 void ft_cloud_pool_refused (FtCloudPool *pool, gint64 now);
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -128,7 +128,7 @@
   const FtCoreContext *context = eviction->context;
   gboolean window_open = window_allows (eviction, count);
   gint64 long_silent = ft_seconds (FT_SILENT_MAJORITY_LEASES * context->settings->lease_s);
-  if (context->now - context->cancellations_known_until > ft_seconds (FT_GIVE_UP_STORE_SEEN_S))
+  if (context->now - context->cancellations_known_until > ft_seconds (FT_SILENT_SCALE_IN_STORE_SEEN_S))
     return FALSE;
   if (count.lost > count.reporting
       && context->now - ft_reachability_no_heartbeat_since (&machine->reachability, context) <= long_silent)
@@ -184,7 +184,7 @@
 boot_failed (const FtMachine *machine)
 {
   double boot_s = machine->type != NULL ? machine->type->boot_s : FT_BOOT_UNKNOWN_S;
-  gint64 limit = ft_seconds (boot_s * FT_BOOT_FACTOR + FT_BOOT_PLUS_S);
+  gint64 limit = ft_seconds (boot_s * FT_BOOT_TIMEOUT_FACTOR + FT_BOOT_TIMEOUT_EXTRA_S);
   return machine->state == FT_MACHINE_BOOTING && machine->context->now - machine->launched_at > limit;
 }
 
@@ -202,7 +202,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *attempt = value;
     gboolean in_doubt = attempt->state == FT_ATTEMPT_PLACED && attempt->direct_start == FT_DIRECT_START_UNANSWERED
-                        && ft_attempt_stop_wanted (attempt);
+                        && ft_attempt_stop_requested (attempt);
     if (in_doubt)
       age_s = MAX (age_s, (double) (machine->context->now - attempt->placed_at) / FT_SECOND);
     else
@@ -221,17 +221,18 @@
   if (!machine->fitness.start_in_doubt)
     return FALSE; /* nearly all machines: their attempts need no check */
   double age_s = unanswered_start_age_s (machine, &others);
-  if (age_s <= FT_DOUBT_S)
+  if (age_s <= FT_START_IN_DOUBT_QUARANTINE_S)
     return FALSE;
   machine->fitness.quarantined = TRUE;
-  return !others || age_s > FT_DOUBT_MAX * machine->context->settings->cancel_s;
+  return !others || age_s > FT_START_IN_DOUBT_SCALE_IN_SHARE * machine->context->settings->cancel_s;
 }
 
 /* Whether the machine is faulty and idle. Tasks that were started before the machine became faulty may complete. */
 static gboolean
 faulty_and_idle (const FtMachine *machine)
 {
-  return machine->fitness.quarantined && machine->reconciled && ft_fault_proven (machine) && ft_machine_idle (machine);
+  return machine->fitness.quarantined && machine->reconciled && ft_fault_is_faulty (machine)
+         && ft_machine_idle (machine);
 }
 
 static void
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -119,7 +119,7 @@
     /* A demand for only a small part of a machine waits until room becomes free. A machine is launched for it only if
      * no room can become free or a job has waited too long: a single small job must get a machine too. */
     gboolean stuck = demand->blocked && supply.booting < 1 && (supply.in_use <= 0 || blocked_long (placement, demand));
-    if (wanted > FT_SCALE_OUT_FROM || stuck)
+    if (wanted > FT_SCALE_OUT_MIN_DEMAND || stuck)
       launch (table, pools, demand, (guint) MAX (1, ceil (wanted)));
   }
 }
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -37,7 +37,7 @@
 on_job_removed (FtJob *job, gpointer data)
 {
   FtScheduler *scheduler = data;
-  ft_placement_forget (&scheduler->placement, job);
+  ft_placement_job_removed (&scheduler->placement, job);
 }
 
 FtScheduler *
@@ -99,7 +99,7 @@
 }
 
 guint
-ft_scheduler_up (const FtScheduler *scheduler)
+ft_scheduler_count_expected_machines (const FtScheduler *scheduler)
 {
   return ft_machine_table_should_report_count (&scheduler->machine_table);
 }
@@ -112,11 +112,11 @@
 {
   FtMachine *known = g_hash_table_lookup (scheduler->machine_table.machines, name);
   if (known != NULL || g_hash_table_contains (scheduler->machine_table.gone, name)) {
-    ft_registry_loaded (&scheduler->registry, row, known);
+    ft_registry_load_entry (&scheduler->registry, row, known);
     return;
   }
   FtMachine *machine = ft_machine_table_add (&scheduler->machine_table, name, addr, type, zone, spot);
-  ft_registry_loaded (&scheduler->registry, row, machine);
+  ft_registry_load_entry (&scheduler->registry, row, machine);
   /* A former leader that lost the store may have answered it until then. */
   gint64 answered_until = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
   ft_reachability_registered (&machine->reachability, answered_until, scheduler->context.now);
@@ -185,7 +185,7 @@
 }
 
 void
-ft_scheduler_late (FtScheduler *scheduler, gint64 now)
+ft_scheduler_was_late (FtScheduler *scheduler, gint64 now)
 {
   scheduler->context.on_time_since = now;
 }
@@ -197,19 +197,19 @@
 }
 
 void
-ft_scheduler_unanswering (FtScheduler *scheduler, gint64 now)
+ft_scheduler_not_answering (FtScheduler *scheduler, gint64 now)
 {
   scheduler->context.answering_since = now;
 }
 
 gint64
-ft_scheduler_last_heard (const FtScheduler *scheduler)
+ft_scheduler_last_heartbeat_at (const FtScheduler *scheduler)
 {
   return scheduler->context.last_heard;
 }
 
 guint
-ft_scheduler_looked_at (const FtScheduler *scheduler)
+ft_scheduler_examined (const FtScheduler *scheduler)
 {
-  return scheduler->context.looked_at;
+  return scheduler->context.examined_count;
 }
--- a/src/core/scheduler_jobs.c
+++ b/src/core/scheduler_jobs.c
@@ -59,7 +59,7 @@
 }
 
 FtJobProgress
-ft_scheduler_view (const FtScheduler *scheduler, const char *ref)
+ft_scheduler_job_progress (const FtScheduler *scheduler, const char *ref)
 {
   FtJobProgress view = { 0 };
   const FtJob *job = ft_job_table_find (&scheduler->job_table, ref);
@@ -67,8 +67,8 @@
     return view;
   view.known = TRUE;
   view.cancelled = job->state == FT_JOB_CANCELLING;
-  view.done = ft_job_finished (job);
-  view.running = ft_job_live (job) - job->counts[FT_TASK_STARTING];
+  view.done = ft_job_finished_tasks (job);
+  view.running = ft_job_bound_tasks (job) - job->counts[FT_TASK_STARTING];
   return view;
 }
 
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -50,7 +50,8 @@
   store->client = ft_http_client_new (FT_CONNECTIONS_PER_HOST, FT_CONNECTIONS_PER_HOST);
   store->lease_client = ft_http_client_new (LEASE_CONNECTIONS, LEASE_CONNECTIONS);
   store->watch_client = ft_http_client_new (WATCH_CONNECTIONS, WATCH_CONNECTIONS);
-  ft_budget_init (&store->requests, store->rps * FT_FOLLOWER_SHARE, store->rps * FT_FOLLOWER_SHARE, now);
+  ft_budget_init (&store->requests, store->rps * FT_FOLLOWER_REQUEST_SHARE, store->rps * FT_FOLLOWER_REQUEST_SHARE,
+                  now);
   double writes = store->write_rps * FT_FOLLOWER_WRITE_SHARE;
   ft_budget_init (&store->writes, writes, writes, now);
   for (int i = 0; i < QUEUES; i++)
@@ -87,7 +88,8 @@
 ft_store_client_set_leading (FtStoreClient *store, gboolean leading)
 {
   gint64 now = g_get_monotonic_time ();
-  ft_budget_set_rate (&store->requests, store->rps * (leading ? FT_LEADER_SHARE : FT_FOLLOWER_SHARE), now);
+  ft_budget_set_rate (&store->requests, store->rps * (leading ? FT_LEADER_REQUEST_SHARE : FT_FOLLOWER_REQUEST_SHARE),
+                      now);
   ft_budget_set_rate (&store->writes, store->write_rps * (leading ? FT_LEADER_WRITE_SHARE : FT_FOLLOWER_WRITE_SHARE),
                       now);
 }
@@ -100,7 +102,7 @@
 send_again (Request *request, gint64 now)
 {
   FtStoreClient *store = request->store;
-  ft_budget_refused (request->writes > 0 ? &store->writes : &store->requests, now);
+  ft_budget_note_throttled (request->writes > 0 ? &store->writes : &store->requests, now);
   if (request->priority == FT_STORE_PRIORITY_LEASE || request->resends >= FT_STORE_RESENDS)
     return FALSE;
   request->resends++;
@@ -275,7 +277,7 @@
 }
 
 void
-ft_store_client_follow (FtStoreClient *store, const char *prefix, guint64 since, FtStoreDone done, gpointer data)
+ft_store_client_watch (FtStoreClient *store, const char *prefix, guint64 since, FtStoreDone done, gpointer data)
 {
   Request *request = g_new0 (Request, 1);
   request->store = store;
@@ -290,7 +292,7 @@
 }
 
 gboolean
-ft_store_client_contact (const FtStoreClient *store, gint64 now)
+ft_store_client_has_contact (const FtStoreClient *store, gint64 now)
 {
   if (store->last_served == 0)
     return FALSE;
@@ -298,7 +300,7 @@
 }
 
 gint64
-ft_store_client_last_served (const FtStoreClient *store)
+ft_store_client_last_served_at (const FtStoreClient *store)
 {
   return store->last_served;
 }
@@ -317,7 +319,7 @@
 }
 
 gboolean
-ft_store_client_spare_writes (FtStoreClient *store)
+ft_store_client_has_spare_writes (FtStoreClient *store)
 {
   return store->writes_waiting == 0
          && ft_budget_has_share (&store->writes, FT_SPARE_WRITES_SHARE, g_get_monotonic_time ());
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -21,7 +21,8 @@
   if (g_strcmp0 (holder, node->config->member) == 0)
     holder = NULL;
   ft_metrics_count (node->metrics, FT_COUNT_REDIRECTS);
-  ft_http_close (request); /* the worker turns to another controller, and would keep its connection here */
+  ft_http_close_after_response (
+      request); /* the worker turns to another controller, and would keep its connection here */
   ft_http_respond (request, FT_HTTP_MISDIRECTED, ft_message_redirect (holder));
 }
 
@@ -42,7 +43,7 @@
     return;
   }
   gsize size;
-  const guint8 *body = ft_http_raw (request, &size);
+  const guint8 *body = ft_http_raw_body (request, &size);
   g_autoptr (FtWorkerHeartbeat) heartbeat = body != NULL ? ft_message_worker_heartbeat_read (body, size) : NULL;
   if (heartbeat == NULL) {
     ft_malformed_log_add (node->malformed, FT_COUNT_MALFORMED_WORKERS, "worker heartbeat");
@@ -56,10 +57,10 @@
     redirect (node, request);
     return;
   }
-  ft_scheduler_allow (scheduler, ft_lease_may_start (node->lease, now));
+  ft_scheduler_set_may_start (scheduler, ft_lease_may_start (node->lease, now));
   g_autoptr (GArray) commands = ft_scheduler_answer (scheduler, heartbeat, now);
   ft_http_respond (request, FT_HTTP_OK, ft_message_answer (ft_lease_token (node->lease), commands));
-  ft_leader_pump (node->leader, g_get_monotonic_time ());
+  ft_leader_run_actions (node->leader, g_get_monotonic_time ());
 }
 
 /* ---- the queue ---- */
@@ -70,7 +71,7 @@
   const FtNode *node = data;
   FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   if (scheduler != NULL)
-    ft_scheduler_late (scheduler, now);
+    ft_scheduler_was_late (scheduler, now);
 }
 
 const FtHeartbeatQueueHooks ft_worker_queue_hooks = {
@@ -87,5 +88,5 @@
   else if (!may_answer (node, now))
     redirect (node, request); /* without decoding it, which only the leader has to */
   else
-    ft_heartbeat_queue_take (node->heartbeat_queue, request, ft_http_server_turn (node->front), now);
+    ft_heartbeat_queue_handle (node->heartbeat_queue, request, ft_http_server_turn (node->front), now);
 }
