--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -22,7 +22,7 @@
   FtCloudPools pools;
   FtMachineEviction eviction;
   gint64 next_autoscale;   /* earliest time of the next scale-out and scale-in, in microseconds */
-  gint64 spot_observed_at; /* end of the time that `spot_risk` has counted, in microseconds; 0: none */
+  gint64 spot_observed_at; /* time up to which spot machine-hours are counted, in microseconds; 0: not started */
 } FtAutoscaler;
 
 /* Initializes the fields that the autoscaler owns. The caller has set the borrowed fields. */
--- a/src/core/capacity_demand.h
+++ b/src/core/capacity_demand.h
@@ -11,7 +11,7 @@
   const FtMachineType *type; /* borrowed from the catalog */
   const char *zone;          /* borrowed from a job; NULL: any zone */
   gboolean spot;             /* whether the jobs allow spot machines */
-  double machines;           /* machines that are needed, as a fraction */
+  double machines;           /* number of machines that are needed; may be fractional */
   gboolean blocked;          /* whether one of the jobs found no room in the last placement pass */
 } FtCapacityDemand;
 
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -72,7 +72,7 @@
 }
 
 static void
-settle_start (FtAttempt *attempt, const FtDirectRequest *direct, FtDirectResult result)
+record_start_result (FtAttempt *attempt, const FtDirectRequest *direct, FtDirectResult result)
 {
   if (result == FT_DIRECT_UNANSWERED && attempt->incarnation == direct->incarnation)
     ft_attempt_direct_start_unanswered (attempt);
@@ -91,6 +91,6 @@
     const FtCommand *command = &g_array_index (direct->commands, FtCommand, i);
     FtAttempt *attempt = ft_machine_attempt (machine, command->job, command->index, command->attempt);
     if (attempt != NULL && command->op == FT_COMMAND_START)
-      settle_start (attempt, direct, result);
+      record_start_result (attempt, direct, result);
   }
 }
