--- a/src/net/admin_settings.c
+++ b/src/net/admin_settings.c
@@ -112,7 +112,7 @@
     ft_admin_refuse (request, FT_HTTP_UNPROCESSABLE, "%s", why);
     return FALSE;
   }
-  if (!ft_store_client_contact (node->store, g_get_monotonic_time ())) {
+  if (!ft_store_client_has_contact (node->store, g_get_monotonic_time ())) {
     ft_admin_refuse (request, FT_HTTP_UNAVAILABLE, "the state service does not answer");
     return FALSE;
   }
--- a/src/net/admin_status.c
+++ b/src/net/admin_status.c
@@ -43,14 +43,14 @@
   const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   json_t *body = json_pack (
       "{s:s, s:s, s:b, s:b, s:s, s:s?, s:I, s:b, s:i, s:o}", "member", node->config->member, "version", FT_VERSION,
-      "ready", ft_node_ready (node, now), "state_service", ft_store_client_contact (node->store, now), "lease",
+      "ready", ft_node_ready (node, now), "state_service", ft_store_client_has_contact (node->store, now), "lease",
       ft_lease_state_name (ft_lease_state (node->lease)), "leader", ft_leadership_known_leader (node->leadership),
       "token", (json_int_t) (scheduler != NULL ? ft_lease_token (node->lease) : ft_peers_leader_token (node->peers)),
       "recovered", scheduler != NULL && ft_scheduler_is_loaded (scheduler), "user_connections",
       (int) ft_http_server_connections (node->front), "peers", peers_body (node, now));
   if (scheduler != NULL)
     json_object_set_new (body, "lease_age_s",
-                         json_real ((double) (now - ft_leader_led_since (node->leader)) / FT_SECOND));
+                         json_real ((double) (now - ft_leader_term_began_at (node->leader)) / FT_SECOND));
   ft_http_respond (request, FT_HTTP_OK, body);
 }
 
--- a/src/net/budget.c
+++ b/src/net/budget.c
@@ -25,7 +25,7 @@
 }
 
 void
-ft_budget_refused (FtBudget *budget, gint64 now)
+ft_budget_note_throttled (FtBudget *budget, gint64 now)
 {
   fill (budget, now);
   budget->level = MIN (budget->level, 0);
--- a/src/net/budget.h
+++ b/src/net/budget.h
@@ -71,9 +71,9 @@
 void ft_budget_take (FtBudget *budget, double amount);
 
 /**
- * ft_budget_refused:
+ * ft_budget_note_throttled:
  * @now: monotonic time
  *
  * To be called when the service has refused a request for its rate limit.
  */
-void ft_budget_refused (FtBudget *budget, gint64 now);
+void ft_budget_note_throttled (FtBudget *budget, gint64 now);
--- a/src/net/cancellation.c
+++ b/src/net/cancellation.c
@@ -18,7 +18,7 @@
   gboolean by_dependency = request->cancel_reason == FT_CANCEL_BY_DEPENDENCY;
   g_message ("job %s: cancelled%s", request->ref, by_dependency ? ", since one of its ancestors is" : "");
   ft_metrics_count (node->metrics, by_dependency ? FT_COUNT_CANCELLED_BY_DEPENDENCY : FT_COUNT_CANCELLED);
-  ft_node_job_cancelled (node, request->ref);
+  ft_node_announce_cancellation (node, request->ref);
 }
 
 static void
--- a/src/net/controller.c
+++ b/src/net/controller.c
@@ -80,7 +80,7 @@
   controller->last_tick = now;
   if (late <= (gint64) (FT_LATE_TICK_S * FT_SECOND))
     return;
-  ft_leadership_stood_still (node->leadership, now);
+  ft_leadership_note_stall (node->leadership, now);
   g_warning ("node %s: its timers were late by %.1f s", node->config->member, (double) late / FT_SECOND);
 }
 
--- a/src/net/front.c
+++ b/src/net/front.c
@@ -16,11 +16,11 @@
 gboolean
 ft_node_ready (const FtNode *node, gint64 now)
 {
-  if (ft_store_client_contact (node->store, now))
+  if (ft_store_client_has_contact (node->store, now))
     return TRUE;
-  if (ft_leadership_store_unreachable_alone (node->leadership, now))
+  if (ft_leadership_store_unreachable_only_here (node->leadership, now))
     return FALSE;
-  return ft_peers_any_heard (node->peers, now) && ft_store_client_last_served (node->store) > 0;
+  return ft_peers_any_live (node->peers, now) && ft_store_client_last_served_at (node->store) > 0;
 }
 
 static void
--- a/src/net/heartbeat_queue.c
+++ b/src/net/heartbeat_queue.c
@@ -95,7 +95,7 @@
 }
 
 void
-ft_heartbeat_queue_take (FtHeartbeatQueue *queue, FtHttpRequest *request, guint turn, gint64 now)
+ft_heartbeat_queue_handle (FtHeartbeatQueue *queue, FtHttpRequest *request, guint turn, gint64 now)
 {
   if (g_queue_is_empty (&queue->waiting) && !turn_is_full (queue, turn))
     queue->hooks->answer (request, queue->data);
@@ -121,7 +121,7 @@
 }
 
 void
-ft_heartbeat_queue_forget_overrun (FtHeartbeatQueue *queue)
+ft_heartbeat_queue_reset_overrun (FtHeartbeatQueue *queue)
 {
   queue->overrun_since = 0;
 }
--- a/src/net/heartbeat_queue.h
+++ b/src/net/heartbeat_queue.h
@@ -39,14 +39,14 @@
 void ft_heartbeat_queue_free (FtHeartbeatQueue *queue);
 
 /**
- * ft_heartbeat_queue_take:
+ * ft_heartbeat_queue_handle:
  * @request: (transfer full): a heartbeat
  * @turn: the HTTP server's turn in which it came
  * @now: monotonic time in microseconds
  *
  * Has the heartbeat answered at once, or lets it wait.
  */
-void ft_heartbeat_queue_take (FtHeartbeatQueue *queue, FtHttpRequest *request, guint turn, gint64 now);
+void ft_heartbeat_queue_handle (FtHeartbeatQueue *queue, FtHttpRequest *request, guint turn, gint64 now);
 
 /**
  * ft_heartbeat_queue_refuse_all:
@@ -64,8 +64,8 @@
 gint64 ft_heartbeat_queue_overrun_since (const FtHeartbeatQueue *queue);
 
 /**
- * ft_heartbeat_queue_forget_overrun:
+ * ft_heartbeat_queue_reset_overrun:
  *
  * Leading begins or ends: what was late before does not count.
  */
-void ft_heartbeat_queue_forget_overrun (FtHeartbeatQueue *queue);
+void ft_heartbeat_queue_reset_overrun (FtHeartbeatQueue *queue);
--- a/src/net/idempotent_request.c
+++ b/src/net/idempotent_request.c
@@ -23,7 +23,7 @@
   }
   if (ft_idempotent_request_answer_known (request))
     return FALSE;
-  if (!ft_store_client_contact (request->node->store, g_get_monotonic_time ())) {
+  if (!ft_store_client_has_contact (request->node->store, g_get_monotonic_time ())) {
     ft_user_request_answer_unavailable (request);
     return FALSE;
   }
--- a/src/net/leader.c
+++ b/src/net/leader.c
@@ -30,7 +30,7 @@
 static void
 on_progress (gpointer data)
 {
-  ft_leader_pump (data, g_get_monotonic_time ());
+  ft_leader_run_actions (data, g_get_monotonic_time ());
 }
 
 FtLeader *
@@ -119,7 +119,7 @@
 }
 
 gint64
-ft_leader_led_since (const FtLeader *leader)
+ft_leader_term_began_at (const FtLeader *leader)
 {
   return leader->term.led_since;
 }
@@ -133,7 +133,7 @@
 /* ---- work ---- */
 
 void
-ft_leader_pump (FtLeader *leader, gint64 now)
+ft_leader_run_actions (FtLeader *leader, gint64 now)
 {
   FtScheduler *scheduler = leader->term.scheduler;
   if (scheduler == NULL || !ft_scheduler_is_loaded (scheduler))
@@ -156,5 +156,5 @@
     return;
   leader->next_scheduler_tick = now + (gint64) (FT_SCHEDULER_TICK_S * FT_SECOND);
   ft_scheduler_tick (leader->term.scheduler, now, ft_lease_may_start (leader->term.node->lease, now));
-  ft_leader_pump (leader, now);
+  ft_leader_run_actions (leader, now);
 }
--- a/src/net/leader.h
+++ b/src/net/leader.h
@@ -2,7 +2,7 @@
  * key-value store, the workers and the cloud, and takes their answers back to the scheduler.
  *
  * The leadership module begins and ends terms; the controller's timer calls ft_leader_tick(), and
- * whatever gives the scheduler news calls ft_leader_pump(). The parts are in leader_*.c; each owns
+ * whatever gives the scheduler news calls ft_leader_run_actions(). The parts are in leader_*.c; each owns
  * its state and knows of the others only what it is given. */
 #pragma once
 #include "net/leader_term.h"
@@ -57,12 +57,12 @@
 FtScheduler *ft_leader_scheduler (const FtLeader *leader);
 
 /**
- * ft_leader_led_since:
+ * ft_leader_term_began_at:
  *
  * Returns: when the present term began, or the last one if this controller does not lead;
  *     monotonic, microseconds
  */
-gint64 ft_leader_led_since (const FtLeader *leader);
+gint64 ft_leader_term_began_at (const FtLeader *leader);
 
 /**
  * ft_leader_term_number:
@@ -72,14 +72,14 @@
 guint ft_leader_term_number (const FtLeader *leader);
 
 /**
- * ft_leader_pump:
+ * ft_leader_run_actions:
  * @now: monotonic time in microseconds
  *
  * Places tasks and carries out whatever the scheduler wants now: commands, commits, cloud calls.
  * Nothing while this controller does not lead or its recovery is not complete. To be called after
  * the scheduler was given news.
  */
-void ft_leader_pump (FtLeader *leader, gint64 now);
+void ft_leader_run_actions (FtLeader *leader, gint64 now);
 
 /**
  * ft_leader_tick:
--- a/src/net/leader_batches.c
+++ b/src/net/leader_batches.c
@@ -308,7 +308,7 @@
   if (batches->state != FT_BATCH_IDLE || now < batches->not_before)
     return;
   guint most_writes = batches->most_operations - 1; /* one operation is the journal row's */
-  guint spare_writes = ft_store_client_spare_writes (batches->term->node->store);
+  guint spare_writes = ft_store_client_has_spare_writes (batches->term->node->store);
   g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (batches->term->scheduler, most_writes, spare_writes, now);
   if (writes->len == 0)
     return;
--- a/src/net/leader_recovery.c
+++ b/src/net/leader_recovery.c
@@ -62,7 +62,7 @@
   ft_scheduler_loaded (term->scheduler, g_get_monotonic_time ());
   /* Only now: without the registry a cancelled task that is known of cannot be stopped, and
    * each answer to its worker would keep it alive. */
-  ft_leader_rows_reading_complete (last_page->base.owner);
+  ft_leader_rows_note_read_complete (last_page->base.owner);
   ft_metrics_time (node->metrics, FT_TIME_RECOVERY, g_get_monotonic_time () - term->led_since);
   last_page->recovered (last_page->recovered_data);
   g_message ("node %s: leader under fencing token %" G_GUINT64_FORMAT ", recovered its state from the key-value store",
@@ -76,9 +76,9 @@
   /* The pages differ in age, and an outage may lie between them: what is known is
    * known as of the first. Later changes come by the watch. */
   if (page->prefix_index == 0)
-    ft_leader_rows_set_read_at (rows, page->first_page_asked_at);
+    ft_leader_rows_set_read_started_at (rows, page->first_page_asked_at);
   if (ft_scheduler_is_loaded (page->base.term->scheduler)) {
-    ft_leader_rows_reading_complete (rows);
+    ft_leader_rows_note_read_complete (rows);
     page->recovered (page->recovered_data);
   } else if (page->prefix_index + 1 < G_N_ELEMENTS (recovery_prefixes)) {
     ask_first_page (rows, page->prefix_index + 1, page->recovered, page->recovered_data);
@@ -111,7 +111,7 @@
   if (page->prefix_index == 0 && page->after == NULL)
     note_first_page (known, body);
   for (guint i = 0; i < rows->len; i++)
-    ft_leader_rows_take (known, &g_array_index (rows, FtRow, i));
+    ft_leader_rows_apply (known, &g_array_index (rows, FtRow, i));
   if (more && rows->len > 0)
     ask_page_after (page, g_array_index (rows, FtRow, rows->len - 1).key);
   else
--- a/src/net/leader_rows.c
+++ b/src/net/leader_rows.c
@@ -42,7 +42,7 @@
 }
 
 void
-ft_leader_rows_set_read_at (FtLeaderRows *rows, gint64 at)
+ft_leader_rows_set_read_started_at (FtLeaderRows *rows, gint64 at)
 {
   rows->read_at = at;
 }
@@ -62,7 +62,7 @@
 }
 
 void
-ft_leader_rows_take_open (FtLeaderRows *rows, const FtRow *row, gboolean accepted_since)
+ft_leader_rows_apply_open (FtLeaderRows *rows, const FtRow *row, gboolean accepted_since)
 {
   g_autoptr (GError) error = NULL;
   gint64 now = g_get_monotonic_time ();
@@ -71,7 +71,7 @@
 }
 
 void
-ft_leader_rows_take (FtLeaderRows *rows, const FtRow *row)
+ft_leader_rows_apply (FtLeaderRows *rows, const FtRow *row)
 {
   g_autoptr (GError) error = NULL;
   gint64 now = g_get_monotonic_time ();
@@ -88,7 +88,7 @@
 }
 
 void
-ft_leader_rows_reading_complete (FtLeaderRows *rows)
+ft_leader_rows_note_read_complete (FtLeaderRows *rows)
 {
   ft_leader_rows_cancellations_known (rows, rows->read_at);
 }
--- a/src/net/leader_rows.h
+++ b/src/net/leader_rows.h
@@ -47,31 +47,31 @@
 void ft_leader_rows_set_known_revision (FtLeaderRows *rows, guint64 revision);
 
 /**
- * ft_leader_rows_set_read_at:
+ * ft_leader_rows_set_read_started_at:
  * @at: when the last reading of all open jobs' rows was begun; monotonic, microseconds
  */
-void ft_leader_rows_set_read_at (FtLeaderRows *rows, gint64 at);
+void ft_leader_rows_set_read_started_at (FtLeaderRows *rows, gint64 at);
 
 /**
- * ft_leader_rows_reading_complete:
+ * ft_leader_rows_note_read_complete:
  *
  * The scheduler knows every cancellation that was committed before the last reading was begun.
  */
-void ft_leader_rows_reading_complete (FtLeaderRows *rows);
+void ft_leader_rows_note_read_complete (FtLeaderRows *rows);
 
 /**
- * ft_leader_rows_take_open:
+ * ft_leader_rows_apply_open:
  * @row: a row under FT_PREFIX_OPEN; one that was deleted is ignored
  * @accepted_since: whether the job was accepted while this controller leads, so that nothing of
  *     it can have run
  */
-void ft_leader_rows_take_open (FtLeaderRows *rows, const FtRow *row, gboolean accepted_since);
+void ft_leader_rows_apply_open (FtLeaderRows *rows, const FtRow *row, gboolean accepted_since);
 
 /**
- * ft_leader_rows_take:
+ * ft_leader_rows_apply:
  * @row: a row under any prefix that a recovery reads
  */
-void ft_leader_rows_take (FtLeaderRows *rows, const FtRow *row);
+void ft_leader_rows_apply (FtLeaderRows *rows, const FtRow *row);
 
 /**
  * ft_leader_rows_cancellations_known:
--- a/src/net/leader_watch.c
+++ b/src/net/leader_watch.c
@@ -63,7 +63,7 @@
   }
   ft_leader_rows_set_known_revision (watch->rows, revision);
   for (guint i = 0; i < rows->len; i++)
-    ft_leader_rows_take_open (watch->rows, &g_array_index (rows, FtRow, i), TRUE);
+    ft_leader_rows_apply_open (watch->rows, &g_array_index (rows, FtRow, i), TRUE);
   ft_leader_rows_cancellations_known (watch->rows, request->created_at);
   return FT_LEADER_OUTCOME_PROGRESS;
 }
@@ -72,8 +72,8 @@
 send_watch_request (FtLeaderRequest *request)
 {
   const FtLeaderWatch *watch = request->owner;
-  ft_store_client_follow (request->term->node->store, FT_PREFIX_OPEN, ft_leader_rows_known_revision (watch->rows),
-                          ft_leader_request_on_store_answer, request);
+  ft_store_client_watch (request->term->node->store, FT_PREFIX_OPEN, ft_leader_rows_known_revision (watch->rows),
+                         ft_leader_request_on_store_answer, request);
 }
 
 static const FtLeaderRequestKind watch_kind = {
--- a/src/net/leadership.c
+++ b/src/net/leadership.c
@@ -60,13 +60,13 @@
 end_term (FtLeadership *leadership)
 {
   ft_leader_end (leadership->node->leader);
-  ft_heartbeat_queue_forget_overrun (leadership->node->heartbeat_queue);
+  ft_heartbeat_queue_reset_overrun (leadership->node->heartbeat_queue);
 }
 
 static void
 begin_term (FtLeadership *leadership, guint64 revision)
 {
-  ft_heartbeat_queue_forget_overrun (leadership->node->heartbeat_queue);
+  ft_heartbeat_queue_reset_overrun (leadership->node->heartbeat_queue);
   ft_leader_begin (leadership->node->leader, revision);
 }
 
@@ -204,7 +204,7 @@
   gint64 longest_gap = seconds (node->config->core.heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S);
   /* While it answers nobody the workers ask elsewhere: after an outage a leader gave up
    * the lease that it had just renewed, and nobody led for another failover. */
-  gint64 answering_since = MAX (ft_leader_led_since (node->leader), leadership->answering_since);
+  gint64 answering_since = MAX (ft_leader_term_began_at (node->leader), leadership->answering_since);
   if (now - answering_since < seconds (FT_CUT_OFF_GRACE_S))
     return FALSE;
   /* What was not received while this process stood still proves nothing. */
@@ -224,9 +224,9 @@
 {
   const FtNode *node = leadership->node;
   gint64 overrun_since = ft_heartbeat_queue_overrun_since (node->heartbeat_queue);
-  return overrun_since > 0 && ft_peers_any_served (node->peers, now - seconds (FT_PEER_FRESH_S), now)
+  return overrun_since > 0 && ft_peers_any_served_by_store (node->peers, now - seconds (FT_PEER_FRESH_S), now)
          && now - overrun_since > seconds (FT_OVERRUN_S)
-         && now - ft_leader_led_since (node->leader) > seconds (FT_OVERRUN_LED_S);
+         && now - ft_leader_term_began_at (node->leader) > seconds (FT_OVERRUN_LED_S);
 }
 
 /* Why another controller should lead, for the log line; NULL: no reason is known. */
@@ -243,11 +243,11 @@
 }
 
 gboolean
-ft_leadership_store_unreachable_alone (const FtLeadership *leadership, gint64 now)
+ft_leadership_store_unreachable_only_here (const FtLeadership *leadership, gint64 now)
 {
   const FtNode *node = leadership->node;
   gint64 lost_at = ft_store_client_failing_since (node->store) + seconds (FT_READY_MARGIN_S);
-  return !ft_store_client_contact (node->store, now) && ft_peers_any_served (node->peers, lost_at, now);
+  return !ft_store_client_has_contact (node->store, now) && ft_peers_any_served_by_store (node->peers, lost_at, now);
 }
 
 static gboolean
@@ -255,9 +255,9 @@
 {
   const FtNode *node = leadership->node;
   /* Requests that failed while this process stood still are no sign of a cut network. */
-  gint64 steady_since = MAX (ft_leader_led_since (node->leader), leadership->on_time_since);
+  gint64 steady_since = MAX (ft_leader_term_began_at (node->leader), leadership->on_time_since);
   return ft_lease_state (node->lease) == FT_LEASE_HOLDING && now > steady_since + seconds (FT_CUT_OFF_GRACE_S)
-         && ft_leadership_store_unreachable_alone (leadership, now);
+         && ft_leadership_store_unreachable_only_here (leadership, now);
 }
 
 /* The peers are told with the next heartbeat, which is sent at once, and then look at the
@@ -266,7 +266,7 @@
 tell_peers (FtLeadership *leadership, gint64 now)
 {
   leadership->gave_way_at = now;
-  ft_peers_schedule (leadership->node->peers, now);
+  ft_peers_schedule_heartbeat (leadership->node->peers, now);
 }
 
 /* The leader keeps its state, and the workers' leases alive within the answer grace period: the
@@ -294,7 +294,7 @@
 }
 
 gboolean
-ft_leadership_gave_way (const FtLeadership *leadership, gint64 now)
+ft_leadership_advertises_yield (const FtLeadership *leadership, gint64 now)
 {
   return leadership->gave_way_at > 0 && now - leadership->gave_way_at < seconds (FT_YIELD_ADVERTISED_S);
 }
@@ -328,7 +328,7 @@
   const FtNode *node = leadership->node;
   if (ft_lease_sweep_due (node->lease, now) && !leadership->sweep_in_flight)
     sweep (leadership);
-  if (ft_lease_acquire_due (node->lease, now) && ft_store_client_contact (node->store, now))
+  if (ft_lease_acquire_due (node->lease, now) && ft_store_client_has_contact (node->store, now))
     claim (leadership, now);
   else if (ft_lease_renew_due (node->lease, now) && !renewal_in_flight (leadership))
     renew (leadership, now);
@@ -350,7 +350,7 @@
 }
 
 void
-ft_leadership_stood_still (FtLeadership *leadership, gint64 now)
+ft_leadership_note_stall (FtLeadership *leadership, gint64 now)
 {
   leadership->on_time_since = now;
 }
--- a/src/net/leadership.h
+++ b/src/net/leadership.h
@@ -41,12 +41,12 @@
 void ft_leadership_tick (FtLeadership *leadership, gint64 now);
 
 /**
- * ft_leadership_stood_still:
+ * ft_leadership_note_stall:
  * @now: monotonic time
  *
  * This process did not run until @now: that it received nothing meanwhile proves nothing.
  */
-void ft_leadership_stood_still (FtLeadership *leadership, gint64 now);
+void ft_leadership_note_stall (FtLeadership *leadership, gint64 now);
 
 /**
  * ft_leadership_step_down:
@@ -57,21 +57,21 @@
 void ft_leadership_step_down (FtLeadership *leadership, const char *why);
 
 /**
- * ft_leadership_gave_way:
+ * ft_leadership_advertises_yield:
  * @now: monotonic time
  *
  * Returns: whether this controller resigned or yielded within FT_YIELD_ADVERTISED_S, and so
  *     still tells its peers
  */
-gboolean ft_leadership_gave_way (const FtLeadership *leadership, gint64 now);
+gboolean ft_leadership_advertises_yield (const FtLeadership *leadership, gint64 now);
 
 /**
- * ft_leadership_store_unreachable_alone:
+ * ft_leadership_store_unreachable_only_here:
  * @now: monotonic time
  *
  * Returns: whether the key-value store serves a peer but not this controller
  */
-gboolean ft_leadership_store_unreachable_alone (const FtLeadership *leadership, gint64 now);
+gboolean ft_leadership_store_unreachable_only_here (const FtLeadership *leadership, gint64 now);
 
 /**
  * ft_leadership_known_leader:
--- a/src/net/node_peers.c
+++ b/src/net/node_peers.c
@@ -22,11 +22,11 @@
 compose_heartbeat (FtPeerHeartbeat *heartbeat, gint64 now, gpointer data)
 {
   const FtNode *node = data;
-  gint64 served_at = ft_store_client_last_served (node->store);
+  gint64 served_at = ft_store_client_last_served_at (node->store);
   heartbeat->supports_dependencies = TRUE;
   heartbeat->served = served_at > 0;
   heartbeat->served_ms_ago = heartbeat->served ? (guint64) (now - served_at) / FT_MILLISECOND : 0;
-  heartbeat->yields = ft_leadership_gave_way (node->leadership, now);
+  heartbeat->yields = ft_leadership_advertises_yield (node->leadership, now);
   FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   if (scheduler == NULL)
     return;
@@ -50,7 +50,7 @@
   for (guint i = 0; i < refs->len; i++)
     apply_advisory_cancellation (node, g_ptr_array_index (refs, i));
   if (refs->len > 0)
-    ft_leader_pump (node->leader, g_get_monotonic_time ());
+    ft_leader_run_actions (node->leader, g_get_monotonic_time ());
 }
 
 static void
@@ -79,9 +79,9 @@
 };
 
 void
-ft_node_job_cancelled (FtNode *node, const char *ref)
+ft_node_announce_cancellation (FtNode *node, const char *ref)
 {
   ft_peers_add_cancellation (node->peers, ref);
   apply_advisory_cancellation (node, ref);
-  ft_leader_pump (node->leader, g_get_monotonic_time ());
+  ft_leader_run_actions (node->leader, g_get_monotonic_time ());
 }
--- a/src/net/node_peers.h
+++ b/src/net/node_peers.h
@@ -11,11 +11,11 @@
 extern const FtPeersHooks ft_node_peers_hooks;
 
 /**
- * ft_node_job_cancelled:
+ * ft_node_announce_cancellation:
  * @ref: a job whose cancellation a user has asked for here, and which was committed now
  *
  * Our scheduler and the peers learn of it at once. The leader would see it by its watch; one that
  * the store refuses would not, and would go on with the job's tasks until its answer grace period
  * is over.
  */
-void ft_node_job_cancelled (FtNode *node, const char *ref);
+void ft_node_announce_cancellation (FtNode *node, const char *ref);
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -75,7 +75,7 @@
   cancellation->ref = g_strdup (ref);
   cancellation->committed_at = g_get_monotonic_time ();
   g_queue_push_tail (&peers->recent_cancellations, cancellation);
-  ft_peers_schedule (peers, cancellation->committed_at);
+  ft_peers_schedule_heartbeat (peers, cancellation->committed_at);
 }
 
 /* The newest first: the oldest are left out of a full heartbeat. */
@@ -141,7 +141,7 @@
 on_refused (FtPeers *peers, Peer *peer, gint64 now)
 {
   peer->refusals_in_row++;
-  ft_peers_schedule (peers, MIN (peers->next_heartbeat_at, now + (gint64) (FT_PEER_RETRY_S * FT_SECOND)));
+  ft_peers_schedule_heartbeat (peers, MIN (peers->next_heartbeat_at, now + (gint64) (FT_PEER_RETRY_S * FT_SECOND)));
   gboolean silent = now - peer->heard_at > (gint64) (FT_PEER_EVERY_S * FT_SECOND);
   if (peer->refusals_in_row >= FT_PEER_REFUSALS && silent)
     peers->hooks->suspected (peer->address->member, another_peer_answers (peers, now), now, peers->data);
@@ -178,7 +178,7 @@
 }
 
 void
-ft_peers_schedule (FtPeers *peers, gint64 at)
+ft_peers_schedule_heartbeat (FtPeers *peers, gint64 at)
 {
   peers->next_heartbeat_at = at;
 }
@@ -188,7 +188,7 @@
 {
   if (now < peers->next_heartbeat_at)
     return;
-  ft_peers_schedule (peers, now + (gint64) (FT_PEER_EVERY_S * FT_SECOND));
+  ft_peers_schedule_heartbeat (peers, now + (gint64) (FT_PEER_EVERY_S * FT_SECOND));
   g_autoptr (FtPeerHeartbeat) heartbeat = ft_peer_heartbeat_new (peers->config->member);
   add_cancellations (peers, heartbeat, now);
   peers->hooks->compose (heartbeat, now, peers->data);
@@ -258,7 +258,7 @@
 }
 
 gboolean
-ft_peers_any_served (const FtPeers *peers, gint64 after, gint64 now)
+ft_peers_any_served_by_store (const FtPeers *peers, gint64 after, gint64 now)
 {
   for (guint i = 0; i < peers->all->len; i++)
     if (is_heard (peer_at (peers, i), now) && peer_at (peers, i)->served_at > after)
@@ -267,7 +267,7 @@
 }
 
 gboolean
-ft_peers_any_older (const FtPeers *peers, gint64 now)
+ft_peers_any_lacks_dependencies (const FtPeers *peers, gint64 now)
 {
   for (guint i = 0; i < peers->all->len; i++)
     if (is_heard (peer_at (peers, i), now) && !peer_at (peers, i)->supports_dependencies)
@@ -276,7 +276,7 @@
 }
 
 gboolean
-ft_peers_any_heard (const FtPeers *peers, gint64 now)
+ft_peers_any_live (const FtPeers *peers, gint64 now)
 {
   for (guint i = 0; i < peers->all->len; i++)
     if (is_heard (peer_at (peers, i), now))
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -66,10 +66,10 @@
 void ft_peers_tick (FtPeers *peers, gint64 now);
 
 /**
- * ft_peers_schedule:
+ * ft_peers_schedule_heartbeat:
  * @at: monotonic time from which the next heartbeats are due
  */
-void ft_peers_schedule (FtPeers *peers, gint64 at);
+void ft_peers_schedule_heartbeat (FtPeers *peers, gint64 at);
 
 /**
  * ft_peers_handle_heartbeat:
@@ -86,29 +86,29 @@
 void ft_peers_add_cancellation (FtPeers *peers, const char *ref);
 
 /**
- * ft_peers_any_served:
+ * ft_peers_any_served_by_store:
  * @after: monotonic time
  * @now: monotonic time
  *
  * Returns: whether the key-value store has answered a peer that is heard after @after
  */
-gboolean ft_peers_any_served (const FtPeers *peers, gint64 after, gint64 now);
+gboolean ft_peers_any_served_by_store (const FtPeers *peers, gint64 after, gint64 now);
 
 /**
- * ft_peers_any_older:
+ * ft_peers_any_lacks_dependencies:
  * @now: monotonic time
  *
  * Returns: whether a peer that is heard runs a version that ignores what jobs depend on
  */
-gboolean ft_peers_any_older (const FtPeers *peers, gint64 now);
+gboolean ft_peers_any_lacks_dependencies (const FtPeers *peers, gint64 now);
 
 /**
- * ft_peers_any_heard:
+ * ft_peers_any_live:
  * @now: monotonic time
  *
  * Returns: whether any peer is heard
  */
-gboolean ft_peers_any_heard (const FtPeers *peers, gint64 now);
+gboolean ft_peers_any_live (const FtPeers *peers, gint64 now);
 
 /**
  * ft_peers_leader:
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -100,7 +100,7 @@
 send_again (Request *request, gint64 now)
 {
   FtStoreClient *store = request->store;
-  ft_budget_refused (request->writes > 0 ? &store->writes : &store->requests, now);
+  ft_budget_note_throttled (request->writes > 0 ? &store->writes : &store->requests, now);
   if (request->priority == FT_STORE_PRIORITY_LEASE || request->resends >= FT_STORE_RESENDS)
     return FALSE;
   request->resends++;
@@ -275,7 +275,7 @@
 }
 
 void
-ft_store_client_follow (FtStoreClient *store, const char *prefix, guint64 since, FtStoreDone done, gpointer data)
+ft_store_client_watch (FtStoreClient *store, const char *prefix, guint64 since, FtStoreDone done, gpointer data)
 {
   Request *request = g_new0 (Request, 1);
   request->store = store;
@@ -290,7 +290,7 @@
 }
 
 gboolean
-ft_store_client_contact (const FtStoreClient *store, gint64 now)
+ft_store_client_has_contact (const FtStoreClient *store, gint64 now)
 {
   if (store->last_served == 0)
     return FALSE;
@@ -298,7 +298,7 @@
 }
 
 gint64
-ft_store_client_last_served (const FtStoreClient *store)
+ft_store_client_last_served_at (const FtStoreClient *store)
 {
   return store->last_served;
 }
@@ -317,7 +317,7 @@
 }
 
 gboolean
-ft_store_client_spare_writes (FtStoreClient *store)
+ft_store_client_has_spare_writes (FtStoreClient *store)
 {
   return store->writes_waiting == 0
          && ft_budget_has_share (&store->writes, FT_SPARE_WRITES_SHARE, g_get_monotonic_time ());
--- a/src/net/store_client.h
+++ b/src/net/store_client.h
@@ -177,7 +177,7 @@
                              gpointer data);
 
 /**
- * ft_store_client_follow:
+ * ft_store_client_watch:
  * @prefix: of the rows' keys
  * @since: revision after which changes are wanted
  * @done: called with the changes, at once if there are some, else after up to FT_WATCH_S
@@ -185,18 +185,18 @@
  *
  * Watches for changes, on a connection of its own and without waiting for the budget.
  */
-void ft_store_client_follow (FtStoreClient *store, const char *prefix, guint64 since, FtStoreDone done, gpointer data);
+void ft_store_client_watch (FtStoreClient *store, const char *prefix, guint64 since, FtStoreDone done, gpointer data);
 
 /* ---- contact and load ---- */
 
 /**
- * ft_store_client_contact:
+ * ft_store_client_has_contact:
  * @now: monotonic time
  *
  * Returns: whether the store has served us before, and has not failed us without a break for
  *     FT_CONTACT_LOST_S
  */
-gboolean ft_store_client_contact (const FtStoreClient *store, gint64 now);
+gboolean ft_store_client_has_contact (const FtStoreClient *store, gint64 now);
 
 /**
  * ft_store_client_failing_since:
@@ -206,11 +206,11 @@
 gint64 ft_store_client_failing_since (const FtStoreClient *store);
 
 /**
- * ft_store_client_last_served:
+ * ft_store_client_last_served_at:
  *
  * Returns: when the store last served us, 0 if it never did
  */
-gint64 ft_store_client_last_served (const FtStoreClient *store);
+gint64 ft_store_client_last_served_at (const FtStoreClient *store);
 
 /**
  * ft_store_client_in_flight:
@@ -227,11 +227,11 @@
 guint ft_store_client_queued (const FtStoreClient *store);
 
 /**
- * ft_store_client_spare_writes:
+ * ft_store_client_has_spare_writes:
  *
  * Returns: whether the budget for changes is mostly unused and nothing waits for it
  */
-gboolean ft_store_client_spare_writes (FtStoreClient *store);
+gboolean ft_store_client_has_spare_writes (FtStoreClient *store);
 
 /**
  * ft_store_client_write_wait_s:
--- a/src/net/submission.c
+++ b/src/net/submission.c
@@ -58,7 +58,7 @@
 is_overloaded (const FtNode *node)
 {
   const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
-  return !ft_store_client_contact (node->store, g_get_monotonic_time ())
+  return !ft_store_client_has_contact (node->store, g_get_monotonic_time ())
          || ft_store_client_queued (node->store) > FT_STORE_QUEUE_MAX
          || ft_store_client_write_wait_s (node->store) > FT_SUBMIT_WAIT_MAX_S
          || (scheduler != NULL && ft_scheduler_open_tasks (scheduler) > FT_OPEN_TASKS_MAX);
@@ -69,7 +69,7 @@
 static gboolean
 must_wait_for_upgrade (const FtNode *node, const FtJobSpec *spec)
 {
-  return spec->dependencies != NULL && ft_peers_any_older (node->peers, g_get_monotonic_time ());
+  return spec->dependencies != NULL && ft_peers_any_lacks_dependencies (node->peers, g_get_monotonic_time ());
 }
 
 void
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -59,7 +59,7 @@
   ft_scheduler_allow (scheduler, ft_lease_may_start (node->lease, now));
   g_autoptr (GArray) commands = ft_scheduler_answer (scheduler, heartbeat, now);
   ft_http_respond (request, FT_HTTP_OK, ft_message_answer (ft_lease_token (node->lease), commands));
-  ft_leader_pump (node->leader, g_get_monotonic_time ());
+  ft_leader_run_actions (node->leader, g_get_monotonic_time ());
 }
 
 /* ---- the queue ---- */
@@ -87,5 +87,5 @@
   else if (!may_answer (node, now))
     redirect (node, request); /* without decoding it, which only the leader has to */
   else
-    ft_heartbeat_queue_take (node->heartbeat_queue, request, ft_http_server_turn (node->front), now);
+    ft_heartbeat_queue_handle (node->heartbeat_queue, request, ft_http_server_turn (node->front), now);
 }
--- a/tests/test_budget.cpp
+++ b/tests/test_budget.cpp
@@ -12,11 +12,11 @@
 {
   FtBudget budget;
   ft_budget_init (&budget, 20, 20, 0);
-  ft_budget_refused (&budget, 0);
+  ft_budget_note_throttled (&budget, 0);
   EXPECT_FALSE (ft_budget_has (&budget, 1, 0));
   EXPECT_TRUE (ft_budget_has (&budget, 1, kS / 5));
   for (int i = 0; i < 50; i++)
-    ft_budget_refused (&budget, kS);
+    ft_budget_note_throttled (&budget, kS);
   EXPECT_TRUE (ft_budget_has (&budget, 1, 3 * kS)) << "never to a standstill";
   ft_budget_has (&budget, 1, 60 * kS);
   EXPECT_DOUBLE_EQ (budget.rate, 20);
--- a/tests/test_user_request.cpp
+++ b/tests/test_user_request.cpp
@@ -221,7 +221,7 @@
     controller = ft_controller_new (config, &error);
     ASSERT_NE (controller, nullptr) << error->message;
     node = ft_controller_node (controller);
-    ASSERT_TRUE (wait_for ([&] { return ft_store_client_contact (node->store, g_get_monotonic_time ()); }));
+    ASSERT_TRUE (wait_for ([&] { return ft_store_client_has_contact (node->store, g_get_monotonic_time ()); }));
     ASSERT_TRUE (
         wait_for ([&] { return !services.has_catalog || ft_catalog_cache_get (node->catalog_cache) != nullptr; }));
   }
@@ -392,7 +392,7 @@
   start ();
   services.put_job ("req-1");
   services.down = true;
-  ASSERT_TRUE (wait_for ([&] { return !ft_store_client_contact (node->store, g_get_monotonic_time ()); }));
+  ASSERT_TRUE (wait_for ([&] { return !ft_store_client_has_contact (node->store, g_get_monotonic_time ()); }));
   EXPECT_EQ (submit (job ("req-2", 1)), 503u);
   EXPECT_EQ (poll ("req-1"), 503u);
   EXPECT_EQ (cancel ("req-1"), 503u);
