--- a/src/net/leader.c
+++ b/src/net/leader.c
@@ -25,7 +25,7 @@
   FtLeaderDependencies *dependencies;
 };
 
-/* ---- life ---- */
+/* ---- construction ---- */
 
 static void
 on_progress (gpointer data)
@@ -76,8 +76,8 @@
 static FtScheduler *
 scheduler_new (const FtNode *node, gint64 now)
 {
-  FtCatalog *known = ft_catalog_cache_get (node->catalog_cache);
-  g_autoptr (FtCatalog) catalog = known != NULL ? ft_catalog_ref (known) : ft_catalog_new ();
+  FtCatalog *cached = ft_catalog_cache_get (node->catalog_cache);
+  g_autoptr (FtCatalog) catalog = cached != NULL ? ft_catalog_ref (cached) : ft_catalog_new ();
   FtScheduler *scheduler = ft_scheduler_new (&node->config->core, catalog, ft_lease_token (node->lease),
                                              node->answer_grace_us, now, g_rand_int (node->random));
   ft_scheduler_set_tuning (scheduler, ft_settings_reader_tuning (node->settings));
@@ -94,7 +94,7 @@
   ft_metrics_count (node->metrics, FT_COUNT_TAKEOVERS);
   ft_leader_batches_begin (leader->batches, revision);
   ft_leader_cloud_begin (leader->cloud, now);
-  leader->term.led_since = now;
+  leader->term.began_at = now;
   leader->next_scheduler_tick = now;
   ft_store_client_set_leading (node->store, TRUE);
   ft_leader_recovery_start (leader->rows, ft_leader_watch_resume, leader->watch);
@@ -121,7 +121,7 @@
 gint64
 ft_leader_term_began_at (const FtLeader *leader)
 {
-  return leader->term.led_since;
+  return leader->term.began_at;
 }
 
 guint
@@ -130,7 +130,7 @@
   return leader->term.number;
 }
 
-/* ---- work ---- */
+/* ---- actions and timers ---- */
 
 void
 ft_leader_run_actions (FtLeader *leader, gint64 now)
--- a/src/net/leader_batches.c
+++ b/src/net/leader_batches.c
@@ -7,33 +7,33 @@
 #include "net/store_client.h"
 #include "wire/store.h"
 
-/* Of the batch under way. */
+/* The state of the batch in flight. */
 typedef enum {
-  FT_BATCH_IDLE,       /* there is none */
-  FT_BATCH_COMMITTING, /* it was sent, and its answer is awaited */
-  FT_BATCH_UNCERTAIN,  /* its answer was lost or contradicts us: the journal row is being read */
+  FT_BATCH_IDLE,       /* no batch is in flight */
+  FT_BATCH_COMMITTING, /* the batch was sent, and its answer is awaited */
+  FT_BATCH_UNCERTAIN,  /* the outcome of the batch is unknown; the journal row, which shows it, is being read */
 } FtBatchState;
 
 struct _FtLeaderBatches {
   FtLeaderTerm *term; /* borrowed */
   FtBatchState state;
-  guint64 journal_revision; /* of the journal row, on which the next batch is conditional */
-  guint64 last_number;      /* of the last batch that was sent in this term */
-  guint most_operations;    /* in a batch, the journal's row included; lowered when the store refuses large ones */
-  gint64 not_before;        /* the next batch is not sent before; monotonic, microseconds */
+  guint64 journal_revision; /* revision of the journal row, on which the next batch is conditional */
+  guint64 last_number;      /* number of the last batch that was sent in this term */
+  guint max_operations; /* limit for a batch, counting the journal row; lowered when the store refuses large batches */
+  gint64 not_before;    /* the next batch is not sent before this time; monotonic, microseconds */
 };
 
-/* A batch, or the reading of the journal row that decides about one. */
+/* The request for a batch, or for the journal row that shows whether the batch was applied. */
 typedef struct {
   FtLeaderRequest base;
-  GPtrArray *writes; /* FtWrite, a reference */
-  guint64 number;
+  GPtrArray *writes; /* elements: FtWrite; a reference */
+  guint64 number;    /* of the batch, within the term */
 } BatchRequest;
 
-/* The reading of a job's row that had changed when a batch was to change it. */
+/* The read of a job's row that was not at the revision on which a batch was conditional. */
 typedef struct {
   FtLeaderRequest base;
-  char *ref; /* owned */
+  char *ref; /* of the job; owned */
 } ConflictedJobRequest;
 
 static void
@@ -42,8 +42,8 @@
   g_ptr_array_unref (((BatchRequest *) request)->writes);
 }
 
-/* The scheduler is given the writes back, as committed or failed, and the next batch may be
- * sent. `conflicted_ref`: the job whose row had changed, or NULL. */
+/* Reports the writes to the scheduler as committed or failed; the next batch may be sent afterwards.
+ * `conflicted_ref`: the job whose row has changed, or NULL. */
 static void
 finish_batch (BatchRequest *batch, gboolean applied, const char *conflicted_ref)
 {
@@ -57,10 +57,10 @@
     ft_scheduler_writes_failed (scheduler, batch->writes, conflicted_ref, now);
 }
 
-/* ---- a batch whose outcome is not known ---- */
+/* ---- batches with an unknown outcome ---- */
 
-/* Was the batch applied? If not, the next one moves the journal row and so keeps a late copy
- * of this one from being applied. */
+/* The journal row shows whether the batch was applied. If it was not, the next batch changes the journal
+ * row, so that a delayed copy of this batch can no longer be applied. */
 static FtLeaderOutcome
 on_journal (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
@@ -94,18 +94,18 @@
 };
 
 static FtLeaderOutcome
-decide_by_journal (const BatchRequest *batch)
+resolve_by_journal (const BatchRequest *batch)
 {
   FtLeaderBatches *batches = batch->base.owner;
-  BatchRequest *reading = ft_leader_request_new (batches->term, &journal_kind, batches);
-  reading->writes = g_ptr_array_ref (batch->writes);
-  reading->number = batch->number;
+  BatchRequest *journal_request = ft_leader_request_new (batches->term, &journal_kind, batches);
+  journal_request->writes = g_ptr_array_ref (batch->writes);
+  journal_request->number = batch->number;
   batches->state = FT_BATCH_UNCERTAIN;
-  ft_leader_request_send (&reading->base);
+  ft_leader_request_send (&journal_request->base);
   return FT_LEADER_OUTCOME_DONE;
 }
 
-/* ---- a job whose row had changed ---- */
+/* ---- jobs whose rows have changed ---- */
 
 static FtLeaderOutcome
 on_conflicted_job (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
@@ -115,7 +115,7 @@
   FtRow row;
   FtJobRow job;
   if (ft_store_read_job (result, body, &row, &job) != FT_STORE_OK)
-    return FT_LEADER_OUTCOME_RETRY; /* the job stays as it is until the answer is known */
+    return FT_LEADER_OUTCOME_RETRY; /* the job keeps its state until its row is read */
   gint64 now = g_get_monotonic_time ();
   if (job.open)
     ft_scheduler_job_still_open (scheduler, ref, row.revision, now);
@@ -155,17 +155,17 @@
 
 /* ---- answers to a batch ---- */
 
-/* One of the transaction's conditions did not hold. */
+/* Handles the refusal of a batch because one of its conditions did not hold. */
 static FtLeaderOutcome
 on_batch_conflict (BatchRequest *batch, const json_t *body)
 {
   const char *ref;
   switch (ft_store_batch_conflict (body, batch->writes, &ref)) {
   case FT_BATCH_CONFLICT_FENCE:
-    batch->base.superseded_reason = "the fence has moved on";
+    batch->base.superseded_reason = "another controller has changed the fence row";
     return FT_LEADER_OUTCOME_SUPERSEDED;
   case FT_BATCH_CONFLICT_JOURNAL:
-    return decide_by_journal (batch);
+    return resolve_by_journal (batch);
   case FT_BATCH_CONFLICT_JOB:
     read_conflicted_job (batch->base.owner, ref);
     break;
@@ -177,13 +177,13 @@
 }
 
 static void
-shrink (FtLeaderBatches *batches)
+shrink_batches (FtLeaderBatches *batches)
 {
-  batches->most_operations = MAX (FT_TXN_OPS_MIN, batches->most_operations / 2);
+  batches->max_operations = MAX (FT_TXN_OPS_MIN, batches->max_operations / 2);
 }
 
-/* The store will not accept it, however often it is sent: its limits may have changed. The
- * following batches are smaller. */
+/* Makes the following batches smaller: the store will never accept this batch, and its limits may have
+ * changed. */
 static FtLeaderOutcome
 on_batch_invalid (BatchRequest *batch)
 {
@@ -192,21 +192,21 @@
   ft_metrics_count (node->metrics, FT_COUNT_BATCHES_INVALID);
   g_warning ("node %s: the key-value store refused a batch of %u writes as invalid: batches get smaller",
              node->config->member, batch->writes->len);
-  shrink (batches);
+  shrink_batches (batches);
   ft_scheduler_lower_value_limit (batches->term->scheduler);
   batches->not_before = g_get_monotonic_time () + (gint64) (FT_BATCH_INVALID_PAUSE_S * FT_SECOND);
   finish_batch (batch, FALSE, NULL);
   return FT_LEADER_OUTCOME_PROGRESS;
 }
 
-/* The store did not execute it. `too_large`: it takes fewer changes in a second, so a batch of
- * this size would never pass. */
+/* Handles a batch that the store refused without executing it. `too_large`: the store may allow
+ * fewer changes per second than the batch makes, and would then never accept a batch of this size. */
 static FtLeaderOutcome
 on_batch_not_executed (BatchRequest *batch, gboolean too_large)
 {
   FtLeaderBatches *batches = batch->base.owner;
   if (too_large)
-    shrink (batches);
+    shrink_batches (batches);
   batches->not_before = ft_leader_first_retry_at (batches->term);
   finish_batch (batch, FALSE, NULL);
   return FT_LEADER_OUTCOME_PROGRESS;
@@ -247,7 +247,7 @@
   case FT_STORE_MALFORMED:
   default:
     ft_metrics_count (request->term->node->metrics, FT_COUNT_BATCHES_UNCERTAIN);
-    return decide_by_journal (batch);
+    return resolve_by_journal (batch);
   }
 }
 
@@ -298,7 +298,7 @@
   *batches = (FtLeaderBatches){
     .term = batches->term,
     .journal_revision = journal_revision,
-    .most_operations = batches->term->node->config->core.txn_ops,
+    .max_operations = batches->term->node->config->core.txn_ops,
   };
 }
 
@@ -307,9 +307,9 @@
 {
   if (batches->state != FT_BATCH_IDLE || now < batches->not_before)
     return;
-  guint most_writes = batches->most_operations - 1; /* one operation is the journal row's */
+  guint max_writes = batches->max_operations - 1; /* the journal row takes one operation */
   guint spare_writes = ft_store_client_has_spare_writes (batches->term->node->store);
-  g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (batches->term->scheduler, most_writes, spare_writes, now);
+  g_autoptr (GPtrArray) writes = ft_scheduler_next_writes (batches->term->scheduler, max_writes, spare_writes, now);
   if (writes->len == 0)
     return;
   BatchRequest *batch = ft_leader_request_new (batches->term, &batch_kind, batches);
--- a/src/net/leader_batches.h
+++ b/src/net/leader_batches.h
@@ -1,9 +1,9 @@
-/* The leader's write batches: what the scheduler wants stored is committed in transactions,
- * one at a time, each conditional on the fence row and on the journal row.
+/* The leader's write batches: the scheduler's pending writes are committed in transactions, one at a
+ * time, each conditional on the fence row and on the journal row.
  *
- * The journal row holds the fencing token and the number of the last batch. Every batch writes
- * it, so a batch whose answer was lost is decided by reading it, and a late copy of a batch
- * can no longer be applied once the next one has been. */
+ * The journal row holds the leader's fencing token and the number of its last batch. Every batch
+ * writes it. If the answer to a batch is lost, the journal row therefore shows whether the batch was
+ * applied; and a delayed copy of a batch can no longer be applied after the next batch. */
 #pragma once
 #include "net/leader_term.h"
 
@@ -11,7 +11,7 @@
 
 /**
  * ft_leader_batches_new:
- * @term: borrowed for life
+ * @term: borrowed for the life of the object
  *
  * Returns: (transfer full): the batches of a controller that does not lead
  */
@@ -19,15 +19,15 @@
 
 /**
  * ft_leader_batches_free:
- * @batches: (nullable) (transfer full): no answer may come any more
+ * @batches: (nullable) (transfer full): no answer to a batch may arrive any more
  */
 void ft_leader_batches_free (FtLeaderBatches *batches);
 
 /**
  * ft_leader_batches_begin:
- * @journal_revision: at which the claim of the term has written the journal row
+ * @journal_revision: revision at which the claim of the term wrote the journal row
  *
- * Prepares for a term; no batch is under way.
+ * Prepares for a term, in which no batch is in flight yet.
  */
 void ft_leader_batches_begin (FtLeaderBatches *batches, guint64 journal_revision);
 
@@ -35,7 +35,7 @@
  * ft_leader_batches_commit:
  * @now: monotonic time in microseconds
  *
- * Sends what the scheduler wants stored, if no batch is under way and none must wait. To be called
- * while this controller leads.
+ * Sends a batch of the scheduler's pending writes, unless a batch is in flight or a pause after a
+ * failed batch is not over. It must only be called while this controller leads.
  */
 void ft_leader_batches_commit (FtLeaderBatches *batches, gint64 now);
--- a/src/net/leader_cloud.c
+++ b/src/net/leader_cloud.c
@@ -9,25 +9,25 @@
 
 struct _FtLeaderCloud {
   FtLeaderTerm *term;      /* borrowed */
-  FtBudget budget;         /* requests to the cloud; outlasts the terms */
-  guint calls_in_flight;   /* of scaling out and in */
-  gboolean list_in_flight; /* a page of the list awaits its answer */
-  gint64 next_list_at;     /* monotonic, microseconds */
+  FtBudget budget;         /* for requests to the cloud; kept from one term to the next */
+  guint calls_in_flight;   /* scale-out and scale-in calls that await an answer */
+  gboolean list_in_flight; /* whether a page of the list awaits its answer */
+  gint64 next_list_at;     /* when the list is read next; monotonic, microseconds */
 };
 
-/* Scaling out or in. */
+/* The request for a scale-out or scale-in. */
 typedef struct {
   FtLeaderRequest base;
   FtCloudCall *call; /* owned */
 } ScaleRequest;
 
-/* A page of the list of rented machines. */
+/* The request for a page of the list of rented machines. */
 typedef struct {
   FtLeaderRequest base;
-  GArray *machines; /* FtListedMachine of the pages so far; a reference */
+  GArray *machines; /* elements: FtListedMachine, of all pages read so far; a reference */
 } ListRequest;
 
-/* ---- scaling ---- */
+/* ---- scale-out and scale-in ---- */
 
 static FtCloudResult
 scale_result (guint status, const json_t *body, FtCloudCall *call)
@@ -50,7 +50,7 @@
   FtCloudResult result = scale_result (status, body, call);
   cloud->calls_in_flight--;
   if (status == FT_HTTP_OK && result == FT_CLOUD_FAILED)
-    ft_malformed_log_add (cloud->term->node->malformed, FT_COUNT_MALFORMED_CLOUD, "answer to a rental");
+    ft_malformed_log_add (cloud->term->node->malformed, FT_COUNT_MALFORMED_CLOUD, "answer to a scale-out request");
   ft_scheduler_cloud_done (cloud->term->scheduler, call, result, g_get_monotonic_time ());
   return FT_LEADER_OUTCOME_PROGRESS;
 }
@@ -96,7 +96,7 @@
   }
 }
 
-/* ---- the list ---- */
+/* ---- the list of rented machines ---- */
 
 static void read_list (FtLeaderCloud *cloud, GArray *machines);
 
@@ -152,7 +152,7 @@
   .clear = list_request_clear,
 };
 
-/* Reads the next page. Takes `machines`, the pages read so far. */
+/* Reads the next page of the list. `machines`: those of the pages read so far; takes ownership. */
 static void
 read_list (FtLeaderCloud *cloud, GArray *machines)
 {
@@ -174,7 +174,7 @@
   read_list (cloud, ft_listed_new ());
 }
 
-/* ---- life ---- */
+/* ---- construction and terms ---- */
 
 FtLeaderCloud *
 ft_leader_cloud_new (FtLeaderTerm *term, gint64 now)
--- a/src/net/leader_cloud.h
+++ b/src/net/leader_cloud.h
@@ -1,5 +1,5 @@
-/* The leader's calls to the cloud: scaling out and in, and the list of rented machines with
- * which the scheduler reconciles what it believes to be rented. */
+/* The leader's calls to the cloud: scaling out, scaling in, and reading the list of rented machines.
+ * The scheduler compares that list with the machines that it takes to be rented. */
 #pragma once
 #include "net/leader_term.h"
 
@@ -7,10 +7,10 @@
 
 /**
  * ft_leader_cloud_new:
- * @term: borrowed for life
+ * @term: borrowed for the life of the object
  * @now: monotonic time in microseconds
  *
- * The budget of requests, which outlasts the terms, is full.
+ * The budget of requests to the cloud is full at first, and is kept from one term to the next.
  *
  * Returns: (transfer full): the cloud calls of a controller that does not lead
  */
@@ -18,7 +18,7 @@
 
 /**
  * ft_leader_cloud_free:
- * @cloud: (nullable) (transfer full): no answer may come any more
+ * @cloud: (nullable) (transfer full): no answer to a call may arrive any more
  */
 void ft_leader_cloud_free (FtLeaderCloud *cloud);
 
@@ -26,14 +26,14 @@
  * ft_leader_cloud_begin:
  * @now: monotonic time in microseconds
  *
- * A term begins: the list is read as soon as the scheduler is loaded.
+ * Prepares for a term, in which the list is read as soon as the scheduler is loaded.
  */
 void ft_leader_cloud_begin (FtLeaderCloud *cloud, gint64 now);
 
 /**
  * ft_leader_cloud_end:
  *
- * The term is over: answers that are still awaited will be dropped.
+ * Prepares for the next term when a term ends. Answers to calls in flight will be dropped.
  */
 void ft_leader_cloud_end (FtLeaderCloud *cloud);
 
@@ -41,8 +41,8 @@
  * ft_leader_cloud_scale:
  * @now: monotonic time in microseconds
  *
- * Makes the calls that the scheduler wants, FT_CLOUD_CALLS_MAX at a time and within the budget. To be called
- * while this controller leads.
+ * Sends the scheduler's pending scale-out and scale-in calls, as far as the budget allows and with at
+ * most FT_CLOUD_CALLS_MAX in flight. It must only be called while this controller leads.
  */
 void ft_leader_cloud_scale (FtLeaderCloud *cloud, gint64 now);
 
@@ -50,6 +50,7 @@
  * ft_leader_cloud_tick:
  * @now: monotonic time in microseconds
  *
- * Reads the list of rented machines if that is due. To be called while this controller leads.
+ * Reads the list of rented machines if it is due and the budget allows it. It must only be called
+ * while this controller leads.
  */
 void ft_leader_cloud_tick (FtLeaderCloud *cloud, gint64 now);
--- a/src/net/leader_commands.c
+++ b/src/net/leader_commands.c
@@ -10,15 +10,16 @@
 
 struct _FtLeaderCommands {
   FtLeaderTerm *term; /* borrowed */
-  guint in_flight;    /* that await an answer */
+  guint in_flight;    /* direct requests that await an answer */
 };
 
+/* The context of a direct request. */
 typedef struct {
   FtLeaderRequest base;
   FtDirect *direct; /* owned */
 } CommandRequest;
 
-/* `heartbeat`: the worker's state as it answered, or NULL. */
+/* `heartbeat`: the worker's status from its answer; NULL if there was no answer or it was malformed. */
 static FtDirectResult
 command_result (guint status, const FtWorkerHeartbeat *heartbeat)
 {
@@ -44,7 +45,7 @@
   else
     ft_metrics_time (node->metrics, FT_TIME_DIRECT, g_get_monotonic_time () - request->created_at);
   if (!ft_scheduler_direct_done (request->term->scheduler, direct, result, heartbeat, g_get_monotonic_time ())) {
-    request->superseded_reason = "a worker has seen a higher token";
+    request->superseded_reason = "a worker has seen a higher fencing token";
     return FT_LEADER_OUTCOME_SUPERSEDED;
   }
   return FT_LEADER_OUTCOME_PROGRESS;
--- a/src/net/leader_commands.h
+++ b/src/net/leader_commands.h
@@ -1,4 +1,4 @@
-/* Direct commands: what the leader sends to workers at once (FtDirect) instead of with the
+/* Direct commands: requests (FtDirect) that the leader sends to workers at once, instead of in the
  * answer to their next heartbeat. */
 #pragma once
 #include "net/leader_term.h"
@@ -7,7 +7,7 @@
 
 /**
  * ft_leader_commands_new:
- * @term: borrowed for life
+ * @term: borrowed for the life of the object
  *
  * Returns: (transfer full): the direct commands of a controller that does not lead
  */
@@ -15,14 +15,14 @@
 
 /**
  * ft_leader_commands_free:
- * @commands: (nullable) (transfer full): no answer may come any more
+ * @commands: (nullable) (transfer full): no answer to a command may arrive any more
  */
 void ft_leader_commands_free (FtLeaderCommands *commands);
 
 /**
  * ft_leader_commands_end:
  *
- * The term is over: answers that are still awaited will be dropped.
+ * Prepares for the next term when a term ends. Answers to commands in flight will be dropped.
  */
 void ft_leader_commands_end (FtLeaderCommands *commands);
 
@@ -30,7 +30,8 @@
  * ft_leader_commands_send:
  * @now: monotonic time in microseconds
  *
- * Sends the commands that the scheduler wants to go out now, FT_DIRECT_MAX at a time. Each is
- * sent once; what a lost answer means is up to the scheduler. To be called while this controller leads.
+ * Sends the scheduler's pending direct requests, with at most FT_DIRECT_MAX in flight. Each is sent
+ * once; the scheduler decides what follows from a lost answer. It must only be called while this
+ * controller leads.
  */
 void ft_leader_commands_send (FtLeaderCommands *commands, gint64 now);
--- a/src/net/leader_dependencies.c
+++ b/src/net/leader_dependencies.c
@@ -5,19 +5,21 @@
 #include "net/store_client.h"
 #include "wire/store.h"
 
-/* What the scheduler takes for the age of an end whose row does not tell its time. */
+/* The age that is reported to the scheduler if the job's row does not say when the job ended. */
 #define AGE_UNKNOWN (-1)
 
 struct _FtLeaderDependencies {
   FtLeaderTerm *term; /* borrowed */
-  guint in_flight;    /* that await an answer */
+  guint in_flight;    /* reads that await an answer */
 };
 
+/* The read of the row of a job on which others depend. */
 typedef struct {
   FtLeaderRequest base;
-  char *ref; /* owned */
+  char *ref; /* of the job; owned */
 } DependencyRequest;
 
+/* How long ago the job ended, in microseconds. */
 static gint64
 age_of_end_us (const FtJobRow *job)
 {
@@ -35,7 +37,7 @@
   FtRow row;
   FtJobRow job;
   dependencies->in_flight--;
-  /* Open, or not answered: the scheduler names it again. */
+  /* The job is open or the read failed: the scheduler requests the read again later. */
   if (ft_store_read_job (result, body, &row, &job) != FT_STORE_OK || job.open)
     return FT_LEADER_OUTCOME_DONE;
   ft_scheduler_job_end_read (request->term->scheduler, ref, job.end, age_of_end_us (&job), g_get_monotonic_time ());
--- a/src/net/leader_dependencies.h
+++ b/src/net/leader_dependencies.h
@@ -1,5 +1,5 @@
-/* Reading how jobs ended that open jobs depend on and that are not open themselves: only
- * their rows tell. */
+/* Reads how a job ended on which an open job depends. A job that has ended is no longer among the
+ * open jobs' rows that the leader reads, so its own row has to be read. */
 #pragma once
 #include "net/leader_term.h"
 
@@ -7,22 +7,22 @@
 
 /**
  * ft_leader_dependencies_new:
- * @term: borrowed for life
+ * @term: borrowed for the life of the object
  *
- * Returns: (transfer full): the readings of a controller that does not lead
+ * Returns: (transfer full): the reads of a controller that does not lead
  */
 FtLeaderDependencies *ft_leader_dependencies_new (FtLeaderTerm *term);
 
 /**
  * ft_leader_dependencies_free:
- * @dependencies: (nullable) (transfer full): no answer may come any more
+ * @dependencies: (nullable) (transfer full): no answer to a read may arrive any more
  */
 void ft_leader_dependencies_free (FtLeaderDependencies *dependencies);
 
 /**
  * ft_leader_dependencies_end:
  *
- * The term is over: answers that are still awaited will be dropped.
+ * Prepares for the next term when a term ends. Answers to reads in flight will be dropped.
  */
 void ft_leader_dependencies_end (FtLeaderDependencies *dependencies);
 
@@ -30,8 +30,8 @@
  * ft_leader_dependencies_read:
  * @now: monotonic time in microseconds
  *
- * Starts the readings that the scheduler asks for, FT_DEPENDENCY_READS_MAX at a time. One that
- * fails is not repeated here: the scheduler asks for it again. To be called while this
+ * Starts the reads that the scheduler requests, with at most FT_DEPENDENCY_READS_MAX in flight. A read
+ * that fails is not repeated here: the scheduler requests it again. It must only be called while this
  * controller leads.
  */
 void ft_leader_dependencies_read (FtLeaderDependencies *dependencies, gint64 now);
--- a/src/net/leader_recovery.c
+++ b/src/net/leader_recovery.c
@@ -10,19 +10,19 @@
 #include "net/store_client.h"
 #include "wire/store.h"
 
-/* What a new leader reads, in this order. The open jobs come first: the watch goes on from
- * the revision of their first page. */
+/* The prefixes that a new leader reads, in this order. The open jobs come first, because the watch
+ * continues from the revision of their first page. */
 static const char *const recovery_prefixes[]
     = { FT_PREFIX_OPEN, FT_PREFIX_DONE, FT_PREFIX_DRAINED, FT_PREFIX_REGISTRY };
 
-/* One page of the rows under a prefix. */
+/* The request for one page of the rows under a prefix. */
 typedef struct {
   FtLeaderRequest base;
-  guint prefix_index;         /* into recovery_prefixes */
-  char *after;                /* the last key of the page before, owned; NULL: this is the first page */
-  gint64 first_page_asked_at; /* monotonic, microseconds */
-  FtLeaderRecovered recovered;
-  gpointer recovered_data;
+  guint prefix_index;             /* index into recovery_prefixes */
+  char *after;                    /* the last key of the previous page, owned; NULL: this is the first page */
+  gint64 first_page_requested_at; /* monotonic, microseconds */
+  FtLeaderRecovered recovered;    /* called when the recovery is complete */
+  gpointer recovered_data;        /* data of `recovered` */
 } PageRequest;
 
 static const FtLeaderRequestKind page_kind;
@@ -32,25 +32,25 @@
 {
   PageRequest *page = ft_leader_request_new (ft_leader_rows_term (rows), &page_kind, rows);
   page->prefix_index = prefix_index;
-  page->first_page_asked_at = page->base.created_at;
+  page->first_page_requested_at = page->base.created_at;
   page->recovered = recovered;
   page->recovered_data = data;
   return page;
 }
 
 static void
-ask_first_page (FtLeaderRows *rows, guint prefix_index, FtLeaderRecovered recovered, gpointer data)
+request_first_page (FtLeaderRows *rows, guint prefix_index, FtLeaderRecovered recovered, gpointer data)
 {
   PageRequest *page = page_request_new (rows, prefix_index, recovered, data);
   ft_leader_request_send (&page->base);
 }
 
 static void
-ask_page_after (const PageRequest *page, const char *last_key)
+request_page_after (const PageRequest *page, const char *last_key)
 {
   PageRequest *next = page_request_new (page->base.owner, page->prefix_index, page->recovered, page->recovered_data);
   next->after = g_strdup (last_key);
-  next->first_page_asked_at = page->first_page_asked_at;
+  next->first_page_requested_at = page->first_page_requested_at;
   ft_leader_request_send (&next->base);
 }
 
@@ -60,10 +60,10 @@
   const FtLeaderTerm *term = last_page->base.term;
   const FtNode *node = term->node;
   ft_scheduler_loaded (term->scheduler, g_get_monotonic_time ());
-  /* Only now: without the registry a cancelled task that is known of cannot be stopped, and
-   * each answer to its worker would keep it alive. */
+  /* The leader must not answer worker heartbeats earlier: without the registry the scheduler cannot stop
+   * a cancelled task that it knows, and each answer to its worker would keep the task alive. */
   ft_leader_rows_note_read_complete (last_page->base.owner);
-  ft_metrics_time (node->metrics, FT_TIME_RECOVERY, g_get_monotonic_time () - term->led_since);
+  ft_metrics_time (node->metrics, FT_TIME_RECOVERY, g_get_monotonic_time () - term->began_at);
   last_page->recovered (last_page->recovered_data);
   g_message ("node %s: leader under fencing token %" G_GUINT64_FORMAT ", recovered its state from the key-value store",
              node->config->member, ft_lease_token (node->lease));
@@ -73,23 +73,23 @@
 prefix_finished (const PageRequest *page)
 {
   FtLeaderRows *rows = page->base.owner;
-  /* The pages differ in age, and an outage may lie between them: what is known is
-   * known as of the first. Later changes come by the watch. */
+  /* The pages are read at different times, perhaps with an outage between them. All cancellations are
+   * therefore known only up to the request for the first page; the watch returns later ones. */
   if (page->prefix_index == 0)
-    ft_leader_rows_set_read_started_at (rows, page->first_page_asked_at);
+    ft_leader_rows_set_read_started_at (rows, page->first_page_requested_at);
   if (ft_scheduler_is_loaded (page->base.term->scheduler)) {
     ft_leader_rows_note_read_complete (rows);
     page->recovered (page->recovered_data);
   } else if (page->prefix_index + 1 < G_N_ELEMENTS (recovery_prefixes)) {
-    ask_first_page (rows, page->prefix_index + 1, page->recovered, page->recovered_data);
+    request_first_page (rows, page->prefix_index + 1, page->recovered, page->recovered_data);
   } else {
     recovery_finished (page);
   }
 }
 
-/* Changes since the first page come by the watch. */
+/* Records the revision of the first page; the watch returns the changes since then. */
 static void
-note_first_page (FtLeaderRows *rows, const json_t *body)
+record_known_revision (FtLeaderRows *rows, const json_t *body)
 {
   guint64 revision;
   if (ft_store_revision (body, &revision))
@@ -100,7 +100,7 @@
 on_page (FtLeaderRequest *request, FtStoreResult result, const json_t *body)
 {
   const PageRequest *page = (const PageRequest *) request;
-  FtLeaderRows *known = request->owner;
+  FtLeaderRows *leader_rows = request->owner;
   gboolean more = FALSE;
   g_autoptr (GArray) rows = NULL;
   FtStoreResult read = ft_store_read_rows (result, body, &rows, &more);
@@ -109,11 +109,11 @@
   if (read != FT_STORE_OK)
     return FT_LEADER_OUTCOME_RETRY;
   if (page->prefix_index == 0 && page->after == NULL)
-    note_first_page (known, body);
+    record_known_revision (leader_rows, body);
   for (guint i = 0; i < rows->len; i++)
-    ft_leader_rows_apply (known, &g_array_index (rows, FtRow, i));
+    ft_leader_rows_apply (leader_rows, &g_array_index (rows, FtRow, i));
   if (more && rows->len > 0)
-    ask_page_after (page, g_array_index (rows, FtRow, rows->len - 1).key);
+    request_page_after (page, g_array_index (rows, FtRow, rows->len - 1).key);
   else
     prefix_finished (page);
   return FT_LEADER_OUTCOME_DONE;
@@ -143,5 +143,5 @@
 void
 ft_leader_recovery_start (FtLeaderRows *rows, FtLeaderRecovered recovered, gpointer data)
 {
-  ask_first_page (rows, 0, recovered, data);
+  request_first_page (rows, 0, recovered, data);
 }
--- a/src/net/leader_recovery.h
+++ b/src/net/leader_recovery.h
@@ -1,24 +1,25 @@
-/* Reading the key-value store's rows at the beginning of a term (open jobs, done-sets, drained
- * machines, machine registry), and the open jobs' rows again after a watch fell behind. */
+/* The leader's reads of whole groups of rows from the key-value store: at the beginning of a term the
+ * open jobs, done-sets, drained machines and the machine registry, and later the open jobs again after
+ * the watch has fallen behind. */
 #pragma once
 #include "net/leader_rows.h"
 
 /**
  * FtLeaderRecovered:
- * @data: what was passed with the callback
+ * @data: the pointer that was passed with the callback
  *
- * Called when all rows have been taken into the scheduler.
+ * Called when all rows have been passed to the scheduler.
  */
 typedef void (*FtLeaderRecovered) (gpointer data);
 
 /**
  * ft_leader_recovery_start:
- * @rows: of a controller that leads; borrowed until the end
- * @recovered: called at the end, unless the term ends before
- * @data: for @recovered
+ * @rows: receives the rows; of a controller that leads; borrowed until the recovery ends
+ * @recovered: called when the recovery is complete, unless the term ends earlier
+ * @data: data of @recovered
  *
- * Reads the rows page by page, each repeated until it is answered. At the beginning of a term the
- * four prefixes are read one after another, and then the scheduler starts placing; later only the
- * open jobs' rows are read.
+ * Reads the rows page by page, and repeats the request for a page until it is answered. At the
+ * beginning of a term it reads the four prefixes one after another, and the scheduler starts placing
+ * tasks afterwards. Later in the term it reads only the open jobs' rows.
  */
 void ft_leader_recovery_start (FtLeaderRows *rows, FtLeaderRecovered recovered, gpointer data);
--- a/src/net/leader_request.c
+++ b/src/net/leader_request.c
@@ -55,9 +55,9 @@
   g_timeout_add ((guint) (pause_s * FT_MS_PER_SECOND), on_retry_timer, request);
 }
 
-/* Consumes the request, whose answer was handled with that outcome. */
+/* Carries out the outcome of the request's handler. Takes ownership of the request. */
 static void
-settle (FtLeaderRequest *request, FtLeaderOutcome outcome)
+apply_outcome (FtLeaderRequest *request, FtLeaderOutcome outcome)
 {
   if (outcome == FT_LEADER_OUTCOME_RETRY) {
     retry_later (request);
@@ -79,7 +79,7 @@
   if (term_is_over (request))
     request_free (request);
   else
-    settle (request, request->kind->on_store_answer (request, result, body));
+    apply_outcome (request, request->kind->on_store_answer (request, result, body));
 }
 
 void
@@ -89,7 +89,7 @@
   if (term_is_over (request))
     request_free (request);
   else
-    settle (request, request->kind->on_cloud_answer (request, status, body));
+    apply_outcome (request, request->kind->on_cloud_answer (request, status, body));
 }
 
 void
@@ -99,7 +99,7 @@
   if (term_is_over (request))
     request_free (request);
   else
-    settle (request, request->kind->on_worker_answer (request, status, body, size));
+    apply_outcome (request, request->kind->on_worker_answer (request, status, body, size));
 }
 
 gint64
--- a/src/net/leader_request.h
+++ b/src/net/leader_request.h
@@ -1,10 +1,10 @@
-/* Requests that a leader has sent and whose answers it waits for.
+/* Requests of a leader, from sending until their answers are handled.
  *
- * Every module of the leader (leader_*.c) derives its own context from FtLeaderRequest and
- * describes it by a static FtLeaderRequestKind. What all requests share stands here once: an
- * answer that belongs to an earlier term is dropped, a request that must succeed is repeated
- * with jittered exponential backoff, and the context is freed when it is over. Handlers never
- * free their context; they return an outcome.
+ * Every module of the leader (leader_*.c) derives its own context from FtLeaderRequest and describes
+ * it by a static FtLeaderRequestKind. This module does what all requests have in common: it drops an
+ * answer that belongs to an earlier term, repeats a request with jittered exponential backoff when its
+ * handler asks for a retry, and frees the context at the end. Handlers return an outcome and never
+ * free their context.
  *
  * Private to the leader_*.c files. Times are monotonic, in microseconds. */
 #pragma once
@@ -18,14 +18,14 @@
 
 /**
  * FtLeaderOutcome:
- * @FT_LEADER_OUTCOME_DONE: nothing further; the context is freed
- * @FT_LEADER_OUTCOME_PROGRESS: the scheduler has news, so its next actions are carried out; the
- *     context is freed
- * @FT_LEADER_OUTCOME_RETRY: the request is sent again after a pause, with the same context
- * @FT_LEADER_OUTCOME_SUPERSEDED: another controller leads, as `superseded_reason` says: the term
- *     ends; the context is freed
+ * @FT_LEADER_OUTCOME_DONE: nothing follows; the context is freed
+ * @FT_LEADER_OUTCOME_PROGRESS: the answer has changed the scheduler's state, so the scheduler's next
+ *     actions are carried out; the context is freed
+ * @FT_LEADER_OUTCOME_RETRY: the request is sent again after a backoff pause, with the same context
+ * @FT_LEADER_OUTCOME_SUPERSEDED: another controller leads, for the reason in `superseded_reason`: the
+ *     term ends; the context is freed
  *
- * What is to follow an answer.
+ * What follows the handling of an answer.
  */
 typedef enum {
   FT_LEADER_OUTCOME_DONE,
@@ -37,15 +37,16 @@
 /**
  * FtLeaderRequestKind:
  * @size: bytes of the derived context, whose first member is an FtLeaderRequest
- * @send: sends the request, with one of the ft_leader_request_on_*() callbacks and the context as
- *     its data; called again for each retry
+ * @send: sends the request, with one of the ft_leader_request_on_*() callbacks and the context as the
+ *     callback's data; called again for each retry
  * @on_store_answer: handles the key-value store's answer
- * @on_cloud_answer: handles the cloud's answer; the status is HTTP's, 0 if none came
- * @on_worker_answer: handles a worker's answer, not decoded; the status is HTTP's, 0 if none came
+ * @on_cloud_answer: handles the cloud's answer; the status is the HTTP status, 0 if no answer came
+ * @on_worker_answer: handles a worker's answer, whose body is not decoded; the status is the HTTP
+ *     status, 0 if no answer came
  * @clear: (nullable): frees what the derived context owns
  *
- * One kind of request, with the handler of the service to which it is sent. Handlers run only
- * within the request's term.
+ * One kind of request. Of the three handlers only that of the service to which the request is sent is
+ * set. Handlers run only within the request's term.
  */
 typedef struct {
   gsize size;
@@ -60,13 +61,13 @@
  * FtLeaderRequest:
  * @kind: static
  * @term: borrowed; it outlives its requests
- * @term_number: of the term in which the request was made
- * @owner: borrowed: the part of the leader that made the request, for its own handlers
- * @created_at: when it was made
- * @retries: how often it was sent again
- * @superseded_reason: static text, set by a handler with %FT_LEADER_OUTCOME_SUPERSEDED
+ * @term_number: number of the term in which the request was made
+ * @owner: borrowed: the module of the leader that made the request; only its own handlers use it
+ * @created_at: when the request was made
+ * @retries: number of times that the request was sent again
+ * @superseded_reason: static text, set by a handler that returns %FT_LEADER_OUTCOME_SUPERSEDED
  *
- * The common part of a context.
+ * The common part of all contexts.
  */
 struct _FtLeaderRequest {
   const FtLeaderRequestKind *kind;
@@ -80,18 +81,18 @@
 
 /**
  * ft_leader_request_new:
- * @term: the present term, of a controller that leads
+ * @term: the current term, of a controller that leads
  * @kind: static
- * @owner: (nullable): borrowed; outlives the request
+ * @owner: (nullable): the module that makes the request; borrowed, outlives the request
  *
- * Returns: (transfer full): a zeroed context of the kind's derived type, of the present term; to
- *     be handed to ft_leader_request_send()
+ * Returns: (transfer full): a zeroed context of the kind's derived type that belongs to the current
+ *     term; to be passed to ft_leader_request_send()
  */
 gpointer ft_leader_request_new (FtLeaderTerm *term, const FtLeaderRequestKind *kind, gpointer owner);
 
 /**
  * ft_leader_request_send:
- * @request: (transfer full): is freed when its answer was handled or dropped
+ * @request: (transfer full): freed once its answer has been handled or dropped
  */
 void ft_leader_request_send (FtLeaderRequest *request);
 
@@ -99,7 +100,7 @@
  * ft_leader_request_on_store_answer:
  * @data: (transfer full): the FtLeaderRequest
  *
- * The FtStoreDone of requests to the key-value store.
+ * The FtStoreDone callback of requests to the key-value store.
  */
 void ft_leader_request_on_store_answer (FtStoreResult result, const json_t *body, gpointer data);
 
@@ -107,7 +108,7 @@
  * ft_leader_request_on_cloud_answer:
  * @data: (transfer full): the FtLeaderRequest
  *
- * The FtHttpDone of requests to the cloud.
+ * The FtHttpDone callback of requests to the cloud.
  */
 void ft_leader_request_on_cloud_answer (guint status, const json_t *body, gpointer data);
 
@@ -115,14 +116,14 @@
  * ft_leader_request_on_worker_answer:
  * @data: (transfer full): the FtLeaderRequest
  *
- * The FtHttpRawDone of requests to workers.
+ * The FtHttpRawDone callback of requests to workers.
  */
 void ft_leader_request_on_worker_answer (guint status, const guint8 *body, gsize size, gpointer data);
 
 /**
  * ft_leader_first_retry_at:
  *
- * Returns: the monotonic time at which something that failed now is worth another attempt: after
- *     the first pause of the backoff, jittered
+ * Returns: the monotonic time at which an operation that failed now may be tried again: after the
+ *     first, jittered pause of the backoff
  */
 gint64 ft_leader_first_retry_at (const FtLeaderTerm *term);
--- a/src/net/leader_rows.c
+++ b/src/net/leader_rows.c
@@ -5,8 +5,8 @@
 
 struct _FtLeaderRows {
   FtLeaderTerm *term;     /* borrowed */
-  guint64 known_revision; /* of the store, up to which the open jobs' rows are known */
-  gint64 read_at;         /* when the last reading of all of them was begun; monotonic, microseconds */
+  guint64 known_revision; /* revision of the store up to which the open jobs' rows are known */
+  gint64 read_started_at; /* when the last complete read of the open jobs' rows started; monotonic, microseconds */
 };
 
 FtLeaderRows *
@@ -44,10 +44,10 @@
 void
 ft_leader_rows_set_read_started_at (FtLeaderRows *rows, gint64 at)
 {
-  rows->read_at = at;
+  rows->read_started_at = at;
 }
 
-/* ---- taking rows ---- */
+/* ---- passing rows to the scheduler ---- */
 
 static gint64
 wall_ms (void)
@@ -75,7 +75,8 @@
 {
   g_autoptr (GError) error = NULL;
   gint64 now = g_get_monotonic_time ();
-  /* When a watch fell behind, the rows are read again: only jobs accepted meanwhile are new. */
+  /* The rows are also read again after the watch has fallen behind: the jobs among them that the
+   * scheduler does not know yet were accepted since the recovery. */
   if (!ft_row_take (rows->term->scheduler, row, now, wall_ms (), &error))
     warn_unreadable (rows, error);
 }
@@ -90,5 +91,5 @@
 void
 ft_leader_rows_note_read_complete (FtLeaderRows *rows)
 {
-  ft_leader_rows_cancellations_known (rows, rows->read_at);
+  ft_leader_rows_cancellations_known (rows, rows->read_started_at);
 }
--- a/src/net/leader_term.h
+++ b/src/net/leader_term.h
@@ -1,17 +1,17 @@
-/* The term of a leader, as far as all parts of the leader (leader_*.c) share it.
+/* The term of a leader, which all modules of the leader (leader_*.c) share.
  *
- * Owned by leader.c, which alone changes it; the other parts and their requests borrow it for the
- * controller's life. Private to the leader_*.c files. */
+ * leader.c owns it and is the only module that changes it; the other modules and their requests borrow
+ * it for the controller's life. Private to the leader_*.c files. */
 #pragma once
 #include "core/scheduler.h"
 #include "net/node.h"
 
 /**
  * FtLeaderSuperseded:
- * @reason: static text for the log line
- * @data: what was passed with the callback
+ * @reason: static text that says what shows the other leader, for the log line
+ * @data: the pointer that was passed with the callback
  *
- * An answer has shown that another controller leads.
+ * Called when an answer shows that another controller leads.
  */
 typedef void (*FtLeaderSuperseded) (const char *reason, gpointer data);
 
@@ -19,20 +19,22 @@
  * FtLeaderTerm:
  * @node: borrowed
  * @scheduler: owned; %NULL while this controller does not lead
- * @number: counts up whenever leading begins or ends, so that answers of an earlier term are dropped
- * @led_since: when the term began; monotonic, microseconds
- * @progress: carries out the scheduler's next actions; called when an answer gave it news
- * @progress_data: for @progress
- * @superseded: ends the term
- * @superseded_data: for @superseded
+ * @number: incremented whenever a term begins or ends, so that an answer to a request of an earlier
+ *     term can be dropped
+ * @began_at: when the term began, or the last one if this controller does not lead; monotonic,
+ *     microseconds
+ * @progress: carries out the scheduler's next actions; called when an answer has changed its state
+ * @progress_data: data of @progress
+ * @superseded: ends the term; called when an answer shows that another controller leads
+ * @superseded_data: data of @superseded
  *
- * The present term, or that none is.
+ * The current term of this controller. While the controller does not lead, there is no scheduler.
  */
 typedef struct {
   FtNode *node;
   FtScheduler *scheduler;
   guint number;
-  gint64 led_since;
+  gint64 began_at;
   void (*progress) (gpointer data);
   gpointer progress_data;
   FtLeaderSuperseded superseded;
--- a/src/net/leader_watch.c
+++ b/src/net/leader_watch.c
@@ -9,8 +9,8 @@
 struct _FtLeaderWatch {
   FtLeaderTerm *term; /* borrowed */
   FtLeaderRows *rows; /* borrowed */
-  gboolean in_flight; /* a poll awaits its answer */
-  gint64 not_before;  /* the next one is not sent before; monotonic, microseconds */
+  gboolean in_flight; /* whether a poll awaits its answer */
+  gint64 not_before;  /* the next poll is not sent before this time; monotonic, microseconds */
 };
 
 FtLeaderWatch *
@@ -48,7 +48,7 @@
   FtLeaderWatch *watch = request->owner;
   watch->in_flight = FALSE;
   if (result == FT_STORE_COMPACTED) {
-    /* The store no longer has all changes since the known revision. */
+    /* The store no longer has all changes since the known revision, so the rows are read again. */
     ft_leader_recovery_start (watch->rows, ft_leader_watch_resume, watch);
     return FT_LEADER_OUTCOME_DONE;
   }
--- a/src/net/leader_watch.h
+++ b/src/net/leader_watch.h
@@ -1,4 +1,5 @@
-/* The watch: a long poll by which the leader learns of jobs that were accepted or cancelled. */
+/* The watch: a long poll that returns to the leader the jobs that were accepted or cancelled since the
+ * previous poll. */
 #pragma once
 #include "net/leader_rows.h"
 
@@ -6,8 +7,8 @@
 
 /**
  * ft_leader_watch_new:
- * @term: borrowed for life
- * @rows: borrowed for life; takes what the watch brings
+ * @term: borrowed for the life of the object
+ * @rows: receives the rows that the watch returns; borrowed for the life of the object
  *
  * Returns: (transfer full): the watch of a controller that does not lead
  */
@@ -15,14 +16,14 @@
 
 /**
  * ft_leader_watch_free:
- * @watch: (nullable) (transfer full): no answer may come any more
+ * @watch: (nullable) (transfer full): no answer to its poll may arrive any more
  */
 void ft_leader_watch_free (FtLeaderWatch *watch);
 
 /**
  * ft_leader_watch_end:
  *
- * The term is over: an answer that is still awaited will be dropped.
+ * Prepares for the next term when a term ends. The answer to a poll in flight will be dropped.
  */
 void ft_leader_watch_end (FtLeaderWatch *watch);
 
@@ -30,8 +31,8 @@
  * ft_leader_watch_tick:
  * @now: monotonic time in microseconds
  *
- * Starts the next poll if none is under way, it is due and the scheduler is loaded. To be called
- * while this controller leads.
+ * Starts the next poll if none is in flight, it is due and the scheduler is loaded. It must only be
+ * called while this controller leads.
  */
 void ft_leader_watch_tick (FtLeaderWatch *watch, gint64 now);
 
@@ -39,6 +40,7 @@
  * ft_leader_watch_resume:
  * @watch: the FtLeaderWatch
  *
- * The rows have been read (an FtLeaderRecovered): the next poll need not wait.
+ * Makes the next poll due at once, because the recovery has read the rows. It is the
+ * FtLeaderRecovered callback of the leader's recoveries.
  */
 void ft_leader_watch_resume (gpointer watch);
