--- a/src/net/leadership.c
+++ b/src/net/leadership.c
@@ -11,19 +11,19 @@
 #include "wire/store.h"
 
 struct _FtLeadership {
-  FtNode *node; /* borrowed */
-  gboolean sweep_in_flight;
-  guint renewal_term;     /* the leader's term whose renewal is in flight; 0: none */
-  gint64 answering_since; /* workers got no answer of ours until then */
-  gint64 on_time_since;   /* our timers were late until then */
-  gint64 gave_way_at;     /* when we last resigned or yielded; 0: never */
+  FtNode *node;             /* borrowed */
+  gboolean sweep_in_flight; /* whether a sweep awaits its answer */
+  guint renewal_term;       /* number of the term whose renewal is in flight; 0: none */
+  gint64 answering_since;   /* when the lease last forbade answering worker heartbeats; 0: never */
+  gint64 on_time_since;     /* when the last delay of this process's timers ended; 0: there was none */
+  gint64 yielded_at;        /* when this controller last resigned or yielded; 0: never */
 };
 
-/* A request for the lease, from sending to its answer. */
+/* A read, claim, renewal or release of the lease, from sending until its answer. */
 typedef struct {
   FtLeadership *leadership;
-  gint64 sent_at;
-  guint term;
+  gint64 sent_at; /* monotonic, microseconds */
+  guint term;     /* number of the term in which it was sent */
 } LeaseRequest;
 
 static guint
@@ -71,10 +71,10 @@
 }
 
 void
-ft_leadership_step_down (FtLeadership *leadership, const char *why)
+ft_leadership_step_down (FtLeadership *leadership, const char *reason)
 {
   FtNode *node = leadership->node;
-  g_message ("node %s: steps down: %s", node->config->member, why);
+  g_message ("node %s: steps down: %s", node->config->member, reason);
   ft_metrics_count (node->metrics, FT_COUNT_STEP_DOWNS);
   ft_lease_lost (node->lease, g_get_monotonic_time ());
   end_term (leadership);
@@ -86,7 +86,7 @@
   ft_leadership_step_down (data, reason);
 }
 
-/* ---- the sweep: reading the lease's rows ---- */
+/* ---- sweeps: periodic reads of the lease's rows ---- */
 
 static void
 on_sweep (FtStoreResult result, const json_t *body, gpointer data)
@@ -158,12 +158,12 @@
   if (result == FT_STORE_OK)
     ft_lease_renewed (lease, request->sent_at);
   else if (result == FT_STORE_CONFLICT)
-    ft_leadership_step_down (leadership, "the fence has moved on");
+    ft_leadership_step_down (leadership, "another controller has changed the fence row");
   else
     ft_lease_renew_failed (lease, g_get_monotonic_time ());
 }
 
-/* Nothing depends on the answer: if the release is lost, the lease expires. */
+/* Ignores the answer: if the release is lost, the lease expires by itself. */
 static void
 on_released (G_GNUC_UNUSED FtStoreResult result, G_GNUC_UNUSED const json_t *body, gpointer data)
 {
@@ -196,29 +196,31 @@
 
 /* ---- resigning and yielding ---- */
 
-/* No worker is heard although the store answers: another controller may reach them. */
+/* Whether no worker heartbeat has arrived for longer than the longest ordinary gap, although the workers
+ * had time to send theirs to this leader. Another controller may still receive them. */
 static gboolean
 is_cut_off (const FtLeadership *leadership, gint64 now)
 {
   const FtNode *node = leadership->node;
   gint64 longest_gap = seconds (node->config->core.heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S);
-  /* While it answers nobody the workers ask elsewhere: after an outage a leader gave up
-   * the lease that it had just renewed, and nobody led for another failover. */
+  /* While this controller may not answer heartbeats, workers send them to other controllers. Without
+   * this grace period a leader that had just renewed its lease after an outage of the store released
+   * the lease, and no controller led until the next failover was over. */
   gint64 answering_since = MAX (ft_leader_term_began_at (node->leader), leadership->answering_since);
   if (now - answering_since < seconds (FT_CUT_OFF_GRACE_S))
     return FALSE;
-  /* What was not received while this process stood still proves nothing. */
+  /* Heartbeats that did not arrive while this process was stalled prove nothing. */
   gint64 receiving_since = MAX (answering_since, leadership->on_time_since);
   const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
-  gint64 heard_at = MAX (receiving_since, ft_scheduler_last_heard (scheduler));
-  return node->config->peers->len > 0 && now - heard_at > longest_gap
+  gint64 last_heartbeat_at = MAX (receiving_since, ft_scheduler_last_heard (scheduler));
+  return node->config->peers->len > 0 && now - last_heartbeat_at > longest_gap
          && ft_scheduler_up (scheduler) >= FT_CUT_OFF_MACHINES;
 }
 
-/* A controller that computes slower than before falls behind its workers, and another may not.
- * But one that leads where none could keep up must not be followed by the next for that alone,
- * hence the time it must have led; and there is no successor while the others cannot reach the
- * store. */
+/* Whether worker heartbeats have waited too long for FT_OVERRUN_S. A controller that has become slow cannot
+ * keep up with the heartbeats, and another controller may. If no controller can keep up, the controllers
+ * must not replace each other for that reason alone; hence the leader must have led for FT_OVERRUN_LED_S.
+ * A peer must reach the store, because otherwise no controller could succeed this one. */
 static gboolean
 is_overrun (const FtLeadership *leadership, gint64 now)
 {
@@ -229,16 +231,16 @@
          && now - ft_leader_term_began_at (node->leader) > seconds (FT_OVERRUN_LED_S);
 }
 
-/* Why another controller should lead, for the log line; NULL: no reason is known. */
+/* The reason why this leader should resign, for the log line; NULL: there is none. */
 static const char *
 reason_to_resign (const FtLeadership *leadership, gint64 now)
 {
   if (!ft_lease_may_start (leadership->node->lease, now))
     return NULL;
   if (is_cut_off (leadership, now))
-    return "hears from no worker";
+    return "receives no worker heartbeats";
   if (is_overrun (leadership, now))
-    return "cannot keep up with its workers";
+    return "cannot keep up with the worker heartbeats";
   return NULL;
 }
 
@@ -254,49 +256,50 @@
 should_yield (const FtLeadership *leadership, gint64 now)
 {
   const FtNode *node = leadership->node;
-  /* Requests that failed while this process stood still are no sign of a cut network. */
+  /* Requests that failed while this process was stalled do not show a network fault. */
   gint64 steady_since = MAX (ft_leader_term_began_at (node->leader), leadership->on_time_since);
   return ft_lease_state (node->lease) == FT_LEASE_HOLDING && now > steady_since + seconds (FT_CUT_OFF_GRACE_S)
          && ft_leadership_store_unreachable_only_here (leadership, now);
 }
 
-/* The peers are told with the next heartbeat, which is sent at once, and then look at the
- * lease's rows; like all that they are told this is advisory. */
+/* Makes the next heartbeat to the peers due at once, and makes heartbeats say that this controller yields.
+ * The peers then read the lease's rows. Like all content of these heartbeats this is advisory. */
 static void
-tell_peers (FtLeadership *leadership, gint64 now)
+advertise_yield (FtLeadership *leadership, gint64 now)
 {
-  leadership->gave_way_at = now;
+  leadership->yielded_at = now;
   ft_peers_schedule_heartbeat (leadership->node->peers, now);
 }
 
-/* The leader keeps its state, and the workers' leases alive within the answer grace period: the
- * store may fail for everybody a second later, and then nobody would succeed it, nobody stop
- * what users have cancelled, and nobody terminate machines whose tasks hang. */
+/* The leader keeps its state, and extends the workers' leases within the answer grace period. The store may
+ * fail for all controllers a second later. Then no controller could succeed this leader, and if it had
+ * resigned, none would stop cancelled tasks or terminate machines whose tasks hang. */
 static void
 yield_leadership (FtLeadership *leadership, gint64 now)
 {
   FtNode *node = leadership->node;
-  g_warning ("node %s: cannot reach the state service, which others reach: starts nothing more", node->config->member);
+  g_warning ("node %s: cannot reach the key-value store, which a peer reaches: yields and starts no more tasks",
+             node->config->member);
   ft_lease_yield (node->lease, now);
-  tell_peers (leadership, now);
+  advertise_yield (leadership, now);
 }
 
 static void
-resign (FtLeadership *leadership, gint64 now, const char *why)
+resign (FtLeadership *leadership, gint64 now, const char *reason)
 {
   FtNode *node = leadership->node;
-  g_warning ("node %s: %s, gives the lease up", node->config->member, why);
+  g_warning ("node %s: %s, releases the lease", node->config->member, reason);
   if (ft_lease_may_start (node->lease, now))
     write_renewal (leadership, TRUE, on_released);
   ft_lease_released (node->lease, now);
   end_term (leadership);
-  tell_peers (leadership, now);
+  advertise_yield (leadership, now);
 }
 
 gboolean
 ft_leadership_advertises_yield (const FtLeadership *leadership, gint64 now)
 {
-  return leadership->gave_way_at > 0 && now - leadership->gave_way_at < seconds (FT_YIELD_ADVERTISED_S);
+  return leadership->yielded_at > 0 && now - leadership->yielded_at < seconds (FT_YIELD_ADVERTISED_S);
 }
 
 const char *
@@ -305,8 +308,8 @@
   const FtNode *node = leadership->node;
   if (leads (leadership))
     return node->config->member;
-  const char *named_by_peers = ft_peers_leader (node->peers);
-  return named_by_peers != NULL ? named_by_peers : ft_lease_holder (node->lease);
+  const char *leader_of_peers = ft_peers_leader (node->peers);
+  return leader_of_peers != NULL ? leader_of_peers : ft_lease_holder (node->lease);
 }
 
 /* ---- the timer ---- */
@@ -342,9 +345,9 @@
   send_due_requests (leadership, now);
   if (!leads (leadership))
     return;
-  const char *why = reason_to_resign (leadership, now);
-  if (why != NULL)
-    resign (leadership, now, why);
+  const char *reason = reason_to_resign (leadership, now);
+  if (reason != NULL)
+    resign (leadership, now, reason);
   else if (should_yield (leadership, now))
     yield_leadership (leadership, now);
 }
@@ -355,7 +358,7 @@
   leadership->on_time_since = now;
 }
 
-/* ---- life ---- */
+/* ---- construction ---- */
 
 FtLeadership *
 ft_leadership_new (FtNode *node)
