--- a/src/net/node_peers.c
+++ b/src/net/node_peers.c
@@ -6,14 +6,14 @@
 #include "net/leadership.h"
 #include "net/store_client.h"
 
-/* ---- our heartbeat ---- */
+/* ---- composing this controller's heartbeat ---- */
 
 static void
 add_job (const FtJobInfo *job, gpointer data)
 {
   FtPeerHeartbeat *heartbeat = data;
-  /* For display only: what is left out shows as queued. A body beyond the limit would be
-   * refused as a whole. */
+  /* The jobs are for display only: followers show the tasks of an omitted job as queued. A peer would
+   * refuse a heartbeat with too large a body as a whole. */
   if ((job->done > 0 || job->running > 0) && heartbeat->jobs->len < FT_PEER_JOBS_MAX)
     ft_peer_heartbeat_add_job (heartbeat, job->ref, job->done, job->running);
 }
@@ -34,7 +34,7 @@
   ft_scheduler_each_job (scheduler, add_job, heartbeat);
 }
 
-/* ---- theirs ---- */
+/* ---- handling the peers' heartbeats ---- */
 
 static void
 apply_advisory_cancellation (FtNode *node, const char *ref)
@@ -57,9 +57,9 @@
 on_heartbeat (const FtPeerHeartbeat *heartbeat, gint64 now, gpointer data)
 {
   FtNode *node = data;
-  /* Only a controller that has moved the fence leads under a higher token: it succeeds us. */
+  /* A controller that leads under a higher token has changed the fence row, and so succeeds this one. */
   if (ft_leader_scheduler (node->leader) != NULL && heartbeat->token > ft_lease_token (node->lease))
-    ft_leadership_step_down (node->leadership, "a peer leads under a higher token");
+    ft_leadership_step_down (node->leadership, "a peer leads under a higher fencing token");
   apply_advisory_cancellations (node, heartbeat->cancellations);
   if (heartbeat->yields)
     ft_lease_suspect (node->lease, heartbeat->member, TRUE, now);
--- a/src/net/node_peers.h
+++ b/src/net/node_peers.h
@@ -1,4 +1,4 @@
-/* What this controller tells its peers of itself, and what it does about their heartbeats. */
+/* What this controller's heartbeats say to its peers, and how it reacts to the peers' heartbeats. */
 #pragma once
 #include "net/node.h"
 #include "net/peers.h"
@@ -6,16 +6,17 @@
 /**
  * ft_node_peers_hooks:
  *
- * For the node's FtPeers; the hooks' data is the FtNode.
+ * The hooks of the node's FtPeers; their data is the FtNode.
  */
 extern const FtPeersHooks ft_node_peers_hooks;
 
 /**
  * ft_node_announce_cancellation:
- * @ref: a job whose cancellation a user has asked for here, and which was committed now
+ * @ref: a job whose cancellation a user has requested from this controller; the cancellation was
+ *     committed now
  *
- * Our scheduler and the peers learn of it at once. The leader would see it by its watch; one that
- * the store refuses would not, and would go on with the job's tasks until its answer grace period
- * is over.
+ * Reports the cancellation at once to this controller's scheduler, if it leads, and to the peers. The
+ * leader would also learn of it by its watch. But a leader that the key-value store refuses would not,
+ * and would keep the job's tasks running until its answer grace period is over.
  */
 void ft_node_announce_cancellation (FtNode *node, const char *ref);
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -4,45 +4,47 @@
 
 #include "core/constants.h"
 
-/* Connections to one peer, and to all of them. */
+/* Maximum number of connections to one peer. */
 #define CONNECTIONS_PER_PEER 2
-#define CONNECTIONS_MOST 16
+/* Maximum number of connections to all peers together. */
+#define CONNECTIONS_MAX 16
 
-/* One of the other controllers. */
+/* The state of one peer. All times are monotonic, in microseconds. */
 typedef struct {
-  const FtPeer *address;          /* borrowed of the settings */
-  gint64 heard_at;                /* its last heartbeat; 0: none yet */
-  gboolean supports_dependencies; /* its version knows of jobs that depend on others */
-  gint64 served_at;               /* when the store last answered it, on our clock */
-  gboolean in_flight;             /* a heartbeat of ours awaits its answer */
-  gint64 sent_at;                 /* our last heartbeat */
-  gint64 answered_at;             /* its last answer to one */
-  guint refusals_in_row;          /* our heartbeats whose connection it refused, since it answered or was silent */
+  const FtPeer *address;          /* its name and address; borrowed from the configuration */
+  gint64 last_heartbeat_at;       /* when its last heartbeat arrived; 0: none has */
+  gboolean supports_dependencies; /* whether its version supports dependencies of jobs */
+  gint64 served_at;               /* when the store last answered it, on this controller's clock; 0: not known */
+  gboolean in_flight;             /* whether a heartbeat to it awaits its answer */
+  gint64 sent_at;                 /* when the last heartbeat to it was sent */
+  gint64 answered_at;             /* when it last answered a heartbeat; 0: never */
+  guint refusals_in_row;          /* connections it refused in a row, since the last answer or timeout */
 } Peer;
 
 struct _FtPeers {
   const FtConfig *config;    /* borrowed */
   FtMalformedLog *malformed; /* borrowed */
   const FtPeersHooks *hooks; /* borrowed */
-  gpointer data;             /* of the hooks */
+  gpointer data;             /* passed to the hooks */
   FtHttpClient *client;
-  GArray *all;  /* Peer */
-  char *leader; /* as the peers name it; NULL: not yet */
-  guint64 leader_token;
-  GHashTable *job_progress;    /* ref -> FtJobProgress, of the leader's last heartbeat */
-  GQueue recent_cancellations; /* RecentCancellation, oldest first: what we have committed of late */
-  gint64 next_heartbeat_at;
+  GArray *all;                 /* elements: Peer */
+  char *leader;                /* owned: the leader with the highest fencing token so far; NULL: none yet */
+  guint64 leader_token;        /* of `leader`; 0: none yet */
+  GHashTable *job_progress;    /* job's ref -> FtJobProgress, from the leader's last heartbeat */
+  GQueue recent_cancellations; /* elements: RecentCancellation, oldest first */
+  gint64 next_heartbeat_at;    /* monotonic, microseconds */
 };
 
-/* A heartbeat that awaits its answer. */
+/* The context of a heartbeat that awaits its answer. */
 typedef struct {
   FtPeers *peers;
-  guint index; /* of the peer */
+  guint index; /* of the peer in `all` */
 } HeartbeatRequest;
 
+/* A cancellation that this controller has committed recently. */
 typedef struct {
-  char *ref;
-  gint64 committed_at;
+  char *ref;           /* of the job; owned */
+  gint64 committed_at; /* monotonic, microseconds */
 } RecentCancellation;
 
 static Peer *
@@ -51,7 +53,7 @@
   return &g_array_index (peers->all, Peer, i);
 }
 
-/* ---- cancellations: advisory, no rule rests on them ---- */
+/* ---- cancellations, which are advisory: nothing depends on their arrival ---- */
 
 static void
 recent_cancellation_free (RecentCancellation *cancellation)
@@ -61,7 +63,7 @@
 }
 
 static void
-forget_cancellations (FtPeers *peers, gint64 before)
+drop_old_cancellations (FtPeers *peers, gint64 before)
 {
   RecentCancellation *oldest;
   while ((oldest = g_queue_peek_head (&peers->recent_cancellations)) != NULL && oldest->committed_at < before)
@@ -78,17 +80,17 @@
   ft_peers_schedule_heartbeat (peers, cancellation->committed_at);
 }
 
-/* The newest first: the oldest are left out of a full heartbeat. */
+/* Adds the newest cancellations first, so that the oldest are omitted if there are too many. */
 static void
 add_cancellations (FtPeers *peers, FtPeerHeartbeat *heartbeat, gint64 now)
 {
-  forget_cancellations (peers, now - (gint64) (FT_PEER_CANCELLATIONS_S * FT_SECOND));
+  drop_old_cancellations (peers, now - (gint64) (FT_PEER_CANCELLATIONS_S * FT_SECOND));
   for (GList *link = peers->recent_cancellations.tail;
        link != NULL && heartbeat->cancellations->len < FT_PEER_CANCELLATIONS_MAX; link = link->prev)
     g_ptr_array_add (heartbeat->cancellations, g_strdup (((RecentCancellation *) link->data)->ref));
 }
 
-/* ---- life ---- */
+/* ---- construction ---- */
 
 FtPeers *
 ft_peers_new (const FtConfig *config, FtMalformedLog *malformed, const FtPeersHooks *hooks, gpointer data)
@@ -98,7 +100,7 @@
   peers->malformed = malformed;
   peers->hooks = hooks;
   peers->data = data;
-  peers->client = ft_http_client_new (CONNECTIONS_PER_PEER, CONNECTIONS_MOST);
+  peers->client = ft_http_client_new (CONNECTIONS_PER_PEER, CONNECTIONS_MAX);
   peers->all = g_array_new (FALSE, TRUE, sizeof (Peer));
   for (guint i = 0; i < config->peers->len; i++) {
     Peer peer = { .address = &g_array_index (config->peers, FtPeer, i) };
@@ -124,6 +126,7 @@
 
 /* ---- sending ---- */
 
+/* Whether any peer has answered within FT_PEER_WITNESS_S and has refused no connection since. */
 static gboolean
 another_peer_answers (const FtPeers *peers, gint64 now)
 {
@@ -136,13 +139,13 @@
   return FALSE;
 }
 
-/* The connection was refused at once: the peer's host runs, but nothing listens. */
+/* Handles a connection that failed at once: the peer's host runs, but no process listens there. */
 static void
 on_refused (FtPeers *peers, Peer *peer, gint64 now)
 {
   peer->refusals_in_row++;
   ft_peers_schedule_heartbeat (peers, MIN (peers->next_heartbeat_at, now + (gint64) (FT_PEER_RETRY_S * FT_SECOND)));
-  gboolean silent = now - peer->heard_at > (gint64) (FT_PEER_EVERY_S * FT_SECOND);
+  gboolean silent = now - peer->last_heartbeat_at > (gint64) (FT_PEER_EVERY_S * FT_SECOND);
   if (peer->refusals_in_row >= FT_PEER_REFUSALS && silent)
     peers->hooks->suspected (peer->address->member, another_peer_answers (peers, now), now, peers->data);
 }
@@ -159,7 +162,7 @@
   if (answered)
     peer->answered_at = now;
   if (answered || timed_out)
-    peer->refusals_in_row = 0; /* a cut network times out, it does not refuse */
+    peer->refusals_in_row = 0; /* a network fault shows as a timeout, not as a refusal */
   else
     on_refused (request->peers, peer, now);
 }
@@ -201,9 +204,9 @@
 
 /* ---- receiving ---- */
 
-/* What a leader says of its jobs; one under a lower token was succeeded. */
+/* Records the sender as the leader, and its jobs' progress. A sender with a lower token was succeeded. */
 static void
-take_summary (FtPeers *peers, const FtPeerHeartbeat *heartbeat)
+record_leader_summary (FtPeers *peers, const FtPeerHeartbeat *heartbeat)
 {
   if (heartbeat->token < peers->leader_token)
     return;
@@ -239,29 +242,29 @@
     ft_http_respond (request, FT_HTTP_BAD_REQUEST, NULL);
     return;
   }
-  peer->heard_at = g_get_monotonic_time ();
+  peer->last_heartbeat_at = g_get_monotonic_time ();
   peer->supports_dependencies = heartbeat->supports_dependencies;
   if (heartbeat->served)
-    peer->served_at = peer->heard_at - (gint64) heartbeat->served_ms_ago * FT_MILLISECOND;
+    peer->served_at = peer->last_heartbeat_at - (gint64) heartbeat->served_ms_ago * FT_MILLISECOND;
   if (heartbeat->token > 0)
-    take_summary (peers, heartbeat);
-  peers->hooks->received (heartbeat, peer->heard_at, peers->data);
+    record_leader_summary (peers, heartbeat);
+  peers->hooks->received (heartbeat, peer->last_heartbeat_at, peers->data);
   ft_http_respond (request, FT_HTTP_OK, json_object ());
 }
 
-/* ---- what is known of them ---- */
+/* ---- state of the peers ---- */
 
 static gboolean
-is_heard (const Peer *peer, gint64 now)
+is_live (const Peer *peer, gint64 now)
 {
-  return peer->heard_at > 0 && now - peer->heard_at <= (gint64) (FT_PEER_FRESH_S * FT_SECOND);
+  return peer->last_heartbeat_at > 0 && now - peer->last_heartbeat_at <= (gint64) (FT_PEER_FRESH_S * FT_SECOND);
 }
 
 gboolean
 ft_peers_any_served_by_store (const FtPeers *peers, gint64 after, gint64 now)
 {
   for (guint i = 0; i < peers->all->len; i++)
-    if (is_heard (peer_at (peers, i), now) && peer_at (peers, i)->served_at > after)
+    if (is_live (peer_at (peers, i), now) && peer_at (peers, i)->served_at > after)
       return TRUE;
   return FALSE;
 }
@@ -270,7 +273,7 @@
 ft_peers_any_lacks_dependencies (const FtPeers *peers, gint64 now)
 {
   for (guint i = 0; i < peers->all->len; i++)
-    if (is_heard (peer_at (peers, i), now) && !peer_at (peers, i)->supports_dependencies)
+    if (is_live (peer_at (peers, i), now) && !peer_at (peers, i)->supports_dependencies)
       return TRUE;
   return FALSE;
 }
@@ -279,7 +282,7 @@
 ft_peers_any_live (const FtPeers *peers, gint64 now)
 {
   for (guint i = 0; i < peers->all->len; i++)
-    if (is_heard (peer_at (peers, i), now))
+    if (is_live (peer_at (peers, i), now))
       return TRUE;
   return FALSE;
 }
@@ -309,8 +312,8 @@
 }
 
 const FtPeer *
-ft_peers_get (const FtPeers *peers, guint index, gint64 *heard_at)
+ft_peers_get (const FtPeers *peers, guint index, gint64 *last_heartbeat_at)
 {
-  *heard_at = peer_at (peers, index)->heard_at;
+  *last_heartbeat_at = peer_at (peers, index)->last_heartbeat_at;
   return peer_at (peers, index)->address;
 }
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -1,13 +1,13 @@
-/* The other controllers: the heartbeats that controllers send each other, and what the peers'
- * heartbeats have said.
+/* The other controllers: the heartbeats that controllers send each other, and the state of the peers
+ * according to their last heartbeats.
  *
- * A heartbeat tells whether the key-value store serves its sender, which cancellations it has
- * committed of late, and, from the leader, the progress of the running jobs. All of it is
- * advisory: nothing here decides who leads, the fence in the store does. What this controller
- * says of itself, and what it does about a heartbeat, is supplied by FtPeersHooks.
+ * A heartbeat says whether the key-value store serves its sender, which cancellations the sender has
+ * committed recently, and, if the sender leads, the progress of its jobs. All of it is advisory:
+ * leadership is decided only by the fence row in the store. FtPeersHooks supplies what this controller
+ * says of itself and reacts to the peers' heartbeats.
  *
- * All times are monotonic, in microseconds, of this controller's clock. A peer counts as heard
- * for FT_PEER_FRESH_S after its last heartbeat. */
+ * All times are monotonic, in microseconds, of this controller's clock. A peer counts as live for
+ * FT_PEER_FRESH_S after its last heartbeat. */
 #pragma once
 #include "config.h"
 #include "core/scheduler.h"
@@ -18,19 +18,20 @@
 /**
  * FtPeers:
  *
- * The peers of this controller; one per process, owned by the node.
+ * The peers of this controller. There is one object per process, owned by the node.
  */
 typedef struct _FtPeers FtPeers;
 
 /**
  * FtPeersHooks:
- * @compose: fills in what this controller says of itself; the member and the cancellations are
- *     there already
- * @received: a valid heartbeat of a known peer was taken in; borrowed for the call
- * @suspected: the peer refuses connections and is silent, so its process has most likely ended;
- *     `confirmed` if another peer answers us, so that the network is not what fails
+ * @compose: adds to a heartbeat what this controller says of itself; the heartbeat has the member's
+ *     name and the cancellations already
+ * @received: called for each valid heartbeat of a configured peer, which is borrowed for the call
+ * @suspected: called when a peer refuses connections and sends no heartbeats, so that its process has
+ *     most likely ended; `confirmed` if another peer answers this controller, so that the network is
+ *     not the cause
  *
- * What the owner supplies; `data` is that of ft_peers_new().
+ * Callbacks of the owner; `data` is that of ft_peers_new().
  */
 typedef struct {
   void (*compose) (FtPeerHeartbeat *heartbeat, gint64 now, gpointer data);
@@ -40,14 +41,14 @@
 
 /**
  * ft_peers_new:
- * @config: names the peers
- * @malformed: is given heartbeats that cannot be read
- * @hooks: what the owner supplies
- * @data: of @hooks
+ * @config: contains the peers' names and addresses
+ * @malformed: log of heartbeats that cannot be read
+ * @hooks: callbacks of the owner
+ * @data: data of @hooks
  *
  * All arguments are borrowed for the life of the object.
  *
- * Returns: (transfer full): the peers, of which nothing was heard yet
+ * Returns: (transfer full): the peers, none of which has sent a heartbeat yet
  */
 FtPeers *ft_peers_new (const FtConfig *config, FtMalformedLog *malformed, const FtPeersHooks *hooks, gpointer data);
 
@@ -61,27 +62,31 @@
  * ft_peers_tick:
  * @now: monotonic time
  *
- * Sends a heartbeat to every peer, if they are due, but for one whose last is still under way.
+ * If heartbeats are due, sends one to every peer whose previous heartbeat is no longer in flight.
  */
 void ft_peers_tick (FtPeers *peers, gint64 now);
 
 /**
  * ft_peers_schedule_heartbeat:
- * @at: monotonic time from which the next heartbeats are due
+ * @at: monotonic time at which the next heartbeats to all peers are due
  */
 void ft_peers_schedule_heartbeat (FtPeers *peers, gint64 at);
 
 /**
  * ft_peers_handle_heartbeat:
- * @request: (transfer full): a peer's heartbeat, which is answered
+ * @request: (transfer full): a peer's heartbeat
+ *
+ * Records what the heartbeat says, calls the owner's hook and answers the request. A heartbeat that is
+ * malformed or of an unknown member is logged and answered with 400.
  */
 void ft_peers_handle_heartbeat (FtPeers *peers, FtHttpRequest *request);
 
 /**
  * ft_peers_add_cancellation:
- * @ref: a job whose cancellation was committed here now
+ * @ref: a job whose cancellation this controller has committed now
  *
- * Makes the heartbeats of the next FT_PEER_CANCELLATIONS_S say so, the first of them due at once.
+ * Includes the cancellation in the heartbeats of the next FT_PEER_CANCELLATIONS_S, and makes the next
+ * heartbeats due at once.
  */
 void ft_peers_add_cancellation (FtPeers *peers, const char *ref);
 
@@ -90,7 +95,7 @@
  * @after: monotonic time
  * @now: monotonic time
  *
- * Returns: whether the key-value store has answered a peer that is heard after @after
+ * Returns: whether the key-value store has answered a live peer after @after
  */
 gboolean ft_peers_any_served_by_store (const FtPeers *peers, gint64 after, gint64 now);
 
@@ -98,7 +103,7 @@
  * ft_peers_any_lacks_dependencies:
  * @now: monotonic time
  *
- * Returns: whether a peer that is heard runs a version that ignores what jobs depend on
+ * Returns: whether a live peer runs a version that ignores the dependencies of jobs
  */
 gboolean ft_peers_any_lacks_dependencies (const FtPeers *peers, gint64 now);
 
@@ -106,22 +111,22 @@
  * ft_peers_any_live:
  * @now: monotonic time
  *
- * Returns: whether any peer is heard
+ * Returns: whether any peer is live
  */
 gboolean ft_peers_any_live (const FtPeers *peers, gint64 now);
 
 /**
  * ft_peers_leader:
  *
- * Returns: (transfer none) (nullable): the member that leads under the highest fencing token that
- *     a peer has told, NULL if none has yet
+ * Returns: (transfer none) (nullable): the peer that leads according to the heartbeat with the highest
+ *     fencing token; %NULL until a leader's heartbeat has arrived
  */
 const char *ft_peers_leader (const FtPeers *peers);
 
 /**
  * ft_peers_leader_token:
  *
- * Returns: the fencing token of ft_peers_leader(), 0 if there is none yet
+ * Returns: the fencing token of ft_peers_leader(); 0 until a leader's heartbeat has arrived
  */
 guint64 ft_peers_leader_token (const FtPeers *peers);
 
@@ -129,8 +134,8 @@
  * ft_peers_job_progress:
  * @ref: a job
  *
- * Returns: (transfer none) (nullable): its progress by the last heartbeat of ft_peers_leader(),
- *     NULL if that does not have it
+ * Returns: (transfer none) (nullable): the job's progress according to the last heartbeat of
+ *     ft_peers_leader(); %NULL if that does not contain the job
  */
 const FtJobProgress *ft_peers_job_progress (const FtPeers *peers, const char *ref);
 
@@ -143,9 +148,9 @@
 
 /**
  * ft_peers_get:
- * @index: of a peer, in the order of the settings
- * @heard_at: (out): when its last heartbeat came, 0 if none has yet
+ * @index: index of a peer, in the order of the settings file
+ * @last_heartbeat_at: (out): when the peer's last heartbeat arrived; 0 if none has
  *
  * Returns: (transfer none): the peer's name and address
  */
-const FtPeer *ft_peers_get (const FtPeers *peers, guint index, gint64 *heard_at);
+const FtPeer *ft_peers_get (const FtPeers *peers, guint index, gint64 *last_heartbeat_at);
