--- a/src/net/settings_reader.c
+++ b/src/net/settings_reader.c
@@ -9,10 +9,10 @@
   FtStoreClient *store;   /* borrowed */
   FtSettingsChanged changed;
   gpointer data;
-  FtTuning tuning;     /* in force */
-  guint64 version;     /* revision of their row; 0: the defaults are in force */
-  gint64 next_read_at; /* monotonic, microseconds */
-  gboolean in_flight;  /* the row is being read */
+  FtTuning tuning;     /* the settings in force */
+  guint64 version;     /* revision of the row that contains them; 0: the defaults are in force */
+  gint64 next_read_at; /* when the row is read next; monotonic, microseconds */
+  gboolean in_flight;  /* whether a read of the row awaits its answer */
 };
 
 FtSettingsReader *
@@ -33,7 +33,7 @@
   g_free (reader);
 }
 
-/* The operators' choice, else what the environment says. */
+/* The log level that operators have set, else that of the environment, else "error". */
 static const char *
 log_level (const FtTuning *tuning)
 {
@@ -54,7 +54,8 @@
   reader->version = version;
   reader->changed (tuning, reader->data);
   ft_log_set_level (log_level (tuning));
-  g_message ("node %s: operators' settings of version %" G_GUINT64_FORMAT, reader->config->member, version);
+  g_message ("node %s: operators' settings of version %" G_GUINT64_FORMAT " are in force", reader->config->member,
+             version);
 }
 
 static void
--- a/src/net/settings_reader.h
+++ b/src/net/settings_reader.h
@@ -1,6 +1,6 @@
-/* The operators' settings in force, of which every controller reads the row of the key-value store
- * now and then. Their version is the row's revision. Shown and changed by admin_settings.c; used by
- * the leader for its scheduler. */
+/* The operators' settings in force. Every controller reads them periodically from their row in the
+ * key-value store; their version is the revision of that row. admin_settings.c shows and changes them;
+ * the leader passes them to its scheduler. */
 #pragma once
 #include "config.h"
 #include "core/tuning.h"
@@ -11,16 +11,16 @@
 /**
  * FtSettingsChanged:
  * @tuning: the settings that are in force from now on
- * @data: what was passed with the callback
+ * @data: the pointer that was passed with the callback
  */
 typedef void (*FtSettingsChanged) (const FtTuning *tuning, gpointer data);
 
 /**
  * ft_settings_reader_new:
- * @config: borrowed for life
- * @store: borrowed; no answer of it may come once the reader is freed
+ * @config: borrowed for the life of the reader
+ * @store: borrowed; none of its answers may arrive after the reader is freed
  * @changed: called whenever other settings come into force
- * @data: for @changed
+ * @data: data of @changed
  *
  * Returns: (transfer full): a reader with the default settings in force
  */
@@ -44,16 +44,16 @@
 /**
  * ft_settings_reader_read_soon:
  *
- * The row has changed: the next tick reads it.
+ * Makes the next tick read the row. Called when the row may have changed.
  */
 void ft_settings_reader_read_soon (FtSettingsReader *reader);
 
 /**
  * ft_settings_reader_apply:
  * @tuning: valid settings, copied
- * @version: revision of their row; 0: there is none
+ * @version: revision of the row that contains them; 0 if there is no row
  *
- * Puts settings in force, unless that version is.
+ * Puts the settings in force, unless @version is in force already and is not 0.
  */
 void ft_settings_reader_apply (FtSettingsReader *reader, const FtTuning *tuning, guint64 version);
 
@@ -67,6 +67,6 @@
 /**
  * ft_settings_reader_version:
  *
- * Returns: revision of the row of the settings in force; 0: the defaults are
+ * Returns: the revision of the row that contains the settings in force; 0 if the defaults are in force
  */
 guint64 ft_settings_reader_version (const FtSettingsReader *reader);
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -4,39 +4,41 @@
 #include "net/budget.h"
 #include "wire/store_messages.h"
 
-/* Connections for the lease's requests, and for the watch. */
+/* Connections for requests of FT_STORE_PRIORITY_LEASE. */
 #define LEASE_CONNECTIONS 2
+/* Connections for watches. */
 #define WATCH_CONNECTIONS 2
-/* Queues of requests, one for each priority. */
-#define QUEUES (FT_STORE_PRIORITY_READ + 1)
+/* Number of queues of requests, one for each priority. */
+#define QUEUE_COUNT (FT_STORE_PRIORITY_READ + 1)
 
-/* A request, from its submission until its callback has returned. */
+/* A request, from its submission until its callback returns. */
 typedef struct {
   FtStoreClient *store; /* borrowed */
   char *method, *path;
-  json_t *body; /* a reference; NULL: none */
+  json_t *body; /* a reference; NULL: the request has no body */
   double timeout_s;
   FtStorePriority priority;
-  guint writes;  /* changes that a transaction makes */
-  guint resends; /* after it was refused for the rate */
+  guint writes;  /* number of changes that the transaction makes; 0: the request changes nothing */
+  guint resends; /* times that it was sent again after a refusal for the rate limit */
   FtStoreDone done;
   gpointer data;
 } Request;
 
 struct _FtStoreClient {
   char *addr;
-  double rps, write_rps; /* the store's limits for all controllers, in a second */
+  double rps, write_rps; /* the store's limits for all controllers: requests and changes per second */
   FtHttpClient *client;
-  /* Leases and watches have connections of their own: behind commits a renewal
-   * could wait until the lease is gone. */
+  /* Requests for the lease and watches have separate connections: if renewals shared those of the
+   * commits, a renewal could wait until the lease has expired. */
   FtHttpClient *lease_client, *watch_client;
   FtBudget requests, writes;
-  GQueue queues[QUEUES]; /* Request, by priority; that of leases stays empty */
-  guint writes_waiting;  /* changes of the requests in the queues */
-  guint pump_timer;      /* looks at the queues again; 0: none */
-  gint64 last_served;    /* 0: never */
-  gint64 failing_since;  /* 0: it serves us */
-  guint in_flight;       /* requests that were sent and not answered */
+  /* Elements: Request. The index is the FtStorePriority; the queue of FT_STORE_PRIORITY_LEASE stays empty. */
+  GQueue queues[QUEUE_COUNT];
+  guint writes_waiting; /* number of changes that the requests in the queues make */
+  guint queue_timer;    /* ID of the timer that checks the queues again; 0: none */
+  gint64 last_served;   /* when the store last served a request; 0: never */
+  gint64 failing_since; /* when the first request failed since then, not counting throttled ones; 0: none has */
+  guint in_flight;      /* number of requests that were sent and not answered yet */
 };
 
 FtStoreClient *
@@ -53,7 +55,7 @@
   ft_budget_init (&store->requests, store->rps * FT_FOLLOWER_SHARE, store->rps * FT_FOLLOWER_SHARE, now);
   double writes = store->write_rps * FT_FOLLOWER_WRITE_SHARE;
   ft_budget_init (&store->writes, writes, writes, now);
-  for (int i = 0; i < QUEUES; i++)
+  for (int i = 0; i < QUEUE_COUNT; i++)
     g_queue_init (&store->queues[i]);
   return store;
 }
@@ -72,9 +74,9 @@
 {
   if (store == NULL)
     return;
-  if (store->pump_timer != 0)
-    g_source_remove (store->pump_timer);
-  for (int i = 0; i < QUEUES; i++)
+  if (store->queue_timer != 0)
+    g_source_remove (store->queue_timer);
+  for (int i = 0; i < QUEUE_COUNT; i++)
     g_queue_clear_full (&store->queues[i], (GDestroyNotify) request_free);
   ft_http_client_free (store->client);
   ft_http_client_free (store->lease_client);
@@ -94,10 +96,11 @@
 
 static void send_queued (FtStoreClient *store);
 
-/* Refused for the rate, so it was not executed: it is sent again once the budget allows it. Returns
- * FALSE, and leaves the request to the caller, if it must not wait or was resent too often. */
+/* Sends a request again once the budget allows it. The store has refused it for the rate limit, and so has
+ * not executed it. Returns FALSE, and leaves the request to the caller, if the request must not wait or
+ * was sent again too often. */
 static gboolean
-send_again (Request *request, gint64 now)
+resend_throttled (Request *request, gint64 now)
 {
   FtStoreClient *store = request->store;
   ft_budget_note_throttled (request->writes > 0 ? &store->writes : &store->requests, now);
@@ -135,7 +138,7 @@
   }
 }
 
-/* The store did its part of the request, whatever came of it. */
+/* Whether the store processed the request, whatever the result. */
 static gboolean
 is_served (FtStoreResult result)
 {
@@ -143,7 +146,7 @@
          || result == FT_STORE_COMPACTED;
 }
 
-/* Consumes the request unless it is sent again. */
+/* Handles an answer. Frees the request unless it is sent again. */
 static void
 on_answer (guint status, const json_t *body, gpointer data)
 {
@@ -152,7 +155,7 @@
   FtStoreResult result = result_of_status (status);
   gint64 now = g_get_monotonic_time ();
   store->in_flight--;
-  if (result == FT_STORE_THROTTLED && send_again (request, now))
+  if (result == FT_STORE_THROTTLED && resend_throttled (request, now))
     return;
   if (is_served (result)) {
     store->last_served = now;
@@ -173,55 +176,57 @@
 }
 
 static gboolean
-on_pump_timer (gpointer data)
+on_queue_timer (gpointer data)
 {
   FtStoreClient *store = data;
-  store->pump_timer = 0;
+  store->queue_timer = 0;
   send_queued (store);
   return G_SOURCE_REMOVE;
 }
 
 static void
-take_budgets (FtStoreClient *store, const Request *request)
+charge_budgets (FtStoreClient *store, const Request *request)
 {
   ft_budget_take (&store->requests, 1);
   ft_budget_take (&store->writes, request->writes);
 }
 
 static void
-pump_again_soon (FtStoreClient *store)
+schedule_queue_check (FtStoreClient *store)
 {
-  if (store->pump_timer == 0)
-    store->pump_timer = g_timeout_add (FT_BUDGET_WAIT_MS, on_pump_timer, store);
+  if (store->queue_timer == 0)
+    store->queue_timer = g_timeout_add (FT_BUDGET_WAIT_MS, on_queue_timer, store);
 }
 
-/* Sends what the budgets allow, by priority. A request that waits for the budget of changes holds
- * up those behind it in its queue and all others that make changes, but no reading of another queue. */
+/* Sends the queued requests that the budgets allow, in the order of their priorities. A request that waits
+ * for the budget for changes blocks the requests behind it in its queue and all other requests that make
+ * changes, but not the reads in other queues. */
 static void
 send_queued (FtStoreClient *store)
 {
   gint64 now = g_get_monotonic_time ();
   gboolean writes_used_up = FALSE;
-  for (int i = 0; i < QUEUES; i++) {
+  for (int i = 0; i < QUEUE_COUNT; i++) {
     Request *request;
     while ((request = g_queue_peek_head (&store->queues[i])) != NULL) {
       if (!ft_budget_has (&store->requests, 1, now)) {
-        pump_again_soon (store);
+        schedule_queue_check (store);
         return;
       }
       if (request->writes > 0 && (writes_used_up || !ft_budget_has (&store->writes, request->writes, now))) {
         writes_used_up = TRUE;
-        pump_again_soon (store);
+        schedule_queue_check (store);
         break;
       }
       g_queue_pop_head (&store->queues[i]);
       store->writes_waiting -= request->writes;
-      take_budgets (store, request);
+      charge_budgets (store, request);
       send_request (request, store->client);
     }
   }
 }
 
+/* Sends or queues a request. Takes ownership of `path`. */
 static void
 submit (FtStoreClient *store, const char *method, char *path, const json_t *body, FtStorePriority priority,
         FtStoreDone done, gpointer data)
@@ -243,7 +248,7 @@
   request->done = done;
   request->data = data;
   if (priority == FT_STORE_PRIORITY_LEASE) {
-    take_budgets (store, request);
+    charge_budgets (store, request);
     send_request (request, store->lease_client);
     return;
   }
--- a/src/net/store_client.h
+++ b/src/net/store_client.h
@@ -1,9 +1,9 @@
 /* Client of the key-value store (the "state service" of the protocol).
  *
- * It owns the connections to the store, this controller's share of the store's rate limits, the
- * queues of requests that wait for that share, and the record of whether the store serves us.
- * Every module that reads or writes rows uses it; the messages themselves are built and read
- * by wire/store.h. All times are monotonic, in microseconds. */
+ * It owns the connections to the store, the budgets that are this controller's share of the store's
+ * rate limits, the queues of requests that wait for these budgets, and the record of whether the store
+ * serves this controller. Every module that reads or writes rows uses it. The functions of wire/store.h
+ * build and parse the messages. All times are monotonic, in microseconds. */
 #pragma once
 #include "config.h"
 #include "net/http.h"
@@ -12,19 +12,20 @@
 /**
  * FtStoreClient:
  *
- * One per process, owned by the node.
+ * The client. There is one per process, owned by the node.
  */
 typedef struct _FtStoreClient FtStoreClient;
 
 /**
  * FtStorePriority:
- * @FT_STORE_PRIORITY_LEASE: reading, claiming and renewing the lease, and the recovery: never
- *     waits for the budget
- * @FT_STORE_PRIORITY_CANCEL: users' cancellations: before all else that waits for the budget
- * @FT_STORE_PRIORITY_COMMIT: the leader's batches, submissions
- * @FT_STORE_PRIORITY_READ: what users ask; the queue is bounded
+ * @FT_STORE_PRIORITY_LEASE: reads, claims and renewals of the lease, and the recovery; these requests
+ *     never wait for a budget
+ * @FT_STORE_PRIORITY_CANCEL: users' cancellations and the reads that they need; sent before all other
+ *     requests that wait for a budget
+ * @FT_STORE_PRIORITY_COMMIT: the leader's batches and reads, submissions, and operators' changes
+ * @FT_STORE_PRIORITY_READ: reads for users and of the settings; at most FT_STORE_QUEUE_MAX wait
  *
- * The order in which requests get a share of the budget.
+ * The order in which requests that wait for a budget are sent.
  */
 typedef enum {
   FT_STORE_PRIORITY_LEASE,
@@ -35,21 +36,23 @@
 
 /**
  * FtStoreResult:
- * @FT_STORE_OK: read, or committed
- * @FT_STORE_NOT_FOUND: there is no such row
+ * @FT_STORE_OK: the rows were read, or the transaction was committed
+ * @FT_STORE_NOT_FOUND: the row does not exist
  * @FT_STORE_CONFLICT: a condition of the transaction does not hold; the body names the rows
- * @FT_STORE_COMPACTED: the changes since that revision are no longer kept: the rows must be read again
- * @FT_STORE_INVALID: refused as such: the same request will never be accepted
- * @FT_STORE_THROTTLED: refused for the store's rate limits, more often than it is resent here
- * @FT_STORE_UNAVAILABLE: refused for now by the store, or by the full queue of this client
+ * @FT_STORE_COMPACTED: the store no longer has all changes since the requested revision; the rows must
+ *     be read again
+ * @FT_STORE_INVALID: the store refused the request as invalid and will never accept it
+ * @FT_STORE_THROTTLED: the store refused the request for its rate limits; the client has resent it
+ *     FT_STORE_RESENDS times, or does not resend requests of its priority
+ * @FT_STORE_UNAVAILABLE: the store refused the request for now, or the client's queue is full
  * @FT_STORE_UNANSWERED: no answer came in time; the request may still be executed
- * @FT_STORE_FAILED: an answer that the protocol does not know
- * @FT_STORE_MALFORMED: answered as %FT_STORE_OK, but the body cannot be read; only from the
+ * @FT_STORE_FAILED: the answer has a status that the protocol does not define
+ * @FT_STORE_MALFORMED: the result was %FT_STORE_OK, but the body cannot be parsed; returned only by the
  *     ft_store_read_*() functions
  *
- * How a request ended. After %FT_STORE_UNANSWERED and %FT_STORE_FAILED it is unknown whether a
- * transaction was committed; after any other result but %FT_STORE_OK and %FT_STORE_MALFORMED it
- * was not.
+ * The result of a request. After %FT_STORE_UNANSWERED and %FT_STORE_FAILED it is unknown whether a
+ * transaction was committed; after any other result but %FT_STORE_OK and %FT_STORE_MALFORMED it was
+ * not.
  */
 typedef enum {
   FT_STORE_OK,
@@ -66,11 +69,11 @@
 
 /**
  * FtStoreDone:
- * @result: how the request ended
- * @body: (transfer none) (nullable): the answer's body, NULL if there is none or it cannot be decoded
- * @data: that of the request
+ * @result: the result of the request
+ * @body: (transfer none) (nullable): the answer's body; %NULL if there is none or it cannot be decoded
+ * @data: the pointer that was passed with the request
  *
- * Called once for each request, unless the client is freed before. It runs in the main loop, or
+ * Called once for each request, unless the client is freed earlier. It is called by the main loop, or
  * before the requesting function returns if the queue of %FT_STORE_PRIORITY_READ is full.
  */
 typedef void (*FtStoreDone) (FtStoreResult result, const json_t *body, gpointer data);
@@ -79,19 +82,19 @@
 
 /**
  * ft_store_read_row:
- * @result: that of the answer
- * @body: (nullable): that of the answer
- * @row: (out): the row, borrowed of @body
+ * @result: the result of the request
+ * @body: (nullable): the answer's body
+ * @row: (out): the row, borrowed from @body
  *
- * Returns: @result; %FT_STORE_MALFORMED if that is %FT_STORE_OK and @body is no row. @row is set
- *     with %FT_STORE_OK only.
+ * Returns: @result, or %FT_STORE_MALFORMED if @result is %FT_STORE_OK and @body is not a row. @row is
+ *     set only if %FT_STORE_OK is returned.
  */
 FtStoreResult ft_store_read_row (FtStoreResult result, const json_t *body, FtRow *row);
 
 /**
  * ft_store_read_job:
- * @row: (out): the row, borrowed of @body
- * @job: (out): what it says, if it is a job's own row
+ * @row: (out): the row, borrowed from @body
+ * @job: (out): the contents of the row, which must be a job's own row
  *
  * Returns: as ft_store_read_row()
  */
@@ -99,8 +102,9 @@
 
 /**
  * ft_store_read_rows:
- * @rows: (out) (transfer full): FtRow of a page of a list, borrowed of @body; NULL unless %FT_STORE_OK
- * @more: (out): whether the list goes on
+ * @rows: (out) (transfer full) (element-type FtRow): the rows of a page of a list, which borrow from
+ *     @body; %NULL unless %FT_STORE_OK is returned
+ * @more: (out): whether there are rows after this page
  *
  * Returns: as ft_store_read_row()
  */
@@ -108,8 +112,9 @@
 
 /**
  * ft_store_read_events:
- * @rows: (out) (transfer full): FtRow that have changed, borrowed of @body; NULL unless %FT_STORE_OK
- * @revision: (out): the revision up to which they are told
+ * @rows: (out) (transfer full) (element-type FtRow): the rows that have changed, which borrow from
+ *     @body; %NULL unless %FT_STORE_OK is returned
+ * @revision: (out): the revision up to which @rows contains all changes
  *
  * Returns: as ft_store_read_row()
  */
@@ -127,7 +132,7 @@
 
 /**
  * ft_store_client_new:
- * @config: names the store's address and limits; borrowed for the call
+ * @config: contains the store's address and limits; borrowed for the call
  *
  * Returns: (transfer full): the client of a controller that does not lead
  */
@@ -137,53 +142,60 @@
  * ft_store_client_free:
  * @store: (nullable) (transfer full): the client
  *
- * Requests under way and in the queues are dropped: their callbacks are not called, and what these
- * own is lost, as at the end of the process. See ft_store_client_in_flight().
+ * Drops the requests in flight and in the queues: their callbacks are not called, so the data that these
+ * own is leaked, which only suits the end of the process. See ft_store_client_in_flight().
  */
 void ft_store_client_free (FtStoreClient *store);
 
 /**
  * ft_store_client_set_leading:
- * @leading: whether this controller leads, and so has the leader's share of the store's limits
+ * @leading: whether this controller leads, and therefore uses the leader's share of the store's rate
+ *     limits
  */
 void ft_store_client_set_leading (FtStoreClient *store, gboolean leading);
 
 /**
  * ft_store_client_get:
- * @key: of the row to read
+ * @key: key of the row
  * @done: called with the row
- * @data: of @done
+ * @data: data of @done
+ *
+ * Reads a row.
  */
 void ft_store_client_get (FtStoreClient *store, const char *key, FtStorePriority priority, FtStoreDone done,
                           gpointer data);
 
 /**
  * ft_store_client_list:
- * @prefix: of the rows' keys
- * @after: (nullable): the last key of the page before, NULL for the first page
+ * @prefix: prefix of the rows' keys
+ * @after: (nullable): the last key of the previous page; %NULL for the first page
  * @done: called with a page of up to FT_LIST_LIMIT rows
- * @data: of @done
+ * @data: data of @done
+ *
+ * Reads a page of the rows under a prefix.
  */
 void ft_store_client_list (FtStoreClient *store, const char *prefix, const char *after, FtStorePriority priority,
                            FtStoreDone done, gpointer data);
 
 /**
  * ft_store_client_commit:
- * @txn: a transaction of ft_txn_new(); a reference is taken
- * @done: called with the revision, or %FT_STORE_CONFLICT
- * @data: of @done
+ * @txn: a transaction made by ft_txn_new() or ft_txn_new_check(); the client takes a reference
+ * @done: called with the revision of the commit, or with %FT_STORE_CONFLICT
+ * @data: data of @done
+ *
+ * Commits a transaction.
  */
 void ft_store_client_commit (FtStoreClient *store, const json_t *txn, FtStorePriority priority, FtStoreDone done,
                              gpointer data);
 
 /**
  * ft_store_client_watch:
- * @prefix: of the rows' keys
- * @since: revision after which changes are wanted
- * @done: called with the changes, at once if there are some, else after up to FT_WATCH_S
- * @data: of @done
+ * @prefix: prefix of the rows' keys
+ * @since: revision after which changes are reported
+ * @done: called with the changes: at once if there are any, else when there are some or after FT_WATCH_S
+ * @data: data of @done
  *
- * Watches for changes, on a connection of its own and without waiting for the budget.
+ * Watches rows for changes, on a connection that only watches use and without waiting for the budget.
  */
 void ft_store_client_watch (FtStoreClient *store, const char *prefix, guint64 since, FtStoreDone done, gpointer data);
 
@@ -193,49 +205,51 @@
  * ft_store_client_has_contact:
  * @now: monotonic time
  *
- * Returns: whether the store has served us before, and has not failed us without a break for
- *     FT_CONTACT_LOST_S
+ * Returns: whether the store has served this controller before and, if it fails at present, has done so
+ *     for less than FT_CONTACT_LOST_S
  */
 gboolean ft_store_client_has_contact (const FtStoreClient *store, gint64 now);
 
 /**
  * ft_store_client_failing_since:
  *
- * Returns: since when the store has failed us without a break, 0 if it serves us
+ * Returns: when the first request failed since the store last served this controller, not counting
+ *     refusals for the rate limits; 0 if none has failed
  */
 gint64 ft_store_client_failing_since (const FtStoreClient *store);
 
 /**
  * ft_store_client_last_served_at:
  *
- * Returns: when the store last served us, 0 if it never did
+ * Returns: when the store last served this controller; 0 if it never did
  */
 gint64 ft_store_client_last_served_at (const FtStoreClient *store);
 
 /**
  * ft_store_client_in_flight:
  *
- * Returns: the number of requests that were sent and whose answer has not come
+ * Returns: the number of requests that were sent and await their answer
  */
 guint ft_store_client_in_flight (const FtStoreClient *store);
 
 /**
  * ft_store_client_queued:
  *
- * Returns: the number of requests that wait for the budget, cancellations not counted
+ * Returns: the number of requests that wait for a budget, not counting cancellations
  */
 guint ft_store_client_queued (const FtStoreClient *store);
 
 /**
  * ft_store_client_has_spare_writes:
  *
- * Returns: whether the budget for changes is mostly unused and nothing waits for it
+ * Returns: whether at least FT_SPARE_WRITES_SHARE of the budget for changes is unused and no change
+ *     waits for it
  */
 gboolean ft_store_client_has_spare_writes (FtStoreClient *store);
 
 /**
  * ft_store_client_write_wait_s:
  *
- * Returns: seconds until the changes that wait now will have been sent, within the budget
+ * Returns: seconds until the budget allows all changes that wait now; 0 or less if it allows them now
  */
 double ft_store_client_write_wait_s (const FtStoreClient *store);
