--- a/src/net/budget.h
+++ b/src/net/budget.h
@@ -1,46 +1,47 @@
-/* A token bucket: how much of a service's rate limit this controller uses. A refusal for the
- * rate halves what it uses, which then recovers gradually. The store client and the leader's
- * cloud calls own one each. All times are monotonic, in microseconds. */
+/* A token bucket that limits how much of a service's rate limit this controller uses. When the service
+ * refuses a request for its rate limit, the budget's rate is halved and then recovers gradually. The
+ * store client has one budget for requests and one for changes; the leader's cloud calls have one.
+ * All times are monotonic, in microseconds. */
 #pragma once
 #include <glib.h>
 
 /**
  * FtBudget:
- * @rate: units that are added in a second now
- * @full: the most that are added in a second
- * @burst: the most that can be saved up
- * @level: units that can be used now; below 0 they are used in advance
- * @at: when @level was computed
+ * @rate: units that are added per second at present
+ * @max_rate: the most units that are added per second
+ * @burst: the most units that can accumulate
+ * @level: units that can be used now; negative if more was used than was there
+ * @updated_at: when @level and @rate were last computed
  *
  * Held by value by its owner; changed only by the functions below.
  */
 typedef struct {
   double rate;
-  double full;
+  double max_rate;
   double burst;
   double level;
-  gint64 at;
+  gint64 updated_at;
 } FtBudget;
 
 /**
  * ft_budget_init:
  * @budget: the budget, not initialized
- * @rate: units in a second
- * @burst: units that can be saved up; all of them are there at the beginning
+ * @rate: units per second
+ * @burst: the most units that can accumulate; the budget has all of them at the beginning
  * @now: monotonic time
  */
 void ft_budget_init (FtBudget *budget, double rate, double burst, gint64 now);
 
 /**
  * ft_budget_set_rate:
- * @rate: units in a second from now on, and what can be saved up
+ * @rate: units per second from now on, and also the most units that can accumulate
  * @now: monotonic time
  */
 void ft_budget_set_rate (FtBudget *budget, double rate, gint64 now);
 
 /**
  * ft_budget_has:
- * @amount: units that are wanted
+ * @amount: units needed
  * @now: monotonic time
  *
  * Returns: whether @amount can be used now. If it exceeds the burst, a full budget suffices.
@@ -49,24 +50,25 @@
 
 /**
  * ft_budget_has_share:
- * @share: of what can be saved up, from 0 to 1
+ * @share: share of the burst, from 0 to 1
  * @now: monotonic time
  *
- * Returns: whether that much can be used now
+ * Returns: whether that share of the burst can be used now
  */
 gboolean ft_budget_has_share (FtBudget *budget, double share, gint64 now);
 
 /**
  * ft_budget_seconds_for:
- * @amount: units that are wanted
+ * @amount: units needed
  *
- * Returns: seconds until @amount can be used, as of the last look at the budget; below 0 if it can
+ * Returns: seconds from the last update of the budget until it has @amount; negative or 0 if it had
+ *     that already
  */
 double ft_budget_seconds_for (const FtBudget *budget, double amount);
 
 /**
  * ft_budget_take:
- * @amount: units that are used, also if the budget does not have them
+ * @amount: units to use; the budget may have fewer, and its level then becomes negative
  */
 void ft_budget_take (FtBudget *budget, double amount);
 
@@ -74,6 +76,6 @@
  * ft_budget_note_throttled:
  * @now: monotonic time
  *
- * To be called when the service has refused a request for its rate limit.
+ * Halves the rate. Call it when the service has refused a request for its rate limit.
  */
 void ft_budget_note_throttled (FtBudget *budget, gint64 now);
--- a/src/net/heartbeat_queue.c
+++ b/src/net/heartbeat_queue.c
@@ -5,16 +5,16 @@
 struct _FtHeartbeatQueue {
   const FtHeartbeatQueueHooks *hooks;
   gpointer data;
-  GQueue waiting;       /* QueuedHeartbeat, oldest first */
-  guint source;         /* of the main loop, which serves them; 0: none waits */
-  guint last_turn;      /* the HTTP server's turn in which the last heartbeat came */
-  guint taken_in_turn;  /* how many came in that turn */
-  gint64 overrun_since; /* they have waited too long since then; monotonic, microseconds, 0: they do not */
+  GQueue waiting;        /* elements: QueuedHeartbeat, oldest first */
+  guint source;          /* ID of the main loop's source that answers waiting heartbeats; 0: none waits */
+  guint last_turn;       /* the HTTP server's turn to which `arrived_in_turn` refers */
+  guint arrived_in_turn; /* number of heartbeats that arrived in that turn while none waited */
+  gint64 overrun_since;  /* since when heartbeats wait too long; monotonic, microseconds; 0: they do not */
 };
 
 typedef struct {
   FtHttpRequest *request;
-  gint64 arrived_at;
+  gint64 arrived_at; /* monotonic, microseconds */
 } QueuedHeartbeat;
 
 FtHeartbeatQueue *
@@ -40,9 +40,9 @@
   return oldest != NULL && now - oldest->arrived_at > (gint64) (FT_HEARTBEAT_LATE_S * FT_SECOND);
 }
 
-/* Records since when this controller cannot keep up, and has the scheduler allow for it. */
+/* Records since when heartbeats wait too long, and reports to the queue's owner if they do. */
 static void
-note_backlog (FtHeartbeatQueue *queue, gboolean late, gint64 now)
+record_backlog (FtHeartbeatQueue *queue, gboolean late, gint64 now)
 {
   if (!late)
     queue->overrun_since = 0;
@@ -52,16 +52,16 @@
     queue->hooks->late (now, queue->data);
 }
 
-/* While the backlog is late the newest heartbeats are answered first, so that some workers get an
- * answer in time instead of none. The old ones are taken in all the same: without them their
- * machines would be taken for lost and terminated. */
+/* While heartbeats wait too long, the newest are answered first, so that some workers get their answers in
+ * time instead of none. The old ones are processed nevertheless: otherwise the scheduler would consider
+ * their machines lost and terminate them. */
 static gboolean
 on_heartbeats_waiting (gpointer data)
 {
   FtHeartbeatQueue *queue = data;
   gint64 now = g_get_monotonic_time ();
   gboolean late = backlog_is_late (queue, now);
-  note_backlog (queue, late, now);
+  record_backlog (queue, late, now);
   for (guint i = 0; i < FT_HEARTBEATS_AT_ONCE && !g_queue_is_empty (&queue->waiting); i++) {
     g_autofree QueuedHeartbeat *queued = late ? g_queue_pop_tail (&queue->waiting) : g_queue_pop_head (&queue->waiting);
     queue->hooks->answer (queued->request, queue->data);
@@ -84,14 +84,14 @@
     queue->source = g_idle_add_full (G_PRIORITY_DEFAULT, on_heartbeats_waiting, queue, NULL);
 }
 
-/* Counts the heartbeat to the HTTP server's present turn. */
+/* Counts a heartbeat that arrived in `turn`. Returns whether FT_HEARTBEATS_AT_ONCE arrived in it before. */
 static gboolean
 turn_is_full (FtHeartbeatQueue *queue, guint turn)
 {
   if (turn != queue->last_turn)
-    queue->taken_in_turn = 0;
+    queue->arrived_in_turn = 0;
   queue->last_turn = turn;
-  return ++queue->taken_in_turn > FT_HEARTBEATS_AT_ONCE;
+  return ++queue->arrived_in_turn > FT_HEARTBEATS_AT_ONCE;
 }
 
 void
--- a/src/net/heartbeat_queue.h
+++ b/src/net/heartbeat_queue.h
@@ -1,10 +1,11 @@
-/* Worker heartbeats that wait for a later turn of the main loop, and whether they wait too long, so
- * that lease renewals and the balancer's probes are not held up by heartbeats.
+/* Worker heartbeats that wait for a later turn of the main loop, so that heartbeats do not delay lease
+ * renewals and the load balancer's probes; and whether they wait too long.
  *
- * A turn of the HTTP server answers FT_HEARTBEATS_AT_ONCE heartbeats itself; later ones of the turn,
- * and all while others wait, are queued. A source of the main loop then takes as many at a time, so
- * that timers and other requests get their turn in between. Filled by worker_endpoint.c, which
- * answers the heartbeats; the leadership module reads how long the controller has been overrun. */
+ * In each turn of the HTTP server the first FT_HEARTBEATS_AT_ONCE heartbeats are answered at once. Later
+ * ones of the turn are queued, and so are all that arrive while others wait. A source of the main loop
+ * then answers up to FT_HEARTBEATS_AT_ONCE of them at a time, so that timers and other requests are
+ * served in between. worker_endpoint.c fills the queue and answers the heartbeats; the leadership module
+ * reads since when the controller has been overrun, which means that heartbeats wait too long. */
 #pragma once
 #include "net/http.h"
 
@@ -12,11 +13,11 @@
 
 /**
  * FtHeartbeatQueueHooks:
- * @answer: answers a heartbeat; takes @request
- * @late: the oldest heartbeat has waited for more than FT_HEARTBEAT_LATE_S; called before any is
- *     answered in a turn
+ * @answer: answers a heartbeat and takes ownership of its request
+ * @late: called when the oldest heartbeat has waited for more than FT_HEARTBEAT_LATE_S, before any
+ *     heartbeat is answered in that turn
  *
- * What is done with the heartbeats. Times are monotonic, in microseconds.
+ * Callbacks of the queue's owner. Times are monotonic, in microseconds.
  */
 typedef struct {
   void (*answer) (FtHttpRequest *request, gpointer data);
@@ -26,7 +27,7 @@
 /**
  * ft_heartbeat_queue_new:
  * @hooks: static
- * @data: for @hooks; outlives the queue
+ * @data: data of @hooks; outlives the queue
  *
  * Returns: (transfer full): an empty queue
  */
@@ -34,38 +35,39 @@
 
 /**
  * ft_heartbeat_queue_free:
- * @queue: (nullable) (transfer full): after ft_heartbeat_queue_refuse_all()
+ * @queue: (nullable) (transfer full): the queue, emptied by ft_heartbeat_queue_refuse_all()
  */
 void ft_heartbeat_queue_free (FtHeartbeatQueue *queue);
 
 /**
  * ft_heartbeat_queue_handle:
  * @request: (transfer full): a heartbeat
- * @turn: the HTTP server's turn in which it came
+ * @turn: number of the HTTP server's turn in which it arrived
  * @now: monotonic time in microseconds
  *
- * Has the heartbeat answered at once, or lets it wait.
+ * Answers the heartbeat at once or queues it.
  */
 void ft_heartbeat_queue_handle (FtHeartbeatQueue *queue, FtHttpRequest *request, guint turn, gint64 now);
 
 /**
  * ft_heartbeat_queue_refuse_all:
  *
- * Answers the waiting heartbeats with 503, for the end of the controller.
+ * Answers all queued heartbeats with 503. Called when the controller is freed.
  */
 void ft_heartbeat_queue_refuse_all (FtHeartbeatQueue *queue);
 
 /**
  * ft_heartbeat_queue_overrun_since:
  *
- * Returns: the time since which heartbeats have waited too long; monotonic, microseconds, 0: they
- *     do not
+ * Returns: the time since which heartbeats have waited too long, monotonic, in microseconds; 0 if they
+ *     do not wait too long
  */
 gint64 ft_heartbeat_queue_overrun_since (const FtHeartbeatQueue *queue);
 
 /**
  * ft_heartbeat_queue_reset_overrun:
  *
- * Leading begins or ends: what was late before does not count.
+ * Sets the time of ft_heartbeat_queue_overrun_since() to 0. Called when a term begins or ends, so that
+ * delays before then do not count.
  */
 void ft_heartbeat_queue_reset_overrun (FtHeartbeatQueue *queue);
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -1,8 +1,8 @@
-/* The parts of a controller, borrowed by its modules.
+/* The modules of a controller, which use each other through this list.
  *
- * A plain list: controller.c makes and owns the parts and alone changes it. A module that uses a
- * part includes that part's header, so that the order of the modules, .ci/layers.txt, shows in
- * their includes. Private to src/net. */
+ * controller.c makes and owns the modules, and is the only module that changes the list. A module that
+ * uses another one includes that one's header, so that the includes show the order of the modules
+ * (.ci/layers.txt). Private to src/net. */
 #pragma once
 #include <glib.h>
 
@@ -25,28 +25,28 @@
 
 /**
  * FtNode:
- * @config: what the controller was started with
- * @incarnation: drawn anew by every process
+ * @config: the settings file's contents
+ * @incarnation: random number of this process
  * @answer_grace_us: answer grace period, in microseconds
- * @random: the process's random numbers
- * @lease: whether this controller may lead
- * @store: to the key-value store
- * @worker_client: to the workers, for direct commands
- * @cloud_client: to the cloud
- * @front: listens for users, workers and the balancer
- * @peer_server: listens for peers and operators
- * @metrics: counters and times
- * @malformed: messages that were refused as a whole
- * @leadership: claims, renews and gives up the lease
- * @leader: what is done while leading
- * @heartbeat_queue: worker heartbeats that wait
+ * @random: generator of this process's random numbers
+ * @lease: state machine that decides whether this controller may lead
+ * @store: client of the key-value store
+ * @worker_client: HTTP client for direct commands to workers
+ * @cloud_client: HTTP client for requests to the cloud
+ * @front: HTTP server for users, workers and the load balancer
+ * @peer_server: HTTP server for peers and operators
+ * @metrics: counters and latencies
+ * @malformed: log of messages that were refused as a whole
+ * @leadership: claims, renews and releases the lease
+ * @leader: the work of this controller while it leads
+ * @heartbeat_queue: worker heartbeats that wait to be answered
  * @peers: the other controllers
  * @settings: the operators' settings in force
  * @catalog_cache: the cloud's machine types
  * @polls: users' polls of open jobs
  * @job_cache: jobs that were read from the key-value store
  *
- * All are borrowed and live as long as the controller.
+ * All pointers are borrowed; what they point to lives as long as the controller.
  */
 typedef struct _FtNode {
   const FtConfig *config;
