--- a/src/net/budget.h
+++ b/src/net/budget.h
@@ -10,7 +10,7 @@
  * @rate: units that are added per second at present
  * @max_rate: the most units that are added per second
  * @burst: the most units that can accumulate
- * @level: units that can be used now; negative if more was used than was there
+ * @level: units that can be used now; negative if more units were used than were available
  * @updated_at: when @level and @rate were last computed
  *
  * Held by value by its owner; changed only by the functions below.
--- a/src/net/heartbeat_queue.h
+++ b/src/net/heartbeat_queue.h
@@ -1,5 +1,5 @@
 /* Worker heartbeats that wait for a later turn of the main loop, so that heartbeats do not delay lease
- * renewals and the load balancer's probes; and whether they wait too long.
+ * renewals and the load balancer's probes. The queue also records since when heartbeats wait too long.
  *
  * In each turn of the HTTP server the first FT_HEARTBEATS_AT_ONCE heartbeats are answered at once. Later
  * ones of the turn are queued, and so are all that arrive while others wait. A source of the main loop
--- a/src/net/leader.h
+++ b/src/net/leader.h
@@ -3,8 +3,8 @@
  *
  * The leadership module begins and ends terms. The controller's timer calls ft_leader_tick(), and
  * every module that changes the scheduler's state calls ft_leader_run_actions() afterwards. The work is
- * divided among the modules leader_*.c; each owns its state and uses another one only if it received
- * that one when it was made. */
+ * divided among the modules leader_*.c; each owns its state and uses another one only if that was passed
+ * to its constructor. */
 #pragma once
 #include "net/leader_term.h"
 
--- a/src/net/leader_batches.h
+++ b/src/net/leader_batches.h
@@ -27,7 +27,7 @@
  * ft_leader_batches_begin:
  * @journal_revision: revision at which the claim of the term wrote the journal row
  *
- * Prepares for a term, in which no batch is in flight yet.
+ * Resets the batches at the beginning of a term.
  */
 void ft_leader_batches_begin (FtLeaderBatches *batches, guint64 journal_revision);
 
--- a/src/net/leader_cloud.h
+++ b/src/net/leader_cloud.h
@@ -1,5 +1,5 @@
 /* The leader's calls to the cloud: scaling out, scaling in, and reading the list of rented machines.
- * The scheduler compares that list with the machines that it takes to be rented. */
+ * The scheduler compares that list with the machines that it assumes to be rented. */
 #pragma once
 #include "net/leader_term.h"
 
@@ -26,14 +26,14 @@
  * ft_leader_cloud_begin:
  * @now: monotonic time in microseconds
  *
- * Prepares for a term, in which the list is read as soon as the scheduler is loaded.
+ * Called at the beginning of a term. The list is read as soon as the scheduler is loaded.
  */
 void ft_leader_cloud_begin (FtLeaderCloud *cloud, gint64 now);
 
 /**
  * ft_leader_cloud_end:
  *
- * Prepares for the next term when a term ends. Answers to calls in flight will be dropped.
+ * Resets the calls at the end of a term. Answers to calls in flight will be dropped.
  */
 void ft_leader_cloud_end (FtLeaderCloud *cloud);
 
--- a/src/net/leader_commands.h
+++ b/src/net/leader_commands.h
@@ -22,7 +22,7 @@
 /**
  * ft_leader_commands_end:
  *
- * Prepares for the next term when a term ends. Answers to commands in flight will be dropped.
+ * Resets the commands at the end of a term. Answers to commands in flight will be dropped.
  */
 void ft_leader_commands_end (FtLeaderCommands *commands);
 
--- a/src/net/leader_dependencies.h
+++ b/src/net/leader_dependencies.h
@@ -22,7 +22,7 @@
 /**
  * ft_leader_dependencies_end:
  *
- * Prepares for the next term when a term ends. Answers to reads in flight will be dropped.
+ * Resets the reads at the end of a term. Answers to reads in flight will be dropped.
  */
 void ft_leader_dependencies_end (FtLeaderDependencies *dependencies);
 
--- a/src/net/leader_request.h
+++ b/src/net/leader_request.h
@@ -45,8 +45,8 @@
  *     status, 0 if no answer came
  * @clear: (nullable): frees what the derived context owns
  *
- * One kind of request. Of the three handlers only that of the service to which the request is sent is
- * set. Handlers run only within the request's term.
+ * One kind of request. Only the handler for the service that receives the request is set. Handlers run
+ * only within the request's term.
  */
 typedef struct {
   gsize size;
--- a/src/net/leader_rows.h
+++ b/src/net/leader_rows.h
@@ -16,7 +16,7 @@
  * ft_leader_rows_new:
  * @term: borrowed for the life of the object
  *
- * Returns: (transfer full): an object to which no row is known yet
+ * Returns: (transfer full): an object that knows no rows yet
  */
 FtLeaderRows *ft_leader_rows_new (FtLeaderTerm *term);
 
--- a/src/net/leader_watch.h
+++ b/src/net/leader_watch.h
@@ -23,7 +23,7 @@
 /**
  * ft_leader_watch_end:
  *
- * Prepares for the next term when a term ends. The answer to a poll in flight will be dropped.
+ * Resets the watch at the end of a term. The answer to a poll in flight will be dropped.
  */
 void ft_leader_watch_end (FtLeaderWatch *watch);
 
--- a/src/net/node_peers.h
+++ b/src/net/node_peers.h
@@ -1,4 +1,4 @@
-/* What this controller's heartbeats say to its peers, and how it reacts to the peers' heartbeats. */
+/* The contents of this controller's heartbeats to its peers, and its reactions to theirs. */
 #pragma once
 #include "net/node.h"
 #include "net/peers.h"
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -3,8 +3,8 @@
  *
  * A heartbeat says whether the key-value store serves its sender, which cancellations the sender has
  * committed recently, and, if the sender leads, the progress of its jobs. All of it is advisory:
- * leadership is decided only by the fence row in the store. FtPeersHooks supplies what this controller
- * says of itself and reacts to the peers' heartbeats.
+ * leadership is decided only by the fence row in the store. The FtPeersHooks add this controller's own
+ * state to its heartbeats and react to the peers' heartbeats.
  *
  * All times are monotonic, in microseconds, of this controller's clock. A peer counts as live for
  * FT_PEER_FRESH_S after its last heartbeat. */
@@ -24,9 +24,9 @@
 
 /**
  * FtPeersHooks:
- * @compose: adds to a heartbeat what this controller says of itself; the heartbeat has the member's
- *     name and the cancellations already
- * @received: called for each valid heartbeat of a configured peer, which is borrowed for the call
+ * @compose: adds this controller's own state to a heartbeat, which already has the member's name and
+ *     the cancellations
+ * @received: called for each valid heartbeat of a configured peer; the heartbeat is borrowed for the call
  * @suspected: called when a peer refuses connections and sends no heartbeats, so that its process has
  *     most likely ended; `confirmed` if another peer answers this controller, so that the network is
  *     not the cause
