--- a/src/core/cloud_calls.c
+++ b/src/core/cloud_calls.c
@@ -40,7 +40,7 @@
   const FtMachineQueues *queues = eviction->machine_table->queues;
   for (GList *link = queues->terminating.head; link != NULL; link = link->next) {
     FtMachine *machine = link->data;
-    eviction->context->looked_at++;
+    eviction->context->examined_count++;
     if (!may_return_now (eviction, machine))
       continue;
     if (call == NULL)
@@ -104,7 +104,7 @@
   FtCloudPool *pool = ft_cloud_pools_get (pools, call->type, call->zone, call->spot);
   if (g_strcmp0 (pool->booking, call->booking) != 0)
     return FALSE;
-  if (result == FT_CLOUD_FAILED) {
+  if (result == FT_CLOUD_UNANSWERED) {
     ft_cloud_pool_request_unanswered (pool, now + ft_seconds (FT_LAUNCH_RETRY_S));
     return TRUE;
   }
--- a/src/core/job_table.c
+++ b/src/core/job_table.c
@@ -88,7 +88,7 @@
   if (g_hash_table_contains (table->jobs, ref))
     return;
   ft_recent_map_add (table->ended_jobs, ref, end);
-  ft_dependency_graph_settle (table->dependencies, ref, end, at);
+  ft_dependency_graph_job_ended (table->dependencies, ref, end, at);
 }
 
 /* ---- adding jobs ---- */
@@ -196,7 +196,7 @@
   ft_job_table_cancel (table, job, at);
   job->cancellation_read = TRUE;
   ft_job_queue_write (job);
-  ft_dependency_graph_settle (table->dependencies, ref, FT_JOB_END_CANCELLED, table->context->now);
+  ft_dependency_graph_job_ended (table->dependencies, ref, FT_JOB_END_CANCELLED, table->context->now);
 }
 
 void
@@ -241,5 +241,5 @@
   if (job->write_queued)
     g_queue_remove (&table->pending_writes, job);
   g_hash_table_remove (table->jobs, ref);
-  ft_dependency_graph_settle (table->dependencies, ref, end, table->context->now);
+  ft_dependency_graph_job_ended (table->dependencies, ref, end, table->context->now);
 }
--- a/src/core/write_queue_outcome.c
+++ b/src/core/write_queue_outcome.c
@@ -11,7 +11,7 @@
   job->watermark_in_flight = FALSE;
   for (guint i = job->spec->dispatch_watermark; i < watermark; i++)
     if (job->tasks[i].attempt != NULL)
-      ft_machine_queue_direct (job->tasks[i].attempt->machine);
+      ft_machine_queue_direct_request (job->tasks[i].attempt->machine);
   job->spec->dispatch_watermark = MAX (job->spec->dispatch_watermark, watermark);
 }
 
@@ -98,7 +98,7 @@
     const FtWrite *write = g_ptr_array_index (writes, i);
     FtJob *job = ft_job_table_find (queue->job_table, write->name);
     if (is_registry_write (write))
-      ft_registry_written (queue->registry, write, TRUE);
+      ft_registry_write_finished (queue->registry, write, TRUE);
     else if (job != NULL)
       job_write_committed (queue, job, write);
   }
@@ -115,7 +115,7 @@
     break;
   case FT_WRITE_CHUNK:
     g_hash_table_add (job->dirty_chunks, GUINT_TO_POINTER (write->chunk));
-    job->chunk_at = queue->context->now;
+    job->next_chunk_write_at = queue->context->now;
     break;
   case FT_WRITE_JOB_DONE:
   case FT_WRITE_JOB_STOPPED:
@@ -133,7 +133,7 @@
 {
   FtJob *job = ft_job_table_find (queue->job_table, write->name);
   if (is_registry_write (write))
-    ft_registry_written (queue->registry, write, FALSE);
+    ft_registry_write_finished (queue->registry, write, FALSE);
   else if (write->kind == FT_WRITE_DRAIN_DELETE)
     g_queue_push_tail (&queue->registry->drain_deletions, g_strdup (write->name));
   else if (write->kind == FT_WRITE_CHUNK_DELETE)
--- a/src/net/leader_commands.h
+++ b/src/net/leader_commands.h
@@ -1,4 +1,4 @@
-/* Direct commands: requests (FtDirect) that the leader sends to workers at once, instead of in the
+/* Direct commands: requests (FtDirectRequest) that the leader sends to workers at once, instead of in the
  * answer to their next heartbeat. */
 #pragma once
 #include "net/leader_term.h"
--- a/src/net/leader_recovery.c
+++ b/src/net/leader_recovery.c
@@ -63,7 +63,7 @@
   /* The leader must not answer worker heartbeats earlier: without the registry the scheduler cannot stop
    * a cancelled task that it knows, and each answer to its worker would keep the task alive. */
   ft_leader_rows_note_read_complete (last_page->base.owner);
-  ft_metrics_time (node->metrics, FT_TIME_RECOVERY, g_get_monotonic_time () - term->began_at);
+  ft_metrics_record_latency (node->metrics, FT_LATENCY_RECOVERY, g_get_monotonic_time () - term->began_at);
   last_page->recovered (last_page->recovered_data);
   g_message ("node %s: leader under fencing token %" G_GUINT64_FORMAT ", recovered its state from the key-value store",
              node->config->member, ft_lease_token (node->lease));
--- a/src/net/leadership.c
+++ b/src/net/leadership.c
@@ -202,7 +202,7 @@
 is_cut_off (const FtLeadership *leadership, gint64 now)
 {
   const FtNode *node = leadership->node;
-  gint64 longest_gap = seconds (node->config->core.heartbeat_s * FT_HEARTBEAT_GAP + FT_CUT_OFF_MARGIN_S);
+  gint64 longest_gap = seconds (node->config->core.heartbeat_s * FT_HEARTBEAT_GAP_INTERVALS + FT_CUT_OFF_MARGIN_S);
   /* While this controller may not answer heartbeats, workers send them to other controllers. Without
    * this grace period a leader that had just renewed its lease after an outage of the store released
    * the lease, and no controller led until the next failover was over. */
@@ -212,15 +212,16 @@
   /* Heartbeats that did not arrive while this process was stalled prove nothing. */
   gint64 receiving_since = MAX (answering_since, leadership->on_time_since);
   const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
-  gint64 last_heartbeat_at = MAX (receiving_since, ft_scheduler_last_heard (scheduler));
+  gint64 last_heartbeat_at = MAX (receiving_since, ft_scheduler_last_heartbeat_at (scheduler));
   return node->config->peers->len > 0 && now - last_heartbeat_at > longest_gap
-         && ft_scheduler_up (scheduler) >= FT_CUT_OFF_MACHINES;
+         && ft_scheduler_count_expected_machines (scheduler) >= FT_CUT_OFF_MACHINES;
 }
 
 /* Whether worker heartbeats have waited too long for FT_OVERRUN_S. A controller that has become slow cannot
  * keep up with the heartbeats, and another controller may. If no controller can keep up, the controllers
- * must not replace each other for that reason alone; hence the leader must have led for FT_OVERRUN_LED_S.
- * A peer must reach the store, because otherwise no controller could succeed this one. */
+ * must not replace each other for that reason alone; hence the leader must have led for
+ * FT_OVERRUN_LEADERSHIP_MIN_S. A peer must reach the store, because otherwise no controller could succeed
+ * this one. */
 static gboolean
 is_overrun (const FtLeadership *leadership, gint64 now)
 {
@@ -228,7 +229,7 @@
   gint64 overrun_since = ft_heartbeat_queue_overrun_since (node->heartbeat_queue);
   return overrun_since > 0 && ft_peers_any_served_by_store (node->peers, now - seconds (FT_PEER_FRESH_S), now)
          && now - overrun_since > seconds (FT_OVERRUN_S)
-         && now - ft_leader_term_began_at (node->leader) > seconds (FT_OVERRUN_LED_S);
+         && now - ft_leader_term_began_at (node->leader) > seconds (FT_OVERRUN_LEADERSHIP_MIN_S);
 }
 
 /* The reason why this leader should resign, for the log line; NULL: there is none. */
@@ -248,7 +249,7 @@
 ft_leadership_store_unreachable_only_here (const FtLeadership *leadership, gint64 now)
 {
   const FtNode *node = leadership->node;
-  gint64 lost_at = ft_store_client_failing_since (node->store) + seconds (FT_READY_MARGIN_S);
+  gint64 lost_at = ft_store_client_failing_since (node->store) + seconds (FT_PEER_SERVED_MARGIN_S);
   return !ft_store_client_has_contact (node->store, now) && ft_peers_any_served_by_store (node->peers, lost_at, now);
 }
 
@@ -322,7 +323,7 @@
     return;
   leadership->answering_since = now;
   if (leads (leadership))
-    ft_scheduler_unanswering (ft_leader_scheduler (node->leader), now);
+    ft_scheduler_not_answering (ft_leader_scheduler (node->leader), now);
 }
 
 static void
