--- a/src/net/leader_batches.c
+++ b/src/net/leader_batches.c
@@ -11,7 +11,7 @@
 typedef enum {
   FT_BATCH_IDLE,       /* no batch is in flight */
   FT_BATCH_COMMITTING, /* the batch was sent, and its answer is awaited */
-  FT_BATCH_UNCERTAIN,  /* the outcome of the batch is unknown; the journal row, which shows it, is being read */
+  FT_BATCH_UNCERTAIN,  /* the outcome is unknown; a read of the journal row, which shows it, is in flight */
 } FtBatchState;
 
 struct _FtLeaderBatches {
--- a/src/net/leader_term.h
+++ b/src/net/leader_term.h
@@ -8,7 +8,7 @@
 
 /**
  * FtLeaderSuperseded:
- * @reason: static text that says what shows the other leader, for the log line
+ * @reason: static text for the log line: the evidence that another controller leads
  * @data: the pointer that was passed with the callback
  *
  * Called when an answer shows that another controller leads.
--- a/src/net/leadership.h
+++ b/src/net/leadership.h
@@ -53,7 +53,7 @@
 
 /**
  * ft_leadership_step_down:
- * @reason: what shows that another controller leads, for the log line
+ * @reason: text for the log line: the evidence that another controller leads
  *
  * Records the loss of the lease and ends the term at once. It must only be called while this
  * controller leads.
@@ -80,7 +80,7 @@
 /**
  * ft_leadership_known_leader:
  *
- * Returns: (transfer none) (nullable): the name of the member that leads, as far as this controller
- *     knows; %NULL if it knows of none
+ * Returns: (transfer none) (nullable): the name of the member that leads, according to this
+ *     controller's latest information; %NULL if no leader is known
  */
 const char *ft_leadership_known_leader (const FtLeadership *leadership);
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -46,7 +46,7 @@
  * @polls: users' polls of open jobs
  * @job_cache: jobs that were read from the key-value store
  *
- * All pointers are borrowed; what they point to lives as long as the controller.
+ * All pointers are borrowed; their targets live as long as the controller.
  */
 typedef struct _FtNode {
   const FtConfig *config;
--- a/src/net/node_peers.h
+++ b/src/net/node_peers.h
@@ -1,4 +1,4 @@
-/* The contents of this controller's heartbeats to its peers, and its reactions to theirs. */
+/* The contents of this controller's heartbeats to its peers, and its reactions to the peers' heartbeats. */
 #pragma once
 #include "net/node.h"
 #include "net/peers.h"
