--- a/src/core/attempt.c
+++ b/src/core/attempt.c
@@ -94,11 +94,11 @@
 ft_attempt_direct_start_answered (FtAttempt *attempt)
 {
   if (attempt->direct_start != FT_DIRECT_START_UNANSWERED)
-    attempt->direct_start = FT_DIRECT_START_SETTLED;
+    attempt->direct_start = FT_DIRECT_START_ANSWERED;
 }
 
 void
 ft_attempt_direct_start_unknown (FtAttempt *attempt)
 {
-  attempt->direct_start = FT_DIRECT_START_SETTLED;
+  attempt->direct_start = FT_DIRECT_START_ANSWERED;
 }
--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -28,15 +28,15 @@
 
 typedef enum {
   FT_ATTEMPT_STOP_NONE,
-  FT_ATTEMPT_STOP_WANTED, /* its worker is to stop it within `grace_s` */
-  FT_ATTEMPT_STOP_SENT,   /* the same, and a direct request has carried the stop */
+  FT_ATTEMPT_STOP_REQUESTED, /* its worker is to stop it within `grace_s` */
+  FT_ATTEMPT_STOP_SENT,      /* the same, and a direct request has carried the stop */
 } FtAttemptStop;
 
 /* What became of direct requests that carried the start: a copy of one may be executed late. */
 typedef enum {
   FT_DIRECT_START_NONE,       /* none was sent */
   FT_DIRECT_START_IN_FLIGHT,  /* one is on its way */
-  FT_DIRECT_START_SETTLED,    /* all were answered */
+  FT_DIRECT_START_ANSWERED,   /* all were answered */
   FT_DIRECT_START_UNANSWERED, /* one got no answer: it may still be executed while the incarnation lasts; final */
 } FtDirectStart;
 
@@ -74,7 +74,7 @@
 }
 
 static inline gboolean
-ft_attempt_stop_wanted (const FtAttempt *attempt)
+ft_attempt_stop_requested (const FtAttempt *attempt)
 {
   return attempt->stop != FT_ATTEMPT_STOP_NONE;
 }
--- a/src/core/attempt_lifecycle.c
+++ b/src/core/attempt_lifecycle.c
@@ -82,11 +82,11 @@
 }
 
 void
-ft_attempt_want_stop (FtAttempt *attempt, double grace_s)
+ft_attempt_request_stop (FtAttempt *attempt, double grace_s)
 {
-  if (ft_attempt_stop_wanted (attempt) && attempt->grace_s <= grace_s)
+  if (ft_attempt_stop_requested (attempt) && attempt->grace_s <= grace_s)
     return;
-  attempt->stop = FT_ATTEMPT_STOP_WANTED;
+  attempt->stop = FT_ATTEMPT_STOP_REQUESTED;
   attempt->grace_s = grace_s;
   ft_machine_queue_direct (attempt->machine);
 }
@@ -111,7 +111,7 @@
 {
   if (ft_attempt_has_exited (attempt))
     return;
-  ft_attempt_want_stop (attempt, 0);
+  ft_attempt_request_stop (attempt, 0);
   if (never_started (attempt))
     ft_attempt_end (attempt);
 }
@@ -124,7 +124,7 @@
   if (ft_attempt_has_exited (attempt))
     ft_attempt_set_state (attempt, FT_ATTEMPT_FORGETTABLE);
   else
-    ft_attempt_want_stop (attempt, 0);
+    ft_attempt_request_stop (attempt, 0);
 }
 
 void
--- a/src/core/attempt_lifecycle.h
+++ b/src/core/attempt_lifecycle.h
@@ -24,7 +24,7 @@
 
 /* The worker is to stop the attempt within `grace_s` seconds. A longer grace than that of an
  * earlier call is ignored. */
-void ft_attempt_want_stop (FtAttempt *attempt, double grace_s);
+void ft_attempt_request_stop (FtAttempt *attempt, double grace_s);
 
 /* The direct request with its start got no answer: it may still be executed, late. */
 void ft_attempt_direct_start_unanswered (FtAttempt *attempt);
--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -9,9 +9,9 @@
 task_failed (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
   FtTask *task = &attempt->job->tasks[attempt->index];
-  task->fails = MIN (task->fails + 1, FT_FAILS_COUNTED);
-  task->avoid = attempt->machine;
-  double pause_s = MIN (FT_RETRY_FIRST_S * (1u << (task->fails - 1)), FT_RETRY_LONGEST_S);
+  task->failures = MIN (task->failures + 1, FT_FAILS_COUNTED);
+  task->avoided_machine = attempt->machine;
+  double pause_s = MIN (FT_RETRY_FIRST_S * (1u << (task->failures - 1)), FT_RETRY_LONGEST_S);
   task->not_before = table->context->now + ft_seconds (pause_s);
   if (reason == FT_EXIT_ERROR)
     ft_fault_task_failed (table, attempt);
@@ -36,9 +36,10 @@
 {
   const FtMachine *machine = attempt->machine;
   /* It was stopped to make room for another job: its task pauses so as not to take that room again. */
-  if (reason == FT_EXIT_STOPPED && ft_attempt_stop_wanted (attempt) && machine->notice_until == 0)
+  if (reason == FT_EXIT_STOPPED && ft_attempt_stop_requested (attempt) && machine->notice_until == 0)
     attempt->job->tasks[attempt->index].not_before = table->context->now + ft_seconds (FT_PREEMPTED_PAUSE_S);
-  gboolean blameless = reason == FT_EXIT_STOPPED || reason == FT_EXIT_PEERS || reason == FT_EXIT_ALONE;
+  gboolean blameless
+      = reason == FT_EXIT_STOPPED || reason == FT_EXIT_GANG_TASK_ENDED || reason == FT_EXIT_GANG_INCOMPLETE;
   if (!blameless && attempt->job->state == FT_JOB_OPEN)
     task_failed (table, attempt, reason);
   g_message ("task %s/%u: attempt ended on %s (%s)", attempt->job_ref, attempt->index, machine->name,
@@ -125,11 +126,11 @@
     ft_attempt_bind (attempt, FT_TASK_FETCHING);
   } else if (task_is_being_cancelled (attempt->job, attempt->index)) {
     ft_attempt_bind (attempt, FT_TASK_FETCHING);
-    ft_attempt_want_stop (attempt, 0);
+    ft_attempt_request_stop (attempt, 0);
   } else {
     g_warning ("task %s/%u: attempt %" G_GUINT64_FORMAT " on %s is stopped (its task has another attempt or is over)",
                attempt->job_ref, attempt->index, attempt->id, attempt->machine->name);
-    ft_attempt_want_stop (attempt, 0);
+    ft_attempt_request_stop (attempt, 0);
   }
   attempt_progress (attempt, phase);
 }
@@ -178,7 +179,7 @@
 {
   g_warning ("task %s/%u: vanished from %s (not in its task list)", attempt->job_ref, attempt->index,
              attempt->machine->name);
-  if (ft_attempt_stop_wanted (attempt))
+  if (ft_attempt_stop_requested (attempt))
     ft_attempt_end (attempt);
   else
     ft_attempt_set_state (attempt, FT_ATTEMPT_PLACED);
@@ -201,7 +202,7 @@
    * never, but a direct start may still be on its way: then only the end of
    * the incarnation proves that it did not happen. */
   gboolean certain = is_heartbeat && attempt->sent_sequence < heartbeat->sequence;
-  if (!ft_attempt_stop_wanted (attempt) || !certain || attempt->direct_start == FT_DIRECT_START_IN_FLIGHT)
+  if (!ft_attempt_stop_requested (attempt) || !certain || attempt->direct_start == FT_DIRECT_START_IN_FLIGHT)
     return;
   if (attempt->direct_start != FT_DIRECT_START_UNANSWERED)
     ft_attempt_end (attempt);
--- a/src/core/cloud_calls.c
+++ b/src/core/cloud_calls.c
@@ -40,7 +40,7 @@
   const FtMachineQueues *queues = eviction->machine_table->queues;
   for (GList *link = queues->terminating.head; link != NULL; link = link->next) {
     FtMachine *machine = link->data;
-    eviction->context->looked_at++;
+    eviction->context->examined_count++;
     if (!may_return_now (eviction, machine))
       continue;
     if (call == NULL)
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -10,17 +10,17 @@
 typedef struct {
   const FtSettings *settings; /* borrowed */
   FtCatalog *catalog;
-  guint64 token;          /* our fencing token */
-  gint64 now;             /* time of the event being handled */
-  gint64 took_over_at;    /* when this leadership began */
-  gint64 loaded_at;       /* when the rows of the store were read completely */
-  gint64 answer_grace_us; /* how long a leader whose lease has expired may go on answering heartbeats */
-  GRand *random;          /* seeded, so that a run can be repeated */
-  FtTuning tuning;        /* operators' settings */
-  gboolean may_start;     /* the lease is valid now */
-  gboolean placement_due; /* a placement pass may find something to do; set by any module */
-  guint looked_at;        /* machines and jobs looked at so far, by any module: tests bound the work by it */
-  gint64 last_heard;      /* last heartbeat under our token: proof that workers receive our answers */
+  guint64 token;               /* our fencing token */
+  gint64 now;                  /* time of the event being handled */
+  gint64 took_over_at;         /* when this leadership began */
+  gint64 loaded_at;            /* when the rows of the store were read completely */
+  gint64 answer_grace_us;      /* how long a leader whose lease has expired may go on answering heartbeats */
+  GRand *random;               /* seeded, so that a run can be repeated */
+  FtTuning tuning;             /* operators' settings */
+  gboolean may_start;          /* the lease is valid now */
+  gboolean placement_due;      /* a placement pass may find something to do; set by any module */
+  guint examined_count;        /* machines and jobs looked at so far, by any module: tests bound the work by it */
+  gint64 last_acknowledged_at; /* last heartbeat under our token: proof that workers receive our answers */
   gint64 last_tick;
   gint64 on_time_since;             /* we were late ourselves before: silence until then proves nothing */
   gint64 answering_since;           /* heartbeats were not answered until then */
--- a/src/core/dependency.c
+++ b/src/core/dependency.c
@@ -201,7 +201,7 @@
 }
 
 void
-ft_dependency_graph_settle (FtDependencyGraph *graph, const char *ref, FtJobEnd end, gint64 at)
+ft_dependency_graph_job_ended (FtDependencyGraph *graph, const char *ref, FtJobEnd end, gint64 at)
 {
   Node *node = find (graph, ref);
   if (node == NULL)
@@ -221,7 +221,7 @@
     return FT_WAIT_NONE;
   if (node->cancelled)
     return FT_WAIT_CANCELLED;
-  return node->dependencies->len > 0 ? FT_WAIT_OTHERS : FT_WAIT_NONE;
+  return node->dependencies->len > 0 ? FT_WAIT_PENDING : FT_WAIT_NONE;
 }
 
 gint64
--- a/src/core/dependency.h
+++ b/src/core/dependency.h
@@ -2,7 +2,7 @@
  * follows for the others when one of them ends. Pure: no I/O, no clock. Owned and called by the job
  * table.
  *
- * A dependency is met only by ft_dependency_graph_settle(), that is by an end that is known to be
+ * A dependency is met only by ft_dependency_graph_job_ended(), that is by an end that is known to be
  * committed. That a job is not in the graph proves nothing about it: its row is then to be read, see
  * ft_dependency_graph_next_unread(). Jobs can only name jobs that were accepted before them, so
  * the graph has no cycles. */
@@ -19,7 +19,7 @@
 
 typedef enum {
   FT_WAIT_NONE,      /* all its dependencies are done */
-  FT_WAIT_OTHERS,    /* a dependency is not done yet, or not known to be */
+  FT_WAIT_PENDING,   /* a dependency is not done yet, or not known to be */
   FT_WAIT_CANCELLED, /* a dependency, direct or indirect, is cancelled */
 } FtWait;
 
@@ -37,7 +37,7 @@
                               gboolean cancelled, const FtUrgency *own);
 /* The end of a job is committed, at that time (0: long ago). It leaves the graph; its dependents that
  * wait for nothing else are reported as changed. */
-void ft_dependency_graph_settle (FtDependencyGraph *graph, const char *ref, FtJobEnd end, gint64 at);
+void ft_dependency_graph_job_ended (FtDependencyGraph *graph, const char *ref, FtJobEnd end, gint64 at);
 
 /* What the job waits for; FT_WAIT_NONE also if it is not in the graph. */
 FtWait ft_dependency_graph_wait (const FtDependencyGraph *graph, const char *ref);
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -30,7 +30,7 @@
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtAttempt *attempt = value;
-    if (attempt->stop == FT_ATTEMPT_STOP_WANTED && attempt->state == FT_ATTEMPT_ON_WORKER) {
+    if (attempt->stop == FT_ATTEMPT_STOP_REQUESTED && attempt->state == FT_ATTEMPT_ON_WORKER) {
       attempt->stop = FT_ATTEMPT_STOP_SENT;
       ft_worker_command_add (commands, FT_COMMAND_STOP, attempt);
     } else if (may_start_directly (attempt)) {
@@ -47,7 +47,7 @@
   FtMachine *machine;
   while ((machine = g_queue_pop_head (&queues->directs)) != NULL) {
     machine->requests.direct_queued = FALSE;
-    machine->context->looked_at++;
+    machine->context->examined_count++;
     FtDirect *direct = request_to (machine);
     if (direct != NULL)
       return direct;
@@ -64,7 +64,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *attempt = value;
     gboolean wants_start = attempt->state == FT_ATTEMPT_PLACED && attempt->stop == FT_ATTEMPT_STOP_NONE;
-    gboolean wants_stop = !ft_attempt_has_exited (attempt) && attempt->stop == FT_ATTEMPT_STOP_WANTED;
+    gboolean wants_stop = !ft_attempt_has_exited (attempt) && attempt->stop == FT_ATTEMPT_STOP_REQUESTED;
     if (wants_start || wants_stop)
       return TRUE;
   }
@@ -79,7 +79,7 @@
   else
     ft_attempt_direct_start_answered (attempt);
   /* All of it was refused: this copy was not executed and never will be. */
-  if (result == FT_DIRECT_CONFLICT && attempt->state == FT_ATTEMPT_PLACED && ft_attempt_stop_wanted (attempt)
+  if (result == FT_DIRECT_CONFLICT && attempt->state == FT_ATTEMPT_PLACED && ft_attempt_stop_requested (attempt)
       && attempt->sent_sequence == 0)
     ft_attempt_end (attempt);
 }
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -26,12 +26,12 @@
 static gboolean
 does_well_elsewhere (const FtJob *job, const FtMachine *machine)
 {
-  if (ft_job_finished (job) > 0)
+  if (ft_job_finished_tasks (job) > 0)
     return TRUE;
   GHashTableIter it;
   gpointer key;
   guint looked = 0;
-  gint64 enough = job->failed_after + ft_seconds (FT_FAULT_MARGIN_S);
+  gint64 enough = job->longest_failed_run + ft_seconds (FT_FAULT_MARGIN_S);
   g_hash_table_iter_init (&it, job->attempts);
   while (looked++ < FT_FAULT_ATTEMPTS && g_hash_table_iter_next (&it, &key, NULL)) {
     const FtAttempt *other = key;
@@ -72,12 +72,12 @@
 {
   FtJob *job = attempt->job;
   FtMachine *machine = attempt->machine;
-  job->failed_after = MAX (job->failed_after, ran_for (attempt));
+  job->longest_failed_run = MAX (job->longest_failed_run, ran_for (attempt));
   note_machine (job, machine);
   if (counts_against (job, machine))
     machine->fitness.faults++;
   machine->fitness.last_failed = job->revision;
-  if (machine->fitness.quarantined || !ft_fault_proven (machine) || !may_quarantine_one_more (table))
+  if (machine->fitness.quarantined || !ft_fault_is_faulty (machine) || !may_quarantine_one_more (table))
     return;
   machine->fitness.quarantined = TRUE;
   g_warning ("machine %s: quarantined (faulty: %u tasks in a row failed on it, not by their own mistake)",
@@ -92,7 +92,7 @@
 }
 
 gboolean
-ft_fault_proven (const FtMachine *machine)
+ft_fault_is_faulty (const FtMachine *machine)
 {
   return machine->fitness.faults >= FT_FAULTS;
 }
--- a/src/core/fault.h
+++ b/src/core/fault.h
@@ -17,4 +17,4 @@
 void ft_fault_task_completed (FtMachine *machine);
 
 /* The machine is quarantined for its faults, not for another reason. */
-gboolean ft_fault_proven (const FtMachine *machine);
+gboolean ft_fault_is_faulty (const FtMachine *machine);
--- a/src/core/heartbeat_answer.c
+++ b/src/core/heartbeat_answer.c
@@ -25,7 +25,7 @@
   g_hash_table_iter_init (&it, machine->attempts);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *attempt = value;
-    if (ft_attempt_stop_wanted (attempt) && attempt->state == FT_ATTEMPT_ON_WORKER)
+    if (ft_attempt_stop_requested (attempt) && attempt->state == FT_ATTEMPT_ON_WORKER)
       ft_worker_command_add (commands, FT_COMMAND_STOP, attempt);
     else if (machine->context->may_start && ft_worker_command_may_forget (attempt))
       ft_worker_command_add (commands, FT_COMMAND_FORGET, attempt);
--- a/src/core/interruption_notice.c
+++ b/src/core/interruption_notice.c
@@ -10,9 +10,9 @@
   gint64 now = attempt->machine->context->now;
   double ran_s = attempt->running ? (double) (now - attempt->running_at) / FT_SECOND : 0;
   if (spec->checkpoint_s > 0 && attempt->running)
-    ft_attempt_want_stop (attempt, spec->save_s);
+    ft_attempt_request_stop (attempt, spec->save_s);
   else if (ran_s + notice_s < FT_NOTICE_LOST_SHARE * spec->estimate_s)
-    ft_attempt_want_stop (attempt, 0);
+    ft_attempt_request_stop (attempt, 0);
 }
 
 void
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -17,7 +17,7 @@
     team->unknown_cpus += spec->cpus * spec->tasks;
     team->unknown_gpus += spec->gpus * spec->tasks;
   }
-  job->written = g_hash_table_new (g_direct_hash, g_direct_equal);
+  job->stored_chunks = g_hash_table_new (g_direct_hash, g_direct_equal);
   job->dirty_chunks = g_hash_table_new (g_direct_hash, g_direct_equal);
   job->attempts = g_hash_table_new (g_direct_hash, g_direct_equal);
   return job;
@@ -28,7 +28,7 @@
 {
   if (job == NULL)
     return;
-  g_hash_table_unref (job->written);
+  g_hash_table_unref (job->stored_chunks);
   g_hash_table_unref (job->dirty_chunks);
   g_hash_table_unref (job->attempts);
   g_free (job->tasks);
@@ -107,14 +107,14 @@
 }
 
 guint
-ft_job_live (const FtJob *job)
+ft_job_bound_tasks (const FtJob *job)
 {
   return job->counts[FT_TASK_STARTING] + job->counts[FT_TASK_FETCHING] + job->counts[FT_TASK_RUNNING]
          + job->counts[FT_TASK_CHECKPOINTING];
 }
 
 guint
-ft_job_finished (const FtJob *job)
+ft_job_finished_tasks (const FtJob *job)
 {
   return job->counts[FT_TASK_FINISHED] + job->counts[FT_TASK_DONE];
 }
@@ -139,7 +139,7 @@
 }
 
 guint
-ft_job_chunks (const FtJob *job)
+ft_job_chunk_count (const FtJob *job)
 {
   return (job->spec->tasks + FT_DONE_CHUNK - 1) / FT_DONE_CHUNK;
 }
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -43,9 +43,9 @@
 
   GQueue *pending_writes;       /* of the job table, borrowed: jobs to write; NULL in tests of the job alone */
   gboolean write_queued;        /* is in `pending_writes` */
-  GHashTable *written;          /* chunks of the done-set that are in the store */
+  GHashTable *stored_chunks;    /* chunks of the done-set that are in the store */
   GHashTable *dirty_chunks;     /* chunks with finished, uncommitted tasks */
-  gint64 chunk_at;              /* earliest next write of a chunk */
+  gint64 next_chunk_write_at;   /* earliest next write of a chunk */
   guint wanted_watermark;       /* the dispatch watermark (spec->dispatch_watermark) that placed tasks need */
   gboolean watermark_in_flight; /* independent of the end's write: both may be in one batch */
   FtJobEndWrite end_write;      /* changed by ft_job_set_end_write() only */
@@ -63,7 +63,7 @@
   gboolean starved; /* it has waited to begin for as long as any may */
   const FtMachine *failed_on[FT_MISTAKEN_MACHINES]; /* different machines, the first few; compared only */
   guint n_failed_on;
-  gint64 failed_after; /* longest run of a task that failed */
+  gint64 longest_failed_run; /* longest run of a task that failed */
   gint64 not_before;
   gint64 no_room_pass; /* pass in which no machine had room */
 };
@@ -85,10 +85,10 @@
 gboolean ft_task_set_state (FtJob *job, guint index, FtTaskState to);
 
 /* Tasks that are bound to machines. */
-guint ft_job_live (const FtJob *job);
+guint ft_job_bound_tasks (const FtJob *job);
 
 /* Tasks that are finished, committed or not. */
-guint ft_job_finished (const FtJob *job);
+guint ft_job_finished_tasks (const FtJob *job);
 
 /* ---- what is to be written ---- */
 
@@ -99,7 +99,7 @@
 void ft_job_set_end_write (FtJob *job, FtJobEndWrite to);
 
 /* How many chunks the done-set has. */
-guint ft_job_chunks (const FtJob *job);
+guint ft_job_chunk_count (const FtJob *job);
 
 /* The finished tasks of a chunk as a bitmap in base64; new. */
 char *ft_job_chunk_bits (const FtJob *job, guint chunk);
--- a/src/core/job_table.c
+++ b/src/core/job_table.c
@@ -88,7 +88,7 @@
   if (g_hash_table_contains (table->jobs, ref))
     return;
   ft_recent_map_add (table->ended_jobs, ref, end);
-  ft_dependency_graph_settle (table->dependencies, ref, end, at);
+  ft_dependency_graph_job_ended (table->dependencies, ref, end, at);
 }
 
 /* ---- adding jobs ---- */
@@ -157,7 +157,7 @@
   g_autoptr (GArray) tasks = ft_job_chunk_tasks (job, chunk, bits);
   for (guint i = 0; i < tasks->len; i++)
     ft_task_set_state (job, g_array_index (tasks, guint, i), FT_TASK_DONE);
-  g_hash_table_add (job->written, GUINT_TO_POINTER (chunk));
+  g_hash_table_add (job->stored_chunks, GUINT_TO_POINTER (chunk));
   return TRUE;
 }
 
@@ -196,7 +196,7 @@
   ft_job_table_cancel (table, job, at);
   job->cancellation_read = TRUE;
   ft_job_queue_write (job);
-  ft_dependency_graph_settle (table->dependencies, ref, FT_JOB_END_CANCELLED, table->context->now);
+  ft_dependency_graph_job_ended (table->dependencies, ref, FT_JOB_END_CANCELLED, table->context->now);
 }
 
 void
@@ -241,5 +241,5 @@
   if (job->write_queued)
     g_queue_remove (&table->pending_writes, job);
   g_hash_table_remove (table->jobs, ref);
-  ft_dependency_graph_settle (table->dependencies, ref, end, table->context->now);
+  ft_dependency_graph_job_ended (table->dependencies, ref, end, table->context->now);
 }
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -229,9 +229,9 @@
     return TRUE;
   gint64 lease_us = MAX (lease->lease_us, lease->seen.lease_us);
   gint64 unrenewed_us = now - lease->unrenewed_since;
-  if (lease->suspicion == FT_LEASE_SUSPICION_STANDING_CONFIRMED)
+  if (lease->suspicion == FT_LEASE_SUSPICION_ROWS_UNCHANGED_CONFIRMED)
     return TRUE;
-  if (lease->suspicion == FT_LEASE_SUSPICION_STANDING)
+  if (lease->suspicion == FT_LEASE_SUSPICION_ROWS_UNCHANGED)
     return unrenewed_us > renewal_overdue_us (lease, lease_us);
   return unrenewed_us > (gint64) (lease_us * (1 + FT_CLOCK_DRIFT));
 }
--- a/src/core/lease_suspicion.c
+++ b/src/core/lease_suspicion.c
@@ -9,9 +9,9 @@
   case FT_LEASE_SUSPICION_REPORTED:
   case FT_LEASE_SUSPICION_REPORTED_CONFIRMED:
     return from == FT_LEASE_SUSPICION_NONE;
-  case FT_LEASE_SUSPICION_STANDING:
+  case FT_LEASE_SUSPICION_ROWS_UNCHANGED:
     return from == FT_LEASE_SUSPICION_REPORTED;
-  case FT_LEASE_SUSPICION_STANDING_CONFIRMED:
+  case FT_LEASE_SUSPICION_ROWS_UNCHANGED_CONFIRMED:
     return from == FT_LEASE_SUSPICION_REPORTED_CONFIRMED;
   }
   return FALSE;
@@ -35,9 +35,9 @@
 ft_lease_suspicion_rows_unchanged (FtLeaseSuspicion *suspicion)
 {
   if (*suspicion == FT_LEASE_SUSPICION_REPORTED)
-    set_suspicion (suspicion, FT_LEASE_SUSPICION_STANDING);
+    set_suspicion (suspicion, FT_LEASE_SUSPICION_ROWS_UNCHANGED);
   else if (*suspicion == FT_LEASE_SUSPICION_REPORTED_CONFIRMED)
-    set_suspicion (suspicion, FT_LEASE_SUSPICION_STANDING_CONFIRMED);
+    set_suspicion (suspicion, FT_LEASE_SUSPICION_ROWS_UNCHANGED_CONFIRMED);
 }
 
 void
--- a/src/core/lease_suspicion.h
+++ b/src/core/lease_suspicion.h
@@ -14,8 +14,8 @@
   FT_LEASE_SUSPICION_NONE,
   FT_LEASE_SUSPICION_REPORTED,           /* the rows are to be read */
   FT_LEASE_SUSPICION_REPORTED_CONFIRMED, /* the same */
-  FT_LEASE_SUSPICION_STANDING,           /* the rows were read and have not changed: claim once a renewal is overdue */
-  FT_LEASE_SUSPICION_STANDING_CONFIRMED, /* the same: claim now */
+  FT_LEASE_SUSPICION_ROWS_UNCHANGED,     /* the rows were read and have not changed: claim once a renewal is overdue */
+  FT_LEASE_SUSPICION_ROWS_UNCHANGED_CONFIRMED, /* the same: claim now */
 } FtLeaseSuspicion;
 
 /* Peers report the holder as gone; there must be no suspicion yet. */
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -195,7 +195,7 @@
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     const FtAttempt *attempt = value;
     gboolean doubt = attempt->state == FT_ATTEMPT_PLACED && attempt->direct_start == FT_DIRECT_START_UNANSWERED
-                     && ft_attempt_stop_wanted (attempt);
+                     && ft_attempt_stop_requested (attempt);
     if (doubt)
       age_s = MAX (age_s, (double) (machine->context->now - attempt->placed_at) / FT_SECOND);
     else
@@ -223,7 +223,8 @@
 static gboolean
 faulty_and_idle (const FtMachine *machine)
 {
-  return machine->fitness.quarantined && machine->reconciled && ft_fault_proven (machine) && ft_machine_idle (machine);
+  return machine->fitness.quarantined && machine->reconciled && ft_fault_is_faulty (machine)
+         && ft_machine_idle (machine);
 }
 
 static void
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -23,7 +23,7 @@
 ft_placement_quota_left (const FtPlacement *placement, const FtTeam *team, const FtJobSpec *spec)
 {
   FtUnseenCapacity unseen;
-  ft_recovery_unreconciled (placement->recovery, &unseen.cpus, &unseen.gpus);
+  ft_recovery_unreconciled_capacity (placement->recovery, &unseen.cpus, &unseen.gpus);
   return ft_quota_count (team, spec, &unseen);
 }
 
@@ -47,7 +47,7 @@
     ft_placement_rank_refresh (job, placement->context->now);
     g_ptr_array_add (placement->order, job);
   }
-  placement->context->looked_at += placement->order->len;
+  placement->context->examined_count += placement->order->len;
   ft_quota_mark_guaranteed (placement->quota, placement->order);
   g_ptr_array_sort (placement->order, ft_placement_rank_jobs);
   g_ptr_array_set_size (placement->waiting, 0);
@@ -106,7 +106,7 @@
 static gboolean
 gang_ready (FtPlacement *placement, FtJob *job)
 {
-  guint unfinished = job->spec->tasks - ft_job_finished (job);
+  guint unfinished = job->spec->tasks - ft_job_finished_tasks (job);
   if (job->counts[FT_TASK_QUEUED] == unfinished)
     return ft_placement_quota_left (placement, job->team, job->spec) >= unfinished;
   if (job->counts[FT_TASK_UNKNOWN] > 0 || job->spec->kind == FT_KIND_SERVICE)
@@ -114,7 +114,7 @@
   for (guint i = 0; i < job->spec->tasks; i++) {
     FtAttempt *attempt = job->tasks[i].attempt;
     if (attempt != NULL && !ft_attempt_has_exited (attempt))
-      ft_attempt_want_stop (attempt, job->spec->checkpoint_s > 0 ? job->spec->save_s : 0);
+      ft_attempt_request_stop (attempt, job->spec->checkpoint_s > 0 ? job->spec->save_s : 0);
   }
   return FALSE;
 }
@@ -252,7 +252,7 @@
     if (!wants_placing (placement, job))
       continue;
     looked++;
-    placement->context->looked_at++;
+    placement->context->examined_count++;
     gboolean plain = job->spec->kind != FT_KIND_GANG && !job->spec->one_zone && !job->spec->spread;
     if (plain && ft_machine_allowed (machine, job->spec))
       place_on (placement, job, machine, FT_PASS_TASKS);
--- a/src/core/placement_search.c
+++ b/src/core/placement_search.c
@@ -22,7 +22,7 @@
         && machine->memory_gb < machine->type->memory_gb)
       g_ptr_array_add (search->machines, value);
   }
-  context->looked_at += g_hash_table_size (machine_table->machines);
+  context->examined_count += g_hash_table_size (machine_table->machines);
 }
 
 void
@@ -74,7 +74,7 @@
 gboolean
 ft_placement_search_avoids (const FtCoreContext *context, const FtTask *task, const FtMachine *machine)
 {
-  return task->avoid == machine && context->now < task->not_before + ft_seconds (FT_AVOID_S);
+  return task->avoided_machine == machine && context->now < task->not_before + ft_seconds (FT_AVOID_S);
 }
 
 static gboolean
@@ -117,7 +117,7 @@
   guint start = n > 0 ? (guint) g_rand_int_range (search->context->random, 0, (gint32) n) : 0;
   for (guint i = 0; i < n && seen < search->context->tuning.sample_size; i++) {
     FtMachine *machine = g_ptr_array_index (search->machines, (start + i) % n);
-    search->context->looked_at++;
+    search->context->examined_count++;
     if (!is_candidate (search, job, task, zones, machine))
       continue;
     seen++;
@@ -127,7 +127,7 @@
       best = machine;
     }
   }
-  gboolean plain = !job->spec->one_zone && !job->spec->spread && task->avoid == NULL;
+  gboolean plain = !job->spec->one_zone && !job->spec->spread && task->avoided_machine == NULL;
   if (best == NULL && plain && search->n_full < FT_FULL_SHAPES)
     search->full[search->n_full++] = job->spec;
   return best;
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -20,7 +20,7 @@
 static gboolean
 may_stop (const FtJob *job, const FtAttempt *victim, gint64 now)
 {
-  if (!victim->bound || ft_attempt_stop_wanted (victim) || victim->job == NULL || ft_attempt_has_exited (victim)
+  if (!victim->bound || ft_attempt_stop_requested (victim) || victim->job == NULL || ft_attempt_has_exited (victim)
       || !cheap_to_stop (victim, now))
     return FALSE;
   if (job->guaranteed && victim->job->team != job->team && !victim->job->guaranteed)
@@ -50,9 +50,9 @@
     g_hash_table_iter_init (&attempts, ((FtMachine *) machine)->attempts);
     while (g_hash_table_iter_next (&attempts, NULL, &value)) {
       const FtAttempt *attempt = value;
-      preemption->context->looked_at++;
-      preemption->stops_pending += ft_attempt_stop_wanted (attempt) && !ft_attempt_has_exited (attempt);
-      if (usable && attempt->bound && !ft_attempt_stop_wanted (attempt) && !ft_attempt_has_exited (attempt)
+      preemption->context->examined_count++;
+      preemption->stops_pending += ft_attempt_stop_requested (attempt) && !ft_attempt_has_exited (attempt);
+      if (usable && attempt->bound && !ft_attempt_stop_requested (attempt) && !ft_attempt_has_exited (attempt)
           && attempt->job != NULL && cheap_to_stop (attempt, preemption->context->now))
         g_ptr_array_add (preemption->victims, value);
     }
@@ -65,7 +65,7 @@
 {
   for (; *from < preemption->victims->len; (*from)++) {
     FtAttempt *victim = g_ptr_array_index (preemption->victims, *from);
-    preemption->context->looked_at++;
+    preemption->context->examined_count++;
     if (may_stop (job, victim, preemption->context->now) && victim->cpus >= job->spec->cpus
         && ft_machine_allowed (victim->machine, job->spec))
       return victim;
@@ -88,7 +88,7 @@
       break;
     g_message ("task %s/%u: stopped on %s (preempted for job %s)", victim->job_ref, victim->index,
                victim->machine->name, job->spec->ref);
-    ft_attempt_want_stop (victim, victim->job->spec->checkpoint_s > 0 ? victim->job->spec->save_s : 0);
+    ft_attempt_request_stop (victim, victim->job->spec->checkpoint_s > 0 ? victim->job->spec->save_s : 0);
     preemption->stops_pending++;
   }
 }
--- a/src/core/probes.c
+++ b/src/core/probes.c
@@ -31,7 +31,7 @@
   FtMachine *machine;
   while (probes->in_flight < FT_PROBES_MAX && (machine = g_queue_pop_head (&queues->probes)) != NULL) {
     machine->requests.probe_queued = FALSE;
-    machine->context->looked_at++;
+    machine->context->examined_count++;
     if (ft_machine_wants_probe (machine))
       return probe (probes, machine);
   }
--- a/src/core/recovery.c
+++ b/src/core/recovery.c
@@ -71,7 +71,7 @@
 }
 
 void
-ft_recovery_unreconciled (const FtRecovery *recovery, double *cpus, double *gpus)
+ft_recovery_unreconciled_capacity (const FtRecovery *recovery, double *cpus, double *gpus)
 {
   gboolean loaded = ft_recovery_is_loaded (recovery);
   *cpus = loaded ? recovery->unreconciled_cpus : FT_CAPACITY_UNKNOWN;
--- a/src/core/recovery.h
+++ b/src/core/recovery.h
@@ -54,4 +54,4 @@
 
 /* What the machines that are not reconciled can hold, at most; FT_CAPACITY_UNKNOWN while the rows
  * are being read. */
-void ft_recovery_unreconciled (const FtRecovery *recovery, double *cpus, double *gpus);
+void ft_recovery_unreconciled_capacity (const FtRecovery *recovery, double *cpus, double *gpus);
--- a/src/core/registry.c
+++ b/src/core/registry.c
@@ -169,7 +169,7 @@
 }
 
 void
-ft_registry_loaded (FtRegistry *registry, const char *id, FtMachine *machine)
+ft_registry_load_entry (FtRegistry *registry, const char *id, FtMachine *machine)
 {
   FtRegistryRow *row = find_or_add_row (registry, id);
   row->stored = TRUE;
@@ -250,7 +250,7 @@
 }
 
 void
-ft_registry_writes (FtRegistry *registry, GPtrArray *writes, guint most)
+ft_registry_collect_writes (FtRegistry *registry, GPtrArray *writes, guint most)
 {
   guint n = g_queue_get_length (&registry->pending_rows);
   for (guint i = 0; i < n && most > 0; i++) {
@@ -287,7 +287,7 @@
 }
 
 void
-ft_registry_written (FtRegistry *registry, const FtWrite *write, gboolean applied)
+ft_registry_write_finished (FtRegistry *registry, const FtWrite *write, gboolean applied)
 {
   FtRegistryRow *row = g_hash_table_lookup (registry->rows, write->name);
   if (row == NULL)
--- a/src/core/registry.h
+++ b/src/core/registry.h
@@ -55,13 +55,13 @@
 void ft_registry_remove (FtRegistry *registry, FtMachine *machine);
 
 /* The row `id`, as read from the store, names the machine; NULL: it names one that is gone. */
-void ft_registry_loaded (FtRegistry *registry, const char *id, FtMachine *machine);
+void ft_registry_load_entry (FtRegistry *registry, const char *id, FtMachine *machine);
 
 /* The store has refused a batch as invalid: rows are made at half the size from now on. */
 void ft_registry_lower_value_limit (FtRegistry *registry);
 
 /* Adds the rows that are due to `writes` (FtWrite), `most` at a time. */
-void ft_registry_writes (FtRegistry *registry, GPtrArray *writes, guint most);
+void ft_registry_collect_writes (FtRegistry *registry, GPtrArray *writes, guint most);
 
 /* What became of such a write; one that was not applied is queued again. */
-void ft_registry_written (FtRegistry *registry, const FtWrite *write, gboolean applied);
+void ft_registry_write_finished (FtRegistry *registry, const FtWrite *write, gboolean applied);
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -112,11 +112,11 @@
 {
   FtMachine *known = g_hash_table_lookup (scheduler->machine_table.machines, name);
   if (known != NULL || g_hash_table_contains (scheduler->machine_table.gone, name)) {
-    ft_registry_loaded (&scheduler->registry, row, known);
+    ft_registry_load_entry (&scheduler->registry, row, known);
     return;
   }
   FtMachine *machine = ft_machine_table_add (&scheduler->machine_table, name, addr, type, zone, spot);
-  ft_registry_loaded (&scheduler->registry, row, machine);
+  ft_registry_load_entry (&scheduler->registry, row, machine);
   /* A former leader that lost the store may have answered it until then. */
   gint64 answered_until = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
   ft_reachability_registered (&machine->reachability, answered_until, scheduler->context.now);
@@ -205,11 +205,11 @@
 gint64
 ft_scheduler_last_heard (const FtScheduler *scheduler)
 {
-  return scheduler->context.last_heard;
+  return scheduler->context.last_acknowledged_at;
 }
 
 guint
 ft_scheduler_looked_at (const FtScheduler *scheduler)
 {
-  return scheduler->context.looked_at;
+  return scheduler->context.examined_count;
 }
--- a/src/core/scheduler_jobs.c
+++ b/src/core/scheduler_jobs.c
@@ -67,8 +67,8 @@
     return view;
   view.known = TRUE;
   view.cancelled = job->state == FT_JOB_CANCELLING;
-  view.done = ft_job_finished (job);
-  view.running = ft_job_live (job) - job->counts[FT_TASK_STARTING];
+  view.done = ft_job_finished_tasks (job);
+  view.running = ft_job_bound_tasks (job) - job->counts[FT_TASK_STARTING];
   return view;
 }
 
--- a/src/core/scheduler_operators.c
+++ b/src/core/scheduler_operators.c
@@ -14,8 +14,8 @@
                              .job_class = job->spec->job_class,
                              .state = ft_job_state_name (job->state),
                              .tasks = job->spec->tasks,
-                             .done = ft_job_finished (job),
-                             .running = ft_job_live (job) - job->counts[FT_TASK_STARTING],
+                             .done = ft_job_finished_tasks (job),
+                             .running = ft_job_bound_tasks (job) - job->counts[FT_TASK_STARTING],
                              .why_waiting = ft_explain_waiting (&scheduler->placement, job) };
     visit (&info, data);
   }
--- a/src/core/task.h
+++ b/src/core/task.h
@@ -22,10 +22,10 @@
 
 typedef struct {
   guint8 state; /* FtTaskState; changed by ft_task_set_state() only */
-  guint8 fails;
+  guint8 failures;
   gint64 not_before;
-  FtAttempt *attempt; /* the binding, owned by its machine; NULL when unbound */
-  FtMachine *avoid;   /* where it failed last; compared only */
+  FtAttempt *attempt;         /* the binding, owned by its machine; NULL when unbound */
+  FtMachine *avoided_machine; /* where it failed last; compared only */
 } FtTask;
 
 /* The state's name in log lines. */
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -109,8 +109,8 @@
   FT_EXIT_NO_ROOM,
   FT_EXIT_BUSY,
   FT_EXIT_UNKNOWN,
-  FT_EXIT_PEERS, /* another task of its gang ended */
-  FT_EXIT_ALONE, /* its gang did not assemble in time */
+  FT_EXIT_GANG_TASK_ENDED, /* another task of its gang ended */
+  FT_EXIT_GANG_INCOMPLETE, /* its gang did not assemble in time */
 } FtExitReason;
 
 /* One attempt in a worker heartbeat. */
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -8,7 +8,7 @@
   const FtMachine *machine = attempt->machine;
   return machine->context->may_start && machine->registered && attempt->bound
          && attempt->index < attempt->job->spec->dispatch_watermark && attempt->state == FT_ATTEMPT_PLACED
-         && !ft_attempt_stop_wanted (attempt) && machine->state != FT_MACHINE_TERMINATING
+         && !ft_attempt_stop_requested (attempt) && machine->state != FT_MACHINE_TERMINATING
          && attempt->job->state == FT_JOB_OPEN;
 }
 
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -95,7 +95,7 @@
   FtCoreContext *context = heartbeats->context;
   if (ft_reachability_token_shown (&machine->reachability))
     context->placement_due = TRUE;
-  context->last_heard = context->now;
+  context->last_acknowledged_at = context->now;
   if (!machine->reconciled) {
     ft_machine_set_reconciled (machine);
     g_message ("machine %s: reconciled (its task list under our token has come)", machine->name);
--- a/src/core/write_queue.c
+++ b/src/core/write_queue.c
@@ -58,7 +58,7 @@
 add_registry_rows (FtWriteQueue *queue, Batch *batch)
 {
   guint before = batch->writes->len;
-  ft_registry_writes (queue->registry, batch->writes, max_registry_rows (queue, batch));
+  ft_registry_collect_writes (queue->registry, batch->writes, max_registry_rows (queue, batch));
   batch->ops_left -= batch->writes->len - before;
   queue->wrote_registry = batch->writes->len > before;
   while (batch->ops_left > 0 && !g_queue_is_empty (&queue->registry->drain_deletions)) {
@@ -72,7 +72,7 @@
 static gboolean
 job_complete (const FtJob *job)
 {
-  return job->state == FT_JOB_OPEN && ft_job_finished (job) == job->spec->tasks;
+  return job->state == FT_JOB_OPEN && ft_job_finished_tasks (job) == job->spec->tasks;
 }
 
 /* The rows are deleted only after the watch has shown the cancellation: a cancellation that was only advised must not
@@ -82,7 +82,7 @@
 {
   if (job->state != FT_JOB_CANCELLING || !job->cancellation_read)
     return FALSE;
-  return ft_job_live (job) == 0 && job->counts[FT_TASK_UNKNOWN] == 0 && job->counts[FT_TASK_QUEUED] == 0;
+  return ft_job_bound_tasks (job) == 0 && job->counts[FT_TASK_UNKNOWN] == 0 && job->counts[FT_TASK_QUEUED] == 0;
 }
 
 /* Nothing of it was ever placed: its dependencies were never all done. */
@@ -153,7 +153,7 @@
 chunks_due (const FtWriteQueue *queue, const FtJob *job)
 {
   return job->state == FT_JOB_OPEN && job->end_write == FT_JOB_END_WRITE_IDLE && !job_ends (job)
-         && queue->context->now >= job->chunk_at && g_hash_table_size (job->dirty_chunks) > 0;
+         && queue->context->now >= job->next_chunk_write_at && g_hash_table_size (job->dirty_chunks) > 0;
 }
 
 /* Adds chunks of the job, `most` at most; returns how many more may be added of other jobs. */
@@ -172,7 +172,7 @@
       g_hash_table_iter_remove (&it);
     most--;
   }
-  job->chunk_at = queue->context->now + chunk_period_us (queue);
+  job->next_chunk_write_at = queue->context->now + chunk_period_us (queue);
   return most;
 }
 
@@ -213,7 +213,7 @@
 {
   GQueue *jobs = &queue->job_table->pending_writes;
   guint n = g_queue_get_length (jobs);
-  queue->context->looked_at += n;
+  queue->context->examined_count += n;
   for (guint i = 0; i < n; i++) {
     FtJob *job = g_queue_pop_head (jobs);
     job->write_queued = FALSE;
--- a/src/core/write_queue_outcome.c
+++ b/src/core/write_queue_outcome.c
@@ -18,7 +18,7 @@
 static void
 chunk_written (FtJob *job, const FtWrite *write)
 {
-  g_hash_table_add (job->written, GUINT_TO_POINTER (write->chunk));
+  g_hash_table_add (job->stored_chunks, GUINT_TO_POINTER (write->chunk));
   g_autoptr (GArray) tasks = ft_job_chunk_tasks (job, write->chunk, write->bits);
   for (guint i = 0; i < tasks->len; i++) {
     guint index = g_array_index (tasks, guint, i);
@@ -39,7 +39,7 @@
 {
   GHashTableIter it;
   gpointer key;
-  g_hash_table_iter_init (&it, job->written);
+  g_hash_table_iter_init (&it, job->stored_chunks);
   while (g_hash_table_iter_next (&it, &key, NULL))
     ft_write_queue_delete_chunk (queue, job->spec->ref, GPOINTER_TO_UINT (key));
 }
@@ -98,7 +98,7 @@
     const FtWrite *write = g_ptr_array_index (writes, i);
     FtJob *job = ft_job_table_find (queue->job_table, write->name);
     if (is_registry_write (write))
-      ft_registry_written (queue->registry, write, TRUE);
+      ft_registry_write_finished (queue->registry, write, TRUE);
     else if (job != NULL)
       job_write_committed (queue, job, write);
   }
@@ -115,7 +115,7 @@
     break;
   case FT_WRITE_CHUNK:
     g_hash_table_add (job->dirty_chunks, GUINT_TO_POINTER (write->chunk));
-    job->chunk_at = queue->context->now;
+    job->next_chunk_write_at = queue->context->now;
     break;
   case FT_WRITE_JOB_DONE:
   case FT_WRITE_JOB_STOPPED:
@@ -133,7 +133,7 @@
 {
   FtJob *job = ft_job_table_find (queue->job_table, write->name);
   if (is_registry_write (write))
-    ft_registry_written (queue->registry, write, FALSE);
+    ft_registry_write_finished (queue->registry, write, FALSE);
   else if (write->kind == FT_WRITE_DRAIN_DELETE)
     g_queue_push_tail (&queue->registry->drain_deletions, g_strdup (write->name));
   else if (write->kind == FT_WRITE_CHUNK_DELETE)
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -37,8 +37,14 @@
 };
 static const char *const exit_reason_words[] = {
   [FT_EXIT_NONE] = "", /* of a task that has not exited; no message has it */
-  [FT_EXIT_DONE] = "done",   [FT_EXIT_STOPPED] = "halted",  [FT_EXIT_ERROR] = "error", [FT_EXIT_NO_ROOM] = "no_room",
-  [FT_EXIT_BUSY] = "in_use", [FT_EXIT_UNKNOWN] = "no_such", [FT_EXIT_PEERS] = "peers", [FT_EXIT_ALONE] = "incomplete",
+  [FT_EXIT_DONE] = "done",
+  [FT_EXIT_STOPPED] = "halted",
+  [FT_EXIT_ERROR] = "error",
+  [FT_EXIT_NO_ROOM] = "no_room",
+  [FT_EXIT_BUSY] = "in_use",
+  [FT_EXIT_UNKNOWN] = "no_such",
+  [FT_EXIT_GANG_TASK_ENDED] = "peers",
+  [FT_EXIT_GANG_INCOMPLETE] = "incomplete",
 };
 static const char *const command_words[] = {
   [FT_COMMAND_START] = "start",
--- a/tests/test_dependency_graph.cpp
+++ b/tests/test_dependency_graph.cpp
@@ -28,12 +28,12 @@
   void
   done (const std::string &ref, gint64 at = 5)
   {
-    ft_dependency_graph_settle (graph, ref.c_str (), FT_JOB_END_DONE, at);
+    ft_dependency_graph_job_ended (graph, ref.c_str (), FT_JOB_END_DONE, at);
   }
   void
   cancelled (const std::string &ref)
   {
-    ft_dependency_graph_settle (graph, ref.c_str (), FT_JOB_END_CANCELLED, 5);
+    ft_dependency_graph_job_ended (graph, ref.c_str (), FT_JOB_END_CANCELLED, 5);
   }
   FtWait
   wait (const std::string &ref)
@@ -53,9 +53,9 @@
   add ("b");
   add ("c", { "a", "b" });
   EXPECT_EQ (wait ("a"), FT_WAIT_NONE);
-  EXPECT_EQ (wait ("c"), FT_WAIT_OTHERS);
+  EXPECT_EQ (wait ("c"), FT_WAIT_PENDING);
   done ("a", 7);
-  EXPECT_EQ (wait ("c"), FT_WAIT_OTHERS);
+  EXPECT_EQ (wait ("c"), FT_WAIT_PENDING);
   changed.clear ();
   done ("b", 6);
   EXPECT_EQ (wait ("c"), FT_WAIT_NONE);
@@ -73,7 +73,7 @@
   EXPECT_EQ (wait ("left"), FT_WAIT_NONE);
   EXPECT_EQ (wait ("right"), FT_WAIT_NONE) << "named twice counts once";
   done ("left");
-  EXPECT_EQ (wait ("bottom"), FT_WAIT_OTHERS);
+  EXPECT_EQ (wait ("bottom"), FT_WAIT_PENDING);
   cancelled ("right");
   EXPECT_EQ (wait ("bottom"), FT_WAIT_CANCELLED);
 }
@@ -102,7 +102,7 @@
   done ("first");
   for (const std::string &ref : all) {
     EXPECT_EQ (wait (ref), FT_WAIT_NONE);
-    EXPECT_EQ (wait ("last"), FT_WAIT_OTHERS);
+    EXPECT_EQ (wait ("last"), FT_WAIT_PENDING);
     done (ref);
   }
   EXPECT_EQ (wait ("last"), FT_WAIT_NONE);
@@ -132,7 +132,7 @@
   add ("a"); // the watch has reported it
   done ("b");
   EXPECT_EQ (ft_dependency_graph_next_unread (graph, 200, 50), nullptr);
-  EXPECT_EQ (wait ("c"), FT_WAIT_OTHERS);
+  EXPECT_EQ (wait ("c"), FT_WAIT_PENDING);
   add ("e", { "f" });
   EXPECT_STREQ (ft_dependency_graph_next_unread (graph, 200, 50), "f") << "a new one does not wait for others' turns";
 }
--- a/tests/test_job.cpp
+++ b/tests/test_job.cpp
@@ -22,7 +22,7 @@
 TEST (Job, DoneSetsAreChunkedToFitTheValueLimit)
 {
   FtJob *job = ft_job_new (new_job_spec ("req-1", FT_JOB_TASKS_MAX), nullptr, 1, FT_TASK_QUEUED);
-  ASSERT_EQ (ft_job_chunks (job), (FT_JOB_TASKS_MAX + FT_DONE_CHUNK - 1) / FT_DONE_CHUNK);
+  ASSERT_EQ (ft_job_chunk_count (job), (FT_JOB_TASKS_MAX + FT_DONE_CHUNK - 1) / FT_DONE_CHUNK);
   ft_task_set_state (job, FT_DONE_CHUNK + 9, FT_TASK_STARTING);
   ft_task_set_state (job, FT_DONE_CHUNK + 9, FT_TASK_FINISHED);
   g_autofree char *bits = ft_job_chunk_bits (job, 1);
--- a/tests/test_module_attempt.cpp
+++ b/tests/test_module_attempt.cpp
@@ -50,13 +50,13 @@
 TEST_F (AttemptModule, AStopKeepsTheShortestGraceAndAsksForADirectRequest)
 {
   for (auto [grace_s, expected] : { std::pair (10, 10), std::pair (20, 10), std::pair (0, 0) }) {
-    ft_attempt_want_stop (attempt, grace_s);
-    EXPECT_TRUE (ft_attempt_stop_wanted (attempt));
+    ft_attempt_request_stop (attempt, grace_s);
+    EXPECT_TRUE (ft_attempt_stop_requested (attempt));
     EXPECT_EQ (attempt->grace_s, expected);
   }
   EXPECT_TRUE (machine->requests.direct_queued);
   ft_attempt_clear_stop (attempt);
-  EXPECT_FALSE (ft_attempt_stop_wanted (attempt));
+  EXPECT_FALSE (ft_attempt_stop_requested (attempt));
 }
 
 TEST_F (AttemptModule, ADirectStartWithoutAnswerStaysInDoubt)
@@ -64,7 +64,7 @@
   ft_attempt_direct_start_sent (attempt);
   EXPECT_EQ (attempt->direct_start, FT_DIRECT_START_IN_FLIGHT);
   ft_attempt_direct_start_answered (attempt);
-  EXPECT_EQ (attempt->direct_start, FT_DIRECT_START_SETTLED);
+  EXPECT_EQ (attempt->direct_start, FT_DIRECT_START_ANSWERED);
   EXPECT_FALSE (machine->fitness.start_in_doubt);
   ft_attempt_direct_start_unanswered (attempt);
   ft_attempt_direct_start_answered (attempt);
@@ -76,13 +76,13 @@
 
 TEST_F (AttemptModule, ACancellationEndsItAtOnceOnlyIfNoCopyOfItsStartMayArrive)
 {
-  for (FtDirectStart start : { FT_DIRECT_START_IN_FLIGHT, FT_DIRECT_START_UNANSWERED, FT_DIRECT_START_SETTLED }) {
+  for (FtDirectStart start : { FT_DIRECT_START_IN_FLIGHT, FT_DIRECT_START_UNANSWERED, FT_DIRECT_START_ANSWERED }) {
     attempt->direct_start = start;
-    attempt->sent_sequence = start == FT_DIRECT_START_SETTLED ? 4 : 0; // the answer to a heartbeat carried it
+    attempt->sent_sequence = start == FT_DIRECT_START_ANSWERED ? 4 : 0; // the answer to a heartbeat carried it
     ft_attempt_job_cancelled (attempt);
     ASSERT_TRUE (exists ()) << start;
   }
-  EXPECT_TRUE (ft_attempt_stop_wanted (attempt));
+  EXPECT_TRUE (ft_attempt_stop_requested (attempt));
   attempt->sent_sequence = 0;
   ft_attempt_job_cancelled (attempt);
   EXPECT_FALSE (exists ());
--- a/tests/test_module_job_table.cpp
+++ b/tests/test_module_job_table.cpp
@@ -33,7 +33,7 @@
   place (machine, job, 1, 2);
   ft_job_table_cancel (&job_table, job, 90 * kS);
   EXPECT_EQ (job->state, FT_JOB_CANCELLING);
-  EXPECT_TRUE (ft_attempt_stop_wanted (sent));
+  EXPECT_TRUE (ft_attempt_stop_requested (sent));
   EXPECT_EQ (job->tasks[0].state, FT_TASK_STARTING) << "until its worker has stopped it";
   EXPECT_EQ (ft_machine_attempt (machine, "req-1", 1, 2), nullptr);
   EXPECT_EQ (job->counts[FT_TASK_CANCELLED], 2u);
@@ -81,7 +81,7 @@
   EXPECT_EQ (job_table.open_tasks, 0u);
   EXPECT_EQ (quota.teams[0].unknown_cpus, 0);
   EXPECT_EQ (runs->job, nullptr);
-  EXPECT_TRUE (ft_attempt_stop_wanted (runs));
+  EXPECT_TRUE (ft_attempt_stop_requested (runs));
   EXPECT_EQ (exited->state, FT_ATTEMPT_FORGETTABLE);
 }
 
--- a/tests/test_module_recovery.cpp
+++ b/tests/test_module_recovery.cpp
@@ -25,7 +25,7 @@
   unreconciled_cpus ()
   {
     double cpus = -1, gpus = -1;
-    ft_recovery_unreconciled (&recovery, &cpus, &gpus);
+    ft_recovery_unreconciled_capacity (&recovery, &cpus, &gpus);
     return cpus;
   }
 };
--- a/tests/test_module_registry.cpp
+++ b/tests/test_module_registry.cpp
@@ -33,14 +33,14 @@
   next (guint most = 10)
   {
     GPtrArray *writes = g_ptr_array_new_with_free_func ((GDestroyNotify) ft_write_free);
-    ft_registry_writes (&registry, writes, most);
+    ft_registry_collect_writes (&registry, writes, most);
     return writes;
   }
   void
   end (const GPtrArray *writes, gboolean applied)
   {
     for (guint i = 0; i < writes->len; i++)
-      ft_registry_written (&registry, write_at (writes, i), applied);
+      ft_registry_write_finished (&registry, write_at (writes, i), applied);
   }
 };
 
@@ -122,7 +122,7 @@
 TEST_F (RegistryModule, AnEmptyRowIsDeletedAfterAPauseAndForgottenWhenThatIsCommitted)
 {
   FtMachine *machine = add_machine ("n-1");
-  ft_registry_loaded (&registry, "old-0", machine);
+  ft_registry_load_entry (&registry, "old-0", machine);
   EXPECT_TRUE (machine->registered);
   ft_machine_table_set_drained (&machine_table, "n-1", TRUE);
   ft_registry_remove (&registry, machine);
@@ -146,7 +146,7 @@
   std::set<std::string> expected, named;
   for (int i = 0; i < 20; i++) {
     std::string name = "n-" + std::to_string (i);
-    ft_registry_loaded (&registry, "old-0", add_machine (name.c_str ()));
+    ft_registry_load_entry (&registry, "old-0", add_machine (name.c_str ()));
     expected.insert (name);
   }
   FtMachine *gone = ft_machine_table_find (&machine_table, "n-7");
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -80,7 +80,7 @@
   ft_scheduler_loaded (harness.scheduler, 100 * kS);
   EXPECT_EQ (machines, 1u);
   ASSERT_NE (harness.job ("req-5"), nullptr);
-  EXPECT_EQ (ft_job_finished (harness.job ("req-5")), 2u) << "its done-set";
+  EXPECT_EQ (ft_job_finished_tasks (harness.job ("req-5")), 2u) << "its done-set";
   EXPECT_EQ (harness.job ("req-3")->state, FT_JOB_OPEN);
   EXPECT_EQ (harness.job ("req-3")->counts[FT_TASK_UNKNOWN], 2u)
       << "below the dispatch watermark, and so perhaps running";
--- a/tests/test_scheduler_commands.cpp
+++ b/tests/test_scheduler_commands.cpp
@@ -52,7 +52,7 @@
   ft_scheduler_direct_done (harness.scheduler, direct, FT_DIRECT_UNANSWERED, nullptr, 103 * kS);
   ft_direct_free (direct);
   FtJob *job = harness.job ("req-1");
-  ft_attempt_want_stop (job->tasks[0].attempt, 0);
+  ft_attempt_request_stop (job->tasks[0].attempt, 0);
   g_autoptr (GArray) first = harness.exchange (104 * kS, 2);
   EXPECT_EQ (count_commands (first, FT_COMMAND_START), 1u);
 }
