--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -4,29 +4,33 @@
 #include "core/lease_suspicion.h"
 
 struct _FtLease {
-  char *member;
-  guint64 incarnation;
-  gint64 lease_us, sweep_us, answer_grace_us;
-  gint64 sent_lease_us; /* written by the claim or renewal sent last */
-  double jitter, renew_fraction;
+  char *member;           /* name of this controller */
+  guint64 incarnation;    /* random number of this process */
+  gint64 lease_us;        /* lease time that the next claim or renewal writes */
+  gint64 sweep_us;        /* time between two reads of the rows by a follower */
+  gint64 answer_grace_us; /* longest time after the last contact during which heartbeats may be answered */
+  gint64 sent_lease_us;   /* lease time that the last claim or renewal wrote */
+  double jitter;          /* share by which the time between two sweeps varies at random */
+  double renew_fraction;  /* number of renewals within one lease time */
   GRand *random;
-  FtLeaseState state;
-
-  FtLeaseRows seen;
-  gint64 unrenewed_since; /* when the present rows were first seen */
-  gboolean rows_known;
-  gint64 next_sweep;          /* when the rows are to be read next */
-  gint64 abstain_until;       /* we have given the lease up: no claim before */
-  gint64 fence_since;         /* when the present fence was first seen */
-  FtLeaseSuspicion suspicion; /* of the present holder */
-
-  guint64 token;                /* ours, while acquiring or holding */
-  guint64 fence_revision;       /* of our acquisition */
-  gint64 valid_until;           /* the holder may start tasks until then */
-  gint64 last_contact;          /* when the last renewal that succeeded was sent */
-  gboolean cancellations_known; /* all cancellations before `cancellations_known_until` are known */
-  gint64 cancellations_known_until;
-  gint64 next_renewal;
+  FtLeaseState state; /* changed by set_state() only */
+
+  FtLeaseRows last_rows;  /* the rows as last read */
+  gint64 unrenewed_since; /* start of the time that counts as without a renewal: when the present rows were first read,
+                             or when a sweep last failed */
+  gboolean rows_known;    /* the rows were read after the last claim that failed and the last loss of the lease */
+  gint64 next_sweep;      /* when the rows are to be read next */
+  gint64 no_claim_before; /* no claim before this time, since this controller has released the lease */
+  gint64 fence_since;     /* when the present fence row was first read */
+  FtLeaseSuspicion suspicion; /* suspicion that the present holder is gone */
+
+  guint64 token;                    /* this controller's fencing token while acquiring or holding; else 0 */
+  guint64 fence_revision;           /* revision of the fence row that this controller acquired; else 0 */
+  gint64 valid_until;               /* the holder may start tasks before this time */
+  gint64 last_contact;              /* when the last claim or renewal that succeeded was sent */
+  gboolean cancellations_known;     /* the cancellations have been read since the acquisition */
+  gint64 cancellations_known_until; /* all cancellations committed before this time are known */
+  gint64 next_renewal;              /* when the next renewal is to be sent */
 };
 
 static const char *const state_names[] = { "following", "acquiring", "holding", "lapsed" };
@@ -73,7 +77,7 @@
 {
   if (lease == NULL)
     return;
-  ft_lease_rows_clear (&lease->seen);
+  ft_lease_rows_clear (&lease->last_rows);
   g_rand_free (lease->random);
   g_free (lease->member);
   g_free (lease);
@@ -107,7 +111,7 @@
   return FALSE;
 }
 
-/* The one place where the state changes. `reason` is logged. */
+/* Changes the state and logs `reason`; no other function does. Returns FALSE if the transition is not allowed. */
 static gboolean
 set_state (FtLease *lease, FtLeaseState to, const char *reason)
 {
@@ -126,45 +130,47 @@
 
 /* ---- the rows ---- */
 
+/* Schedules the next regular sweep, with jitter. */
 static void
-plan_sweep (FtLease *lease, gint64 now)
+schedule_sweep (FtLease *lease, gint64 now)
 {
   double jitter = lease->jitter > 0 ? g_rand_double_range (lease->random, 1 - lease->jitter, 1 + lease->jitter) : 1;
   lease->next_sweep = now + (gint64) (lease->sweep_us * jitter);
 }
 
-/* The next read comes within FT_SWEEP_RETRY_S. */
+/* Brings the next sweep forward, so that it comes within FT_SWEEP_RETRY_S. */
 static void
-sweep_again_soon (FtLease *lease, gint64 now)
+schedule_early_sweep (FtLease *lease, gint64 now)
 {
   lease->next_sweep = now + MIN (lease->next_sweep - now, (gint64) (FT_SWEEP_RETRY_S * FT_SECOND));
 }
 
+/* Keeps a copy of rows that have changed. */
 static void
-take_rows (FtLease *lease, gint64 now, const FtLeaseRows *rows)
+copy_rows (FtLease *lease, gint64 now, const FtLeaseRows *rows)
 {
   lease->unrenewed_since = now;
-  ft_lease_rows_clear (&lease->seen);
-  lease->seen = *rows;
-  lease->seen.holder = g_strdup (rows->holder);
+  ft_lease_rows_clear (&lease->last_rows);
+  lease->last_rows = *rows;
+  lease->last_rows.holder = g_strdup (rows->holder);
   lease->rows_known = TRUE;
 }
 
 void
 ft_lease_observe (FtLease *lease, gint64 now, const FtLeaseRows *rows)
 {
-  gboolean same_fence = lease->rows_known && rows->fence_revision == lease->seen.fence_revision;
+  gboolean same_fence = lease->rows_known && rows->fence_revision == lease->last_rows.fence_revision;
   if (!same_fence)
     lease->fence_since = now;
-  if (same_fence && rows->renewal_revision == lease->seen.renewal_revision) {
+  if (same_fence && rows->renewal_revision == lease->last_rows.renewal_revision) {
     ft_lease_suspicion_rows_unchanged (&lease->suspicion);
   } else {
-    ft_lease_suspicion_clear (&lease->suspicion); /* the holder has renewed, or another leads */
-    take_rows (lease, now, rows);
+    ft_lease_suspicion_clear (&lease->suspicion); /* the holder has renewed, or another controller leads */
+    copy_rows (lease, now, rows);
   }
-  plan_sweep (lease, now);
+  schedule_sweep (lease, now);
   if (lease->suspicion != FT_LEASE_SUSPICION_NONE)
-    sweep_again_soon (lease, now);
+    schedule_early_sweep (lease, now);
   gboolean leading = lease->state == FT_LEASE_HOLDING || lease->state == FT_LEASE_EXPIRED;
   if (leading && rows->fence_revision != lease->fence_revision && rows->token > lease->token)
     ft_lease_lost (lease, now);
@@ -173,21 +179,21 @@
 void
 ft_lease_sweep_failed (FtLease *lease, gint64 now)
 {
-  /* While the rows cannot be read here, the holder may be unable to renew them. */
+  /* While this controller cannot read the rows, the holder may be unable to renew them. */
   lease->unrenewed_since = now;
-  plan_sweep (lease, now);
-  /* The first read after an outage should not wait for a full period: no controller leads then. */
-  sweep_again_soon (lease, now);
+  schedule_sweep (lease, now);
+  /* The first read after an outage must not wait for a full period, since no controller may lead at that time. */
+  schedule_early_sweep (lease, now);
 }
 
-/* Where connections between controllers are refused, a live leader looks dead to all of its peers, and claims made at
- * once would replace the leader twice a second. Hence a claim at once needs another peer that answers us, and a fence
- * that is not new. */
+/* If connections between controllers are refused, a leader that is alive looks dead to all of its peers, and immediate
+ * claims would replace the leader twice a second. Therefore an immediate claim requires that another peer answers this
+ * controller and that the fence row has not changed for FT_SUSPECT_STABLE_S. */
 void
 ft_lease_suspect (FtLease *lease, const char *holder, gboolean confirmed, gint64 now)
 {
   if (lease->state != FT_LEASE_FOLLOWING || lease->suspicion != FT_LEASE_SUSPICION_NONE || !lease->rows_known
-      || g_strcmp0 (lease->seen.holder, holder) != 0)
+      || g_strcmp0 (lease->last_rows.holder, holder) != 0)
     return;
   gboolean fence_stable = now - lease->fence_since > (gint64) (FT_SUSPECT_STABLE_S * FT_SECOND);
   gboolean claim_at_once = confirmed && fence_stable;
@@ -206,12 +212,13 @@
 static gboolean
 holder_is_self (const FtLease *lease)
 {
-  /* One process runs under a member's name. If the fence names us and we do not lead, its holder is our dead
-   * predecessor or an acquisition of our own that got no answer; either way no process acts under it. */
-  return g_strcmp0 (lease->seen.holder, lease->member) == 0;
+  /* Only one process runs under a member's name. If the fence row names this controller although it does not lead, the
+   * row was written by an earlier process of this member, which is dead, or by a claim of this process that got no
+   * answer. In both cases no process acts as that holder. */
+  return g_strcmp0 (lease->last_rows.holder, lease->member) == 0;
 }
 
-/* A live holder that works with that lease time renews within this time. */
+/* Returns the time, in microseconds, within which a live holder with that lease time has renewed the lease. */
 static gint64
 renewal_overdue_us (const FtLease *lease, gint64 lease_us)
 {
@@ -223,11 +230,11 @@
 {
   if (lease->state != FT_LEASE_FOLLOWING || !lease->rows_known)
     return FALSE;
-  if (now < lease->abstain_until)
+  if (now < lease->no_claim_before)
     return FALSE;
-  if (lease->seen.fence_revision == 0 || holder_is_self (lease) || lease->seen.released)
+  if (lease->last_rows.fence_revision == 0 || holder_is_self (lease) || lease->last_rows.released)
     return TRUE;
-  gint64 lease_us = MAX (lease->lease_us, lease->seen.lease_us);
+  gint64 lease_us = MAX (lease->lease_us, lease->last_rows.lease_us);
   gint64 unrenewed_us = now - lease->unrenewed_since;
   if (lease->suspicion == FT_LEASE_SUSPICION_ROWS_UNCHANGED_CONFIRMED)
     return TRUE;
@@ -239,9 +246,9 @@
 FtLeaseClaim
 ft_lease_claim (FtLease *lease, gint64 now)
 {
-  FtLeaseClaim claim = { .token = lease->seen.token + 1,
-                         .fence_revision = lease->seen.fence_revision,
-                         .renewal_revision = lease->seen.renewal_revision,
+  FtLeaseClaim claim = { .token = lease->last_rows.token + 1,
+                         .fence_revision = lease->last_rows.fence_revision,
+                         .renewal_revision = lease->last_rows.renewal_revision,
                          .check_renewal = !holder_is_self (lease) };
   ft_lease_suspicion_clear (&lease->suspicion);
   lease->token = claim.token;
@@ -253,9 +260,9 @@
 
 /* ---- the holder ---- */
 
-/* A claim or renewal that was sent at that time has succeeded. */
+/* Extends the lease, since a claim or a renewal that was sent at `sent_at` has succeeded. */
 static void
-extend (FtLease *lease, gint64 sent_at)
+extend_lease (FtLease *lease, gint64 sent_at)
 {
   gint64 margin = (gint64) (FT_LEASE_MARGIN_S * FT_SECOND);
   lease->valid_until
@@ -272,7 +279,7 @@
   lease->fence_revision = revision;
   lease->last_contact = 0;
   lease->cancellations_known = FALSE;
-  extend (lease, sent_at);
+  extend_lease (lease, sent_at);
 }
 
 void
@@ -302,9 +309,9 @@
 {
   if (lease->state != FT_LEASE_HOLDING && lease->state != FT_LEASE_EXPIRED)
     return;
-  /* The renewal was conditional on our fence: no other controller acquired the lease in between, so a
-   * holder whose lease has expired may continue where it stopped. */
-  extend (lease, sent_at);
+  /* The renewal was conditional on the fence row that this controller wrote, so no other controller has acquired the
+   * lease in between. A holder whose lease has expired may therefore continue as leader. */
+  extend_lease (lease, sent_at);
   if (lease->state == FT_LEASE_EXPIRED)
     set_state (lease, FT_LEASE_HOLDING, "renewed");
 }
@@ -316,8 +323,9 @@
       = now + (gint64) (g_rand_double_range (lease->random, FT_RENEW_AGAIN_MIN_S, FT_RENEW_AGAIN_MAX_S) * FT_SECOND);
 }
 
+/* Drops the claim or the lease, and schedules a sweep at once. */
 static void
-follow (FtLease *lease, gint64 now, const char *reason)
+return_to_following (FtLease *lease, gint64 now, const char *reason)
 {
   lease->token = 0;
   lease->fence_revision = 0;
@@ -330,14 +338,14 @@
 void
 ft_lease_lost (FtLease *lease, gint64 now)
 {
-  follow (lease, now, "lost");
+  return_to_following (lease, now, "lost");
 }
 
 void
 ft_lease_released (FtLease *lease, gint64 now)
 {
-  lease->abstain_until = now + (gint64) (FT_ABSTAIN_S * FT_SECOND);
-  follow (lease, now, "released");
+  lease->no_claim_before = now + (gint64) (FT_ABSTAIN_S * FT_SECOND);
+  return_to_following (lease, now, "released");
 }
 
 void
@@ -363,8 +371,8 @@
 
 /* ---- what the holder may do ---- */
 
-/* A renewal that succeeds after an outage says nothing of what was cancelled during
- * it: no start before the cancellations have been read too. */
+/* A renewal that succeeds after an outage does not show which jobs were cancelled during the outage. So no task is
+ * started before the cancellations have been read, too. */
 gboolean
 ft_lease_may_start (const FtLease *lease, gint64 now)
 {
@@ -372,10 +380,10 @@
          && now < lease->cancellations_known_until + (gint64) (FT_CANCELLATIONS_FRESH_S * FT_SECOND);
 }
 
-/* An answer prolongs the lease of a worker, and with it whatever runs there: also what was
- * cancelled after the cancellations were last read, or, under a new holder, before it first
- * read them, however long ago that was. Hence no answer before the rows are read, and the
- * answer grace period counts from the older of the last renewal and that reading. */
+/* An answer prolongs the worker's lease and so every task that runs there. Such a task may belong to a job that was
+ * cancelled after the holder last read the cancellations or, under a new holder, at any time before it first read them.
+ * Therefore heartbeats are not answered before the cancellations have been read, and the answer grace period counts
+ * from the earlier of the last renewal and the last read. */
 gboolean
 ft_lease_may_answer (const FtLease *lease, gint64 now)
 {
@@ -400,5 +408,5 @@
 const char *
 ft_lease_holder (const FtLease *lease)
 {
-  return lease->seen.holder;
+  return lease->last_rows.holder;
 }
--- a/src/core/lease_suspicion.c
+++ b/src/core/lease_suspicion.c
@@ -17,7 +17,7 @@
   return FALSE;
 }
 
-/* The one place where the suspicion changes. */
+/* Changes the suspicion; no other function does. */
 static void
 set_suspicion (FtLeaseSuspicion *suspicion, FtLeaseSuspicion to)
 {
