--- a/src/core/recovery.c
+++ b/src/core/recovery.c
@@ -11,7 +11,7 @@
   recovery->state = FT_RECOVERY_LOADING;
 }
 
-/* The one place where the state changes; it only moves on to the next one. */
+/* Changes the state, which may only become the next one in order; no other function does. */
 static void
 set_state (FtRecovery *recovery, FtRecoveryState to)
 {
@@ -36,6 +36,7 @@
 
 /* ---- machines that are not reconciled ---- */
 
+/* Adds the machine to the totals (`sign` 1), or subtracts it (`sign` -1). */
 static void
 count_machine (FtRecovery *recovery, FtMachine *machine, int sign)
 {
@@ -78,7 +79,7 @@
   *gpus = loaded ? recovery->unreconciled_gpus : FT_CAPACITY_UNKNOWN;
 }
 
-/* ---- course of the recovery ---- */
+/* ---- progress of the recovery ---- */
 
 void
 ft_recovery_loaded (FtRecovery *recovery)
@@ -88,6 +89,7 @@
     set_state (recovery, FT_RECOVERY_RECONCILING);
 }
 
+/* Queues the unknown tasks of a job again, or cancels them if the job is being cancelled. */
 static void
 requeue_unknown_tasks (FtJob *job)
 {
--- a/src/core/registry.c
+++ b/src/core/registry.c
@@ -1,6 +1,6 @@
-/* Splitting. A row that was written under a larger value limit of the store stays as it is while
- * nothing of it changes. When it must be written its machines move to new rows; the old row is
- * deleted once all of these are committed, so that each machine is named at any moment. */
+/* Splitting rows. A row that was written under a larger value limit of the store stays as it is until a change of it
+ * has to be written. Its machines then move to new rows. The old row is deleted only after
+ * all of the new rows are committed, so that a committed row names each machine at any time. */
 #include "core/registry.h"
 
 #include <string.h>
@@ -40,7 +40,7 @@
   switch (from) {
   case FT_REGISTRY_ROW_IDLE:
     return to == FT_REGISTRY_ROW_QUEUED;
-  case FT_REGISTRY_ROW_QUEUED: /* idle: its machines have moved to other rows */
+  case FT_REGISTRY_ROW_QUEUED: /* becomes idle if a split has moved its machines to other rows */
     return to == FT_REGISTRY_ROW_WRITING || to == FT_REGISTRY_ROW_IDLE;
   case FT_REGISTRY_ROW_WRITING:
     return to == FT_REGISTRY_ROW_WRITING_QUEUED || to == FT_REGISTRY_ROW_IDLE;
@@ -50,7 +50,7 @@
   return FALSE;
 }
 
-/* The one place where a row's state changes. */
+/* Changes the state of a row; no other function does. */
 static void
 set_row_state (FtRegistryRow *row, FtRegistryRowState to)
 {
@@ -70,6 +70,7 @@
   return row->state == FT_REGISTRY_ROW_WRITING || row->state == FT_REGISTRY_ROW_WRITING_QUEUED;
 }
 
+/* Queues the row for a write at `write_at`, or earlier if it is already queued for an earlier time. */
 static void
 queue_row (FtRegistry *registry, FtRegistryRow *row, gint64 write_at)
 {
@@ -88,7 +89,7 @@
   queue_row (registry, row, registry->context->now);
 }
 
-/* For removals: many go in one change. */
+/* Queues the row after a removal. The delay combines many removals in one write. */
 static void
 queue_row_later (FtRegistry *registry, FtRegistryRow *row)
 {
@@ -108,6 +109,7 @@
   return row;
 }
 
+/* Returns the approximate size of the machine's entry in a row. */
 static gsize
 entry_bytes (const FtMachine *machine)
 {
@@ -115,7 +117,7 @@
          + FT_REGISTRY_ENTRY_BYTES;
 }
 
-/* The most that the entries of a row may take. */
+/* Returns the largest total size of the entries in a row, in bytes. */
 static gsize
 max_row_bytes (const FtRegistry *registry)
 {
@@ -133,11 +135,12 @@
 
 /* ---- machines join and leave rows ---- */
 
+/* Returns the row that takes the next machine, with room for `bytes` more; a new row if necessary. */
 static FtRegistryRow *
 row_with_room (FtRegistry *registry, gsize bytes)
 {
   if (registry->open_row == NULL || registry->open_row->bytes + bytes > max_row_bytes (registry)) {
-    /* The token makes the name unique among the rows of all leaderships. */
+    /* The fencing token makes the id unique among the rows of all leaderships. */
     g_autofree char *id
         = g_strdup_printf ("%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, registry->context->token, registry->next_row++);
     registry->open_row = find_or_add_row (registry, id);
@@ -174,7 +177,8 @@
   FtRegistryRow *row = find_or_add_row (registry, id);
   row->stored = TRUE;
   if (machine == NULL || machine->row != NULL) {
-    /* Another row names it as well, after a split that was not completed: one is enough. */
+    /* The row names a machine that is gone, or one that another row names as well, since a split was not completed.
+     * The next write of the row omits that machine. */
     queue_row_later (registry, row);
     return;
   }
@@ -182,7 +186,7 @@
   machine->registered = TRUE;
 }
 
-/* The machine no longer needs the row that a split has moved it from. */
+/* Records that the machine no longer needs the row from which a split has moved it. */
 static void
 leave_split_row (FtRegistry *registry, FtMachine *machine)
 {
@@ -192,7 +196,7 @@
     queue_row_now (registry, row);
 }
 
-/* Moves the machines of a row that is too large to new rows. */
+/* Splits a row that is too large: moves its machines to other rows. */
 static void
 split_row (FtRegistry *registry, FtRegistryRow *row)
 {
@@ -250,10 +254,10 @@
 }
 
 void
-ft_registry_collect_writes (FtRegistry *registry, GPtrArray *writes, guint most)
+ft_registry_collect_writes (FtRegistry *registry, GPtrArray *writes, guint max_rows)
 {
   guint n = g_queue_get_length (&registry->pending_rows);
-  for (guint i = 0; i < n && most > 0; i++) {
+  for (guint i = 0; i < n && max_rows > 0; i++) {
     FtRegistryRow *row = g_queue_pop_head (&registry->pending_rows);
     if (row_is_in_flight (row) || row->write_at > registry->context->now) {
       g_queue_push_tail (&registry->pending_rows, row);
@@ -268,13 +272,13 @@
     }
     set_row_state (row, FT_REGISTRY_ROW_WRITING);
     g_ptr_array_add (writes, row_write (row));
-    most--;
+    max_rows--;
   }
 }
 
-/* The committed row names the machine: from now on it may be sent commands. */
+/* Records that a committed row names the machine, which may be sent commands from now on. */
 static void
-machine_stored (FtRegistry *registry, FtRegistryRow *row, const char *name)
+machine_committed (FtRegistry *registry, FtRegistryRow *row, const char *name)
 {
   FtMachine *machine = g_hash_table_lookup (registry->machine_table->machines, name);
   if (machine == NULL || machine->row != row)
@@ -299,7 +303,7 @@
   }
   row->stored = write->kind == FT_WRITE_REGISTRY_ROW;
   for (guint i = 0; i < write->machines->len; i++)
-    machine_stored (registry, row, g_array_index (write->machines, FtListedMachine, i).name);
+    machine_committed (registry, row, g_array_index (write->machines, FtListedMachine, i).name);
   if (!row->stored && row->state == FT_REGISTRY_ROW_IDLE && row->machines->len == 0 && row != registry->open_row)
     g_hash_table_remove (registry->rows, row->id);
 }
