--- a/src/core/write.c
+++ b/src/core/write.c
@@ -26,7 +26,7 @@
   case FT_WRITE_JOB_DONE:
   case FT_WRITE_JOB_STOPPED:
   case FT_WRITE_JOB_CANCELLED:
-    return 2; /* its row among the open jobs, and the job's own row or that of its cancellation */
+    return 2; /* the job's row in the index of open jobs, and its state row or the row of its cancellation */
   default:
     return 1;
   }
--- a/src/core/write_queue_outcome.c
+++ b/src/core/write_queue_outcome.c
@@ -1,12 +1,12 @@
-/* What becomes of a batch of the write queue: what follows once it is committed, refused or in conflict. */
+/* The result of a batch of the write queue: what follows when it is committed, or refused, or in conflict. */
 #include "core/attempt_lifecycle.h"
 #include "core/write_queue.h"
 
 /* ---- a batch is committed ---- */
 
-/* The tasks that waited for the dispatch watermark can be sent. */
+/* Records a committed dispatch watermark: the tasks below it can be sent now. */
 static void
-watermark_written (FtJob *job, guint watermark)
+watermark_committed (FtJob *job, guint watermark)
 {
   job->watermark_in_flight = FALSE;
   for (guint i = job->spec->dispatch_watermark; i < watermark; i++)
@@ -15,8 +15,9 @@
   job->spec->dispatch_watermark = MAX (job->spec->dispatch_watermark, watermark);
 }
 
+/* Records a committed chunk: the tasks that it marks are done, and their attempts end. */
 static void
-chunk_written (FtJob *job, const FtWrite *write)
+chunk_committed (FtJob *job, const FtWrite *write)
 {
   g_hash_table_add (job->stored_chunks, GUINT_TO_POINTER (write->chunk));
   g_autoptr (GArray) tasks = ft_job_chunk_tasks (job, write->chunk, write->bits);
@@ -32,8 +33,8 @@
   }
 }
 
-/* The done-set of a job that ended is deleted when there is capacity to spare; a leader that finds the
- * rest deletes it too. */
+/* Queues the deletion of the job's done-set, which is deleted when the store has capacity to spare. A later leader that
+ * finds chunks that are left over deletes them too. */
 static void
 delete_chunks (FtWriteQueue *queue, const FtJob *job)
 {
@@ -57,8 +58,9 @@
   }
 }
 
+/* Ends the job, since the write of its end is committed. */
 static void
-end_written (FtWriteQueue *queue, FtJob *job, FtWriteKind kind)
+end_committed (FtWriteQueue *queue, FtJob *job, FtWriteKind kind)
 {
   g_message ("job %s: end committed (%s)", job->spec->ref, end_reason (kind));
   delete_chunks (queue, job);
@@ -70,15 +72,15 @@
 {
   switch (write->kind) {
   case FT_WRITE_WATERMARK:
-    watermark_written (job, write->watermark);
+    watermark_committed (job, write->watermark);
     break;
   case FT_WRITE_CHUNK:
-    chunk_written (job, write);
+    chunk_committed (job, write);
     break;
   case FT_WRITE_JOB_DONE:
   case FT_WRITE_JOB_STOPPED:
   case FT_WRITE_JOB_CANCELLED:
-    end_written (queue, job, write->kind);
+    end_committed (queue, job, write->kind);
     break;
   default:
     break;
@@ -154,7 +156,7 @@
 
 /* ---- conflicts ---- */
 
-/* What the job's row says is known again; NULL: the job is not open any more. */
+/* Ends the conflict of a job whose state row has been read. Returns the job; NULL if it is not open any more. */
 static FtJob *
 end_conflict (FtWriteQueue *queue, const char *ref)
 {
@@ -173,8 +175,8 @@
   FtJob *job = end_conflict (queue, ref);
   if (job == NULL)
     return;
-  g_warning ("job %s: open at revision %" G_GUINT64_FORMAT ", known as %" G_GUINT64_FORMAT, ref, revision,
-             job->revision);
+  g_warning ("job %s: open at revision %" G_GUINT64_FORMAT ", not at the expected revision %" G_GUINT64_FORMAT, ref,
+             revision, job->revision);
   job->revision = revision;
 }
 
