--- a/src/core/dependency.c
+++ b/src/core/dependency.c
@@ -1,23 +1,24 @@
 #include "core/dependency.h"
 
+/* A job in the graph. */
 typedef struct {
   char *ref;
-  gboolean known;          /* an open job; else only named by others, and its row is to be read */
-  gboolean cancelled;      /* a dependency is, direct or indirect */
-  gboolean listed;         /* in `unread` */
-  gint64 read_at;          /* earliest next read of its row */
-  gint64 met_at;           /* when the last dependency was done */
-  FtUrgency own;           /* as submitted */
-  FtUrgency urgency;       /* raised to that of the dependents */
-  GPtrArray *dependencies; /* Node, not settled; borrowed from `nodes` */
-  GPtrArray *dependents;   /* Node, borrowed from `nodes` */
+  gboolean is_open;        /* the job is open; otherwise only its dependents name it, and its state row is to be read */
+  gboolean cancelled;      /* a direct or indirect dependency of the job is cancelled */
+  gboolean queued_unread;  /* the job's ref is in `unread` */
+  gint64 next_read_at;     /* earliest time of the next read of its state row, in microseconds */
+  gint64 met_at;           /* when the last of its dependencies was done, in microseconds; 0: none was */
+  FtUrgency own_urgency;   /* the job's own urgency, as submitted */
+  FtUrgency urgency;       /* the job's own urgency, raised to that of its dependents */
+  GPtrArray *dependencies; /* Node, of the jobs that it waits for; borrowed from `nodes` */
+  GPtrArray *dependents;   /* Node, of the jobs that wait for it; borrowed from `nodes` */
 } Node;
 
 struct _FtDependencyGraph {
-  GHashTable *nodes; /* ref -> Node, owned */
-  GQueue unread;     /* refs, owned, by their `read_at` */
-  FtDependencyChanged changed;
-  gpointer data;
+  GHashTable *nodes;           /* ref -> Node, owned */
+  GQueue unread;               /* refs of jobs whose state rows are to be read, owned; ordered by `next_read_at` */
+  FtDependencyChanged changed; /* called when the wait or the urgency of a job has changed */
+  gpointer data;               /* passed to `changed` */
 };
 
 static void
@@ -72,30 +73,31 @@
 
 /* ---- urgency ---- */
 
+/* Returns the job's own urgency, raised to that of its dependents that are not cancelled. */
 static FtUrgency
-with_dependents (const Node *node)
+compute_urgency (const Node *node)
 {
-  FtUrgency urgency = node->own;
+  FtUrgency urgency = node->own_urgency;
   for (guint i = 0; i < node->dependents->len; i++) {
     const Node *dependent = g_ptr_array_index (node->dependents, i);
-    gint64 by = dependent->urgency.deadline_at;
+    gint64 deadline = dependent->urgency.deadline_at;
     if (dependent->cancelled)
       continue;
     urgency.priority = MAX (urgency.priority, dependent->urgency.priority);
-    if (by > 0 && (urgency.deadline_at == 0 || by < urgency.deadline_at))
-      urgency.deadline_at = by;
+    if (deadline > 0 && (urgency.deadline_at == 0 || deadline < urgency.deadline_at))
+      urgency.deadline_at = deadline;
   }
   return urgency;
 }
 
-/* The urgency of these jobs may have changed, and with it that of their dependencies. Takes the
+/* Recomputes the urgency of these jobs and, where it has changed, that of their dependencies. Takes ownership of the
  * array. */
 static void
 update_urgencies (FtDependencyGraph *graph, GPtrArray *nodes)
 {
   while (nodes->len > 0) {
     Node *node = g_ptr_array_steal_index_fast (nodes, nodes->len - 1);
-    FtUrgency urgency = with_dependents (node);
+    FtUrgency urgency = compute_urgency (node);
     if (urgency.priority == node->urgency.priority && urgency.deadline_at == node->urgency.deadline_at)
       continue;
     node->urgency = urgency;
@@ -108,13 +110,14 @@
 
 /* ---- jobs ---- */
 
+/* Queues the read of the job's state row, unless the job is known to be open. */
 static void
-list_unread (FtDependencyGraph *graph, Node *node)
+queue_read (FtDependencyGraph *graph, Node *node)
 {
-  if (node->known || node->listed)
+  if (node->is_open || node->queued_unread)
     return;
-  node->listed = TRUE;
-  g_queue_push_head (&graph->unread, g_strdup (node->ref)); /* due at once */
+  node->queued_unread = TRUE;
+  g_queue_push_head (&graph->unread, g_strdup (node->ref)); /* the row is to be read at once */
 }
 
 static void
@@ -126,11 +129,11 @@
       continue;
     g_ptr_array_add (node->dependencies, dependency);
     g_ptr_array_add (dependency->dependents, node);
-    list_unread (graph, dependency);
+    queue_read (graph, dependency);
   }
 }
 
-/* Sets all dependents of the job as cancelled, direct and indirect ones. */
+/* Marks all direct and indirect dependents of the job as cancelled. */
 static void
 cancel_dependents (FtDependencyGraph *graph, Node *cancelled)
 {
@@ -154,11 +157,11 @@
                          const FtUrgency *own)
 {
   Node *node = find_or_add (graph, ref);
-  if (node->known)
+  if (node->is_open)
     return;
-  node->known = TRUE;
-  node->own = *own;
-  node->urgency = with_dependents (node);
+  node->is_open = TRUE;
+  node->own_urgency = *own;
+  node->urgency = compute_urgency (node);
   link_dependencies (graph, node, dependencies);
   for (guint i = 0; i < node->dependencies->len; i++)
     cancelled |= ((const Node *) g_ptr_array_index (node->dependencies, i))->cancelled;
@@ -169,8 +172,8 @@
   update_urgencies (graph, g_ptr_array_copy (node->dependencies, NULL, NULL));
 }
 
-/* Takes the node from its dependencies. Those that are not known to be open and that no other job
- * depends on leave the graph. */
+/* Removes the job from the dependents of its dependencies. A dependency that is not known to be open and has no other
+ * dependents leaves the graph. */
 static void
 unlink_dependencies (FtDependencyGraph *graph, Node *node)
 {
@@ -178,7 +181,7 @@
   for (guint i = 0; i < node->dependencies->len; i++) {
     Node *dependency = g_ptr_array_index (node->dependencies, i);
     g_ptr_array_remove_fast (dependency->dependents, node);
-    if (!dependency->known && dependency->dependents->len == 0)
+    if (!dependency->is_open && dependency->dependents->len == 0)
       g_hash_table_remove (graph->nodes, dependency->ref);
     else
       g_ptr_array_add (kept, dependency);
@@ -187,7 +190,7 @@
   update_urgencies (graph, kept);
 }
 
-/* The job is no longer waited for. */
+/* Removes the job, which ended at `at`, from the dependencies of its dependents. */
 static void
 release_dependents (FtDependencyGraph *graph, Node *node, gint64 at)
 {
@@ -209,7 +212,7 @@
   if (end == FT_JOB_END_CANCELLED)
     cancel_dependents (graph, node);
   unlink_dependencies (graph, node);
-  release_dependents (graph, node, at); /* those of a cancelled job stay cancelled */
+  release_dependents (graph, node, at); /* the dependents of a cancelled job stay marked as cancelled */
   g_hash_table_remove (graph->nodes, ref);
 }
 
@@ -238,7 +241,7 @@
   return node != NULL ? &node->urgency : NULL;
 }
 
-/* ---- reading ---- */
+/* ---- rows to be read ---- */
 
 const char *
 ft_dependency_graph_next_unread (FtDependencyGraph *graph, gint64 now, gint64 retry_us)
@@ -246,16 +249,16 @@
   char *ref;
   while ((ref = g_queue_peek_head (&graph->unread)) != NULL) {
     Node *node = find (graph, ref);
-    if (node != NULL && !node->known && node->read_at > now)
-      return NULL; /* those behind it are due later */
+    if (node != NULL && !node->is_open && node->next_read_at > now)
+      return NULL; /* the reads of the refs behind it are due later */
     g_queue_pop_head (&graph->unread);
-    if (node != NULL && !node->known) {
-      node->read_at = now + retry_us;
+    if (node != NULL && !node->is_open) {
+      node->next_read_at = now + retry_us;
       g_queue_push_tail (&graph->unread, ref);
       return node->ref;
     }
     if (node != NULL)
-      node->listed = FALSE;
+      node->queued_unread = FALSE;
     g_free (ref);
   }
   return NULL;
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -61,7 +61,7 @@
 
 /* ---- tasks ---- */
 
-/* Takes a task out of what the team may run unseen. */
+/* Subtracts an unknown task from the resources that the team's unknown tasks may use. */
 static void
 uncount_unknown (FtJob *job)
 {
@@ -119,7 +119,7 @@
   return job->counts[FT_TASK_FINISHED] + job->counts[FT_TASK_DONE];
 }
 
-/* ---- what is to be written ---- */
+/* ---- writes to the store ---- */
 
 void
 ft_job_queue_write (FtJob *job)
@@ -133,7 +133,7 @@
 void
 ft_job_set_end_write (FtJob *job, FtJobEndWrite to)
 {
-  /* A conflict is found by a batch that has failed: nothing of the job is in flight by then. */
+  /* A conflict is recorded only after its batch has failed, when no write of the job is in flight. */
   g_return_if_fail (job->end_write == to || job->end_write == FT_JOB_END_WRITE_IDLE || to == FT_JOB_END_WRITE_IDLE);
   job->end_write = to;
 }
--- a/src/core/job_table.c
+++ b/src/core/job_table.c
@@ -18,7 +18,7 @@
   table->context->placement_due = TRUE;
 }
 
-/* One of its dependencies has ended, or its dependents have changed. */
+/* Updates a job after one of its dependencies has ended or its dependents have changed. */
 static void
 on_dependency_changed (const char *ref, gpointer data)
 {
@@ -38,9 +38,9 @@
   }
 }
 
-/* TRUE if the job's end is known to be committed. */
+/* Returns whether the job's end is known to be committed, and sets `end` to it. */
 static gboolean
-known_end (const FtJobTable *table, const char *ref, FtJobEnd *end)
+find_committed_end (const FtJobTable *table, const char *ref, FtJobEnd *end)
 {
   const FtJob *job = ft_job_table_find (table, ref);
   guint value;
@@ -58,20 +58,20 @@
 add_dependencies (FtJobTable *table, FtJob *job)
 {
   const FtJobSpec *spec = job->spec;
-  g_autoptr (GPtrArray) unsettled = g_ptr_array_new ();
+  g_autoptr (GPtrArray) unmet = g_ptr_array_new ();
   gboolean cancelled = FALSE;
-  /* A dispatch watermark is only raised once all dependencies are done: then there is nothing to read. */
+  /* A dispatch watermark above 0 shows that all dependencies are done, since a task is placed only after that. */
   GStrv dependencies = spec->dispatch_watermark > 0 ? NULL : spec->dependencies;
   for (guint i = 0; dependencies != NULL && dependencies[i] != NULL; i++) {
     FtJobEnd end;
-    if (!known_end (table, dependencies[i], &end))
-      g_ptr_array_add (unsettled, dependencies[i]);
+    if (!find_committed_end (table, dependencies[i], &end))
+      g_ptr_array_add (unmet, dependencies[i]);
     else
       cancelled |= end == FT_JOB_END_CANCELLED;
   }
-  g_ptr_array_add (unsettled, NULL);
+  g_ptr_array_add (unmet, NULL);
   FtUrgency own = { spec->priority, job->deadline_at };
-  ft_dependency_graph_add (table->dependencies, spec->ref, (const char *const *) unsettled->pdata, cancelled, &own);
+  ft_dependency_graph_add (table->dependencies, spec->ref, (const char *const *) unmet->pdata, cancelled, &own);
 }
 
 const char *
@@ -84,7 +84,7 @@
 void
 ft_job_table_end_read (FtJobTable *table, const char *ref, FtJobEnd end, gint64 at)
 {
-  /* An open job's end comes by its own write, or with its cancellation. */
+  /* The end of an open job is recorded when its write is committed or its cancellation is read. */
   if (g_hash_table_contains (table->jobs, ref))
     return;
   ft_recent_map_add (table->ended_jobs, ref, end);
@@ -121,8 +121,8 @@
 {
   FtJob *job = ft_job_new (spec, ft_quota_team (table->quota, spec->team), revision, initial);
   job->pending_writes = &table->pending_writes;
-  /* Each leader's starts are bounded by dispatch watermarks that it commits first, and the
-   * fence lets no former one raise a watermark: what lies beyond was never sent. */
+  /* A leader starts a task only below a dispatch watermark that it has committed, and the fence keeps former leaders
+   * from raising one. So tasks from the watermark on were never sent and cannot run on any machine. */
   for (guint i = spec->dispatch_watermark; initial == FT_TASK_UNKNOWN && i < spec->tasks; i++)
     ft_task_set_state (job, i, FT_TASK_QUEUED);
   job->accepted_at = job->ready_at = table->context->now - age_us;
@@ -209,7 +209,7 @@
 
 /* ---- ends of jobs ---- */
 
-/* Its attempts live on with their machines until they have exited. */
+/* Detaches the job's attempts, which their machines keep until they have exited. */
 static void
 detach_attempts (FtJob *job)
 {
@@ -218,7 +218,7 @@
     ft_attempt_job_ended (link->data);
 }
 
-/* Takes them out of what the team may run unseen. */
+/* Cancels the job's unknown tasks, so that they no longer count against the team's limit. */
 static void
 cancel_unknown_tasks (FtJob *job)
 {
--- a/src/core/job_table.h
+++ b/src/core/job_table.h
@@ -1,12 +1,12 @@
-/* The jobs that this leader knows to be open: how they are added, wait for their dependencies, are
- * cancelled and end.
+/* The jobs that this leader knows to be open: how they are added, wait for their dependencies, are cancelled and
+ * end.
  *
- * Owns the jobs, the graph of their dependencies and the refs of recently ended jobs: an event of
- * the watch may be older than the end of its job, and a job ends only once. Also owns the queue of
- * jobs that may have something to write, which the jobs fill and the write queue empties.
+ * The table owns the jobs, the graph of their dependencies, and the queue of jobs that may have changes to write. The
+ * jobs fill that queue, and the write queue empties it. The table also keeps the refs of jobs that ended recently: the
+ * watch may deliver an older event of a job after its end, and such an event must not add the job again.
  *
- * Called by the scheduler for rows and advice from outside, and by the write queue when the end of a
- * job is committed. */
+ * The scheduler calls the table for rows that were read and for cancellations that peers report. The write queue calls
+ * it when the end of a job is committed. */
 #pragma once
 #include "core/context.h"
 #include "core/dependency.h"
@@ -14,56 +14,62 @@
 #include "core/quota.h"
 #include "core/recent_map.h"
 
-/* The job has ended and is about to be freed: whoever keeps a pointer to it must drop it. */
+/* Called when a job has ended and is about to be freed. The callee must drop its pointers to the job. */
 typedef void (*FtJobRemoved) (FtJob *job, gpointer data);
 
 typedef struct {
   FtCoreContext *context;          /* borrowed */
   const FtQuota *quota;            /* borrowed */
   GHashTable *jobs;                /* ref -> FtJob, owned */
-  FtRecentMap *ended_jobs;         /* jobs whose end this leader has committed or read: ref -> FtJobEnd */
-  FtDependencyGraph *dependencies; /* of the open jobs */
-  GQueue pending_writes;           /* FtJob that may have something to write, borrowed from `jobs` */
-  guint open_tasks;                /* tasks of all open jobs */
-  FtJobRemoved removed;
-  gpointer removed_data;
+  FtRecentMap *ended_jobs;         /* ref -> FtJobEnd, of jobs whose end this leader has committed or read */
+  FtDependencyGraph *dependencies; /* dependency graph of the open jobs, owned */
+  GQueue pending_writes;           /* FtJob that may have a change to write, borrowed from `jobs` */
+  guint open_tasks;                /* number of tasks of all open jobs */
+  FtJobRemoved removed;            /* called before an ended job is freed */
+  gpointer removed_data;           /* passed to `removed` */
 } FtJobTable;
 
-/* An empty table. The pointers are borrowed and must outlive it. `removed` is called with `removed_data`. */
+/* Initializes an empty table. It borrows the pointers, which must outlive it. The table calls `removed` with
+ * `removed_data` before it frees a job that has ended. */
 void ft_job_table_init (FtJobTable *table, FtCoreContext *context, const FtQuota *quota, FtJobRemoved removed,
                         gpointer removed_data);
-/* Frees all jobs. Machines must have been freed before: their attempts point to jobs. */
+/* Frees all jobs. The machines must have been freed before, since their attempts point to jobs. */
 void ft_job_table_clear (FtJobTable *table);
 
-/* The open job of that ref; borrowed, NULL: not known to be open. */
+/* Returns the open job of that ref, borrowed; NULL if no such job is known to be open. */
 FtJob *ft_job_table_find (const FtJobTable *table, const char *ref);
 
-/* An open job, from its row at `revision`. Takes the spec; a job that is known, or has ended, is
- * dropped. `initial`: FT_TASK_UNKNOWN if its tasks may run unseen, else FT_TASK_QUEUED. `wall_ms`:
- * the time of day, from which the age of the job is taken. */
+/* Adds an open job. Takes ownership of the spec, and frees it if the job is already known or has ended. `revision` is
+ * that of the job's state row. `initial` is the state of its tasks: FT_TASK_UNKNOWN if they may run on machines that
+ * are not reconciled, otherwise FT_TASK_QUEUED. `wall_ms` is the present time of day in milliseconds, from which the
+ * table computes the job's age. */
 void ft_job_table_add (FtJobTable *table, FtJobSpec *spec, guint64 revision, FtTaskState initial, gint64 wall_ms);
 
-/* A chunk of the job's done-set, as read from the store. FALSE: there is no such job; the chunk is
- * left over from one that ended. */
+/* Marks the tasks that a stored chunk of the job's done-set names as done. Returns FALSE if the job is not open: the
+ * chunk is left over from a job that ended. */
 gboolean ft_job_table_load_done (FtJobTable *table, const char *ref, guint chunk, const char *bits);
 
-/* The row of the job's cancellation was read; it was committed at `at`. */
+/* Cancels the job, since the row of its cancellation was read from the store. `at` is the time of the commit, in
+ * microseconds. */
 void ft_job_table_cancellation_read (FtJobTable *table, const char *ref, gint64 at);
 
-/* Advisory: a peer reports that the job is cancelled. Its tasks are stopped, but its rows stay until
- * the cancellation is read. */
+/* Cancels the job, since a peer reports it as cancelled. The report is advisory: the job's tasks are stopped, but its
+ * rows stay in the store until the row of the cancellation has been read. */
 void ft_job_table_cancellation_advised (FtJobTable *table, const char *ref);
 
-/* Nothing of the job starts any more, and what runs is stopped. `at`: when its cancellation was
- * committed, for all we know. */
+/* Cancels the job: none of its tasks is started any more, and its attempts are stopped. `at` is the time at which the
+ * cancellation was committed, as far as is known, in microseconds. */
 void ft_job_table_cancel (FtJobTable *table, FtJob *job, gint64 at);
 
-/* The job's end is in the store: stops what is left of it on machines and frees it. */
+/* Ends and frees a job whose end is committed to the store. Attempts of the job that are still on machines are
+ * stopped. */
 void ft_job_table_end (FtJobTable *table, FtJob *job, FtJobEnd end);
 
-/* A job that others depend on and of which nothing is known: its row is to be read, and its end, if it
- * has one, reported by ft_job_table_end_read(). Borrowed until the next call; NULL: none now. */
+/* Returns the ref of a job that other jobs depend on and whose state is not known, so that its state row has to be
+ * read. If the row shows an end, the caller reports it with ft_job_table_end_read(). The ref is borrowed until the next
+ * call; NULL if no row is to be read now. */
 const char *ft_job_table_next_unread (FtJobTable *table);
 
-/* The row of such a job says that it ended, at `at`; 0: long ago. */
+/* Records the end of a job that is not open, as its state row shows it. `at` is the time of the end in microseconds; 0
+ * if the job ended long ago. */
 void ft_job_table_end_read (FtJobTable *table, const char *ref, FtJobEnd end, gint64 at);
--- a/src/core/recent_map.c
+++ b/src/core/recent_map.c
@@ -1,17 +1,17 @@
 #include "core/recent_map.h"
 
 struct _FtRecentMap {
-  GHashTable *values; /* key -> number; keys are owned by `order` */
-  GQueue order;       /* keys, the oldest first */
-  guint most;
+  GHashTable *values; /* key -> number; the keys are owned by `order` */
+  GQueue order;       /* keys, owned, the oldest first */
+  guint max_entries;
 };
 
 FtRecentMap *
-ft_recent_map_new (guint most)
+ft_recent_map_new (guint max_entries)
 {
   FtRecentMap *map = g_new0 (FtRecentMap, 1);
   map->values = g_hash_table_new (g_str_hash, g_str_equal);
-  map->most = most;
+  map->max_entries = max_entries;
   g_queue_init (&map->order);
   return map;
 }
@@ -34,7 +34,7 @@
   char *owned = g_strdup (key);
   g_hash_table_insert (map->values, owned, GUINT_TO_POINTER (value));
   g_queue_push_tail (&map->order, owned);
-  if (g_queue_get_length (&map->order) <= map->most)
+  if (g_queue_get_length (&map->order) <= map->max_entries)
     return;
   g_autofree char *oldest = g_queue_pop_head (&map->order);
   g_hash_table_remove (map->values, oldest);
--- a/src/core/recent_map.h
+++ b/src/core/recent_map.h
@@ -1,17 +1,17 @@
-/* A bounded map from text to a number that forgets its oldest entries. Owns its keys. Used by the job
- * table for the jobs that ended. */
+/* A map from texts to numbers with a bounded size: it drops its oldest entry when it is full. The map owns its keys.
+ * The job table uses it for the jobs that ended recently. */
 #pragma once
 #include <glib.h>
 
 typedef struct _FtRecentMap FtRecentMap;
 
-/* Holds at most `most` entries. */
-FtRecentMap *ft_recent_map_new (guint most);
-/* NULL is ignored. */
+/* Returns an empty map for at most `max_entries` entries. */
+FtRecentMap *ft_recent_map_new (guint max_entries);
+/* Frees the map; NULL is ignored. */
 void ft_recent_map_free (FtRecentMap *map);
 
-/* Adds an entry; one that is there already stays as it is, also in its age. Copies the key. */
+/* Adds an entry with a copy of the key. If the map has the key already, its value and its age stay the same. */
 void ft_recent_map_add (FtRecentMap *map, const char *key, guint value);
 
-/* FALSE: there is no such entry, or it is forgotten. `value` may be NULL. */
+/* Sets `value`, which may be NULL, to the value of the key. Returns FALSE if the key was never added or was dropped. */
 gboolean ft_recent_map_find (const FtRecentMap *map, const char *key, guint *value);
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -4,8 +4,8 @@
 #define ON_MACHINE                                                                                                     \
   (BIT (FT_TASK_STARTING) | BIT (FT_TASK_FETCHING) | BIT (FT_TASK_RUNNING) | BIT (FT_TASK_CHECKPOINTING))
 
-/* States from which each state may be reached. A heartbeat may be the first to
- * report several steps at once, so steps on a machine can be skipped. */
+/* For each state, the states from which a task may change to it. The states on a machine can be skipped: a task may
+ * pass through several of them between two heartbeats. */
 static const guint allowed_from[] = {
   [FT_TASK_UNKNOWN] = 0,
   [FT_TASK_QUEUED] = BIT (FT_TASK_UNKNOWN) | ON_MACHINE,
