--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -1,108 +1,121 @@
-/* One attempt to run a task on a machine, from its start until its worker has forgotten it.
+/* One attempt to run a task on a machine, from its placement until its worker has removed it from its task list.
  *
- * The record, its identity and its state. What also changes its machine, its team or its task (making, reserving,
- * binding, stopping and ending it) is in attempt_lifecycle.h, which lies above jobs and machines.
+ * This module holds the record of an attempt, its identity and its state. Changes that also affect the attempt's
+ * machine, team or task (creating, reserving, binding, stopping and ending it) are in attempt_lifecycle.h, which is a
+ * layer above jobs and machines.
  *
- * An attempt is owned by its machine (FtMachine.attempts) and borrowed by its job (FtJob.attempts). */
+ * A machine owns its attempts (FtMachine.attempts); a job borrows its attempts (FtJob.attempts). */
 #pragma once
 #include "core/task.h"
 #include "core/types.h"
 
 typedef struct _FtTeam FtTeam;
 
-/* The reason's word, for log lines. */
+/* Returns the words for an exit reason in log lines. */
 const char *ft_exit_reason_name (FtExitReason reason);
 
-/* Where the attempt is, as far as its worker's statuses show:
+/* The state of an attempt, as the statuses of its worker show it:
  *
  *     PLACED <----> ON_WORKER ----> EXITED ----> FORGETTABLE
+ *        |                             ^
+ *        +-----------------------------+
  *
- * An attempt of an earlier leadership begins as ON_WORKER or EXITED. It returns from ON_WORKER to PLACED if a newer
- * status does not show it, so that its start is repeated. */
+ * A leader that finds an attempt of an earlier leadership sets it to ON_WORKER or EXITED at once. An attempt returns
+ * from ON_WORKER to PLACED if a newer status does not show it; its start is then repeated. */
 typedef enum {
-  FT_ATTEMPT_PLACED,      /* decided on; no status shows it */
-  FT_ATTEMPT_ON_WORKER,   /* shown, and not exited */
-  FT_ATTEMPT_EXITED,      /* its worker has to keep its result, which is not committed */
-  FT_ATTEMPT_FORGETTABLE, /* exited, and its worker may forget it */
+  FT_ATTEMPT_PLACED,      /* the leader has placed the attempt; no status of the worker shows it */
+  FT_ATTEMPT_ON_WORKER,   /* a status shows the attempt, and it has not exited */
+  FT_ATTEMPT_EXITED,      /* the attempt has exited; its worker must keep the result, which is not committed yet */
+  FT_ATTEMPT_FORGETTABLE, /* the attempt has exited, and its worker may remove it from its task list */
 } FtAttemptState;
 
+/* The progress of a request to stop the attempt. */
 typedef enum {
-  FT_ATTEMPT_STOP_NONE,
-  FT_ATTEMPT_STOP_REQUESTED, /* its worker is to stop it within `grace_s` */
-  FT_ATTEMPT_STOP_SENT,      /* the same, and a direct request has carried the stop */
+  FT_ATTEMPT_STOP_NONE,      /* no stop is requested */
+  FT_ATTEMPT_STOP_REQUESTED, /* the worker is to stop the attempt within `grace_s` */
+  FT_ATTEMPT_STOP_SENT,      /* a direct request has carried the stop command to the worker */
 } FtAttemptStop;
 
-/* What became of direct requests that carried the start: a copy of one may be executed late. */
+/* The progress of the direct requests that carried the attempt's start command. A direct request goes from the leader
+ * to the worker, unlike commands in the answer to a heartbeat. A worker may execute a delayed copy of one. */
 typedef enum {
-  FT_DIRECT_START_NONE,       /* none was sent */
-  FT_DIRECT_START_IN_FLIGHT,  /* one is on its way */
-  FT_DIRECT_START_ANSWERED,   /* all were answered */
-  FT_DIRECT_START_UNANSWERED, /* one got no answer: it may still be executed while the incarnation lasts; final */
+  FT_DIRECT_START_NONE,       /* no direct request carried the start */
+  FT_DIRECT_START_IN_FLIGHT,  /* a direct request with the start is in flight */
+  FT_DIRECT_START_ANSWERED,   /* all direct requests with the start were answered */
+  FT_DIRECT_START_UNANSWERED, /* a direct request with the start got no answer: the worker may execute it as long as its
+                                 incarnation lasts; final */
 } FtDirectStart;
 
 struct _FtAttempt {
-  guint64 id;
-  FtJob *job; /* NULL: the job is not open (any more) */
-  char *job_ref;
-  guint index;
-  FtMachine *machine;
-  guint64 incarnation; /* of the machine, when the attempt was made */
-  FtTeam *team;
-  double cpus, gpus, memory_gb;
+  guint64 id;          /* attempt number */
+  FtJob *job;          /* the job, borrowed; NULL if it is not open */
+  char *job_ref;       /* ref of the job, also when `job` is NULL */
+  guint index;         /* index of the task within its job */
+  FtMachine *machine;  /* the machine that owns the attempt */
+  guint64 incarnation; /* the machine's incarnation when the attempt was created */
+  FtTeam *team;        /* the job's team; NULL if the job was not open when the attempt was created */
+  double cpus;         /* CPUs that the task takes */
+  double gpus;         /* GPUs that the task takes */
+  double memory_gb;    /* memory that the task takes, in GB */
 
   FtAttemptState state; /* changed by ft_attempt_set_state() only */
-  gboolean bound;       /* task->attempt is this */
-  gboolean reserved;    /* counted in the machine's and the team's use */
-  gboolean listed;      /* in the task list of its worker's newest status */
-  gboolean has_image;   /* its worker has fetched the image for it */
-  gboolean running;     /* it has begun to run; stays after its exit */
-
-  FtAttemptStop stop;
-  double grace_s;             /* with `stop`: seconds that it is given */
-  guint64 sent_sequence;      /* heartbeat whose answer carried the start; 0: none */
-  FtDirectStart direct_start; /* changed by ft_attempt_direct_start_*() only */
-
-  gint64 placed_at, running_at; /* microseconds; 0: not yet */
-  gint64 exited_at;             /* the same; set by ft_attempt_set_exited() */
-  gint64 placed_pass;           /* placement pass that made it */
+  gboolean bound;       /* the task is bound to this attempt: its `attempt` points here */
+  gboolean reserved;    /* the attempt's resources count in the use of its machine and its team */
+  gboolean listed;      /* the newest status of the worker lists the attempt */
+  gboolean has_image;   /* the worker has fetched the image for the attempt */
+  gboolean running;     /* the task has begun to run; stays TRUE after the exit */
+
+  FtAttemptStop stop;         /* progress of a request to stop the attempt */
+  double grace_s;             /* seconds that the worker gives the attempt to stop; set together with `stop` */
+  guint64 sent_sequence;      /* sequence of the heartbeat whose answer carried the start command; 0: none */
+  FtDirectStart direct_start; /* changed by the ft_attempt_direct_start_*() functions only */
+
+  gint64 placed_at;   /* when the attempt was created, in microseconds */
+  gint64 running_at;  /* when the task was first seen running, in microseconds; 0: not yet */
+  gint64 exited_at;   /* when the exit was reported, in microseconds; 0: not yet; set by ft_attempt_set_exited() */
+  gint64 placed_pass; /* number of the placement pass that created the attempt */
 };
 
+/* Returns whether the attempt has exited. */
 static inline gboolean
 ft_attempt_has_exited (const FtAttempt *attempt)
 {
   return attempt->state >= FT_ATTEMPT_EXITED;
 }
 
+/* Returns whether the attempt is to stop. */
 static inline gboolean
 ft_attempt_stop_requested (const FtAttempt *attempt)
 {
   return attempt->stop != FT_ATTEMPT_STOP_NONE;
 }
 
-/* The one place where an attempt's state changes. FALSE: a transition that attempts do not have; refused. */
+/* Changes the state of the attempt; no other function does. Returns FALSE and changes nothing if the transition is not
+ * allowed. */
 gboolean ft_attempt_set_state (FtAttempt *attempt, FtAttemptState to);
 
-/* Its worker has reported its exit: moves it to FT_ATTEMPT_EXITED. `now` in microseconds. */
+/* Moves the attempt to FT_ATTEMPT_EXITED, since its worker has reported its exit. `now` is in microseconds. */
 void ft_attempt_set_exited (FtAttempt *attempt, gint64 now);
 
-/* Called by the machine's table of attempts; others end an attempt by ft_attempt_end(). */
+/* Frees the attempt. Only the machine's table of attempts calls this; other modules use ft_attempt_end(). */
 void ft_attempt_free (FtAttempt *attempt);
 
-/* The tasks of a gang start under one attempt number, several of them perhaps on one machine: an
- * attempt is identified by its number, its job's ref and its task's index. For GHashTable. */
+/* Hashes the identity of an attempt, for GHashTable. The identity consists of the attempt number, the job's ref and the
+ * task's index: all tasks of a gang start under one attempt number, and several of them may be on one machine. */
 guint ft_attempt_hash (gconstpointer key);
 
-/* The same, whether two attempts have one identity. */
+/* Returns whether two attempts have the same identity, for GHashTable. */
 gboolean ft_attempt_equal (gconstpointer first, gconstpointer second);
 
-/* Cancels the request to stop it. */
+/* Cancels the request to stop the attempt. */
 void ft_attempt_clear_stop (FtAttempt *attempt);
 
-/* A direct request carries its start. */
+/* Records that a direct request with the attempt's start is being sent. */
 void ft_attempt_direct_start_sent (FtAttempt *attempt);
 
-/* That request was answered: no copy of it will be executed beyond what the worker has shown. */
+/* Records the answer to the direct request with the attempt's start: no copy of it will be executed later. */
 void ft_attempt_direct_start_answered (FtAttempt *attempt);
 
-/* An attempt of an earlier leadership, whose direct starts, if any, this process has not seen. */
+/* Records that an earlier leadership started the attempt: it may have sent direct requests that this process does not
+ * know, so that copies of them may still arrive. */
 void ft_attempt_direct_start_unknown (FtAttempt *attempt);
--- a/src/core/attempt_lifecycle.c
+++ b/src/core/attempt_lifecycle.c
@@ -25,9 +25,9 @@
   return attempt;
 }
 
-/* Adds the attempt to what its machine and its team use, or takes it away (`sign` -1). */
+/* Adds the attempt's resources to the use of its machine and its team (`sign` 1), or subtracts them (`sign` -1). */
 static void
-count (FtAttempt *attempt, double sign)
+add_use (FtAttempt *attempt, double sign)
 {
   attempt->machine->cpus += sign * attempt->cpus;
   attempt->machine->gpus += sign * attempt->gpus;
@@ -42,7 +42,7 @@
 ft_attempt_reserve (FtAttempt *attempt)
 {
   if (!attempt->reserved)
-    count (attempt, 1);
+    add_use (attempt, 1);
   attempt->reserved = TRUE;
 }
 
@@ -50,7 +50,7 @@
 ft_attempt_release (FtAttempt *attempt)
 {
   if (attempt->reserved)
-    count (attempt, -1);
+    add_use (attempt, -1);
   attempt->reserved = FALSE;
 }
 
@@ -65,8 +65,8 @@
   attempt->bound = TRUE;
 }
 
-/* The task is free again, unless it has finished: it waits for another attempt, or is cancelled
- * with its job. */
+/* Unbinds the attempt from its task. Unless the task has finished, it is queued for another attempt, or cancelled if
+ * its job is being cancelled. */
 static void
 unbind (FtAttempt *attempt)
 {
@@ -98,9 +98,10 @@
   attempt->machine->fitness.start_in_doubt = TRUE;
 }
 
-/* No copy of its start has left this process, or each that did has been answered. */
+/* Returns whether no start of the attempt can be executed any more: none was sent, or each that was sent has been
+ * answered without the attempt being shown. */
 static gboolean
-never_started (const FtAttempt *attempt)
+cannot_start (const FtAttempt *attempt)
 {
   return attempt->state == FT_ATTEMPT_PLACED && attempt->sent_sequence == 0
          && attempt->direct_start != FT_DIRECT_START_IN_FLIGHT && attempt->direct_start != FT_DIRECT_START_UNANSWERED;
@@ -112,7 +113,7 @@
   if (ft_attempt_has_exited (attempt))
     return;
   ft_attempt_request_stop (attempt, 0);
-  if (never_started (attempt))
+  if (cannot_start (attempt))
     ft_attempt_end (attempt);
 }
 
--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -3,16 +3,17 @@
 #include "core/attempt_lifecycle.h"
 #include "core/fault.h"
 
-/* ---- an attempt ends ---- */
+/* ---- an attempt exits ---- */
 
+/* Records a failure of the task: it pauses for a backoff, and avoids this machine for some time after that. */
 static void
 task_failed (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
   FtTask *task = &attempt->job->tasks[attempt->index];
   task->failures = MIN (task->failures + 1, FT_FAILS_COUNTED);
   task->avoided_machine = attempt->machine;
-  double pause_s = MIN (FT_RETRY_FIRST_S * (1u << (task->failures - 1)), FT_RETRY_LONGEST_S);
-  task->not_before = table->context->now + ft_seconds (pause_s);
+  double backoff_s = MIN (FT_RETRY_FIRST_S * (1u << (task->failures - 1)), FT_RETRY_LONGEST_S);
+  task->not_before = table->context->now + ft_seconds (backoff_s);
   if (reason == FT_EXIT_ERROR)
     ft_fault_task_failed (table, attempt);
 }
@@ -25,22 +26,22 @@
   if (attempt->job->state == FT_JOB_CANCELLING)
     ft_task_set_state (attempt->job, attempt->index, FT_TASK_CANCELLED);
   if (attempt->job->state == FT_JOB_OPEN)
-    return; /* the attempt ends when the result is committed */
+    return; /* the attempt ends when its result is committed */
   ft_attempt_set_state (attempt, FT_ATTEMPT_FORGETTABLE);
   ft_attempt_end (attempt);
 }
 
-/* The attempt of a task ended without a result. */
+/* Handles an attempt that has exited without a result. */
 static void
-task_lost (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
+exited_without_result (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
   const FtMachine *machine = attempt->machine;
-  /* It was stopped to make room for another job: its task pauses so as not to take that room again. */
+  /* The attempt was preempted: its task pauses, so that it does not take the room that another job needs. */
   if (reason == FT_EXIT_STOPPED && ft_attempt_stop_requested (attempt) && machine->notice_until == 0)
     attempt->job->tasks[attempt->index].not_before = table->context->now + ft_seconds (FT_PREEMPTED_PAUSE_S);
-  gboolean blameless
+  gboolean not_a_failure
       = reason == FT_EXIT_STOPPED || reason == FT_EXIT_GANG_TASK_ENDED || reason == FT_EXIT_GANG_INCOMPLETE;
-  if (!blameless && attempt->job->state == FT_JOB_OPEN)
+  if (!not_a_failure && attempt->job->state == FT_JOB_OPEN)
     task_failed (table, attempt, reason);
   g_message ("task %s/%u: attempt ended on %s (%s)", attempt->job_ref, attempt->index, machine->name,
              ft_exit_reason_name (reason));
@@ -58,7 +59,7 @@
     return;
   }
   if (attempt->bound)
-    task_lost (table, attempt, reason);
+    exited_without_result (table, attempt, reason);
   ft_attempt_set_state (attempt, FT_ATTEMPT_FORGETTABLE);
   ft_attempt_end (attempt);
 }
@@ -85,9 +86,9 @@
 
 /* ---- an attempt that this leadership did not start ---- */
 
-/* Its task is open and has no attempt: this one may be it. */
+/* Returns whether the task belongs to an open job and is bound to no attempt, so that this one can be adopted. */
 static gboolean
-task_is_free (const FtJob *job, guint index)
+task_needs_attempt (const FtJob *job, guint index)
 {
   if (job == NULL || job->state != FT_JOB_OPEN)
     return FALSE;
@@ -95,7 +96,7 @@
   return task->attempt == NULL && (task->state == FT_TASK_UNKNOWN || task->state == FT_TASK_QUEUED);
 }
 
-/* Its task belongs to a job that is being cancelled, and may be what runs of it. */
+/* Returns whether the task belongs to a job that is being cancelled and may be the one that this attempt runs. */
 static gboolean
 task_is_being_cancelled (const FtJob *job, guint index)
 {
@@ -106,10 +107,10 @@
 }
 
 static void
-adopt_exited (FtAttempt *attempt, gboolean task_free, FtExitReason reason)
+adopt_exited (FtAttempt *attempt, gboolean task_unbound, FtExitReason reason)
 {
   FtCoreContext *context = attempt->machine->context;
-  gboolean has_result = task_free && reason == FT_EXIT_DONE;
+  gboolean has_result = task_unbound && reason == FT_EXIT_DONE;
   ft_attempt_set_exited (attempt, context->now);
   if (has_result)
     ft_attempt_bind (attempt, FT_TASK_FINISHED);
@@ -119,10 +120,10 @@
 }
 
 static void
-adopt_live (FtAttempt *attempt, gboolean task_free, FtTaskPhase phase)
+adopt_live (FtAttempt *attempt, gboolean task_unbound, FtTaskPhase phase)
 {
   ft_attempt_reserve (attempt);
-  if (task_free) {
+  if (task_unbound) {
     ft_attempt_bind (attempt, FT_TASK_FETCHING);
   } else if (task_is_being_cancelled (attempt->job, attempt->index)) {
     ft_attempt_bind (attempt, FT_TASK_FETCHING);
@@ -141,18 +142,18 @@
   FtJob *job = g_hash_table_lookup (job_table->jobs, status->job);
   if (job != NULL && status->index >= job->spec->tasks)
     job = NULL;
-  gboolean task_free = task_is_free (job, status->index);
+  gboolean task_unbound = task_needs_attempt (job, status->index);
   FtAttempt *attempt = ft_attempt_new (machine, job, status->job, status->index, status->attempt);
   attempt->listed = TRUE;
   attempt->placed_at = machine->context->now;
   ft_attempt_direct_start_unknown (attempt);
   if (status->state == FT_TASK_PHASE_EXITED)
-    adopt_exited (attempt, task_free, status->exit_reason);
+    adopt_exited (attempt, task_unbound, status->exit_reason);
   else
-    adopt_live (attempt, task_free, status->state);
+    adopt_live (attempt, task_unbound, status->state);
 }
 
-/* ---- the list ---- */
+/* ---- the task list ---- */
 
 static void
 apply_status (const FtMachineTable *table, const FtJobTable *job_table, FtMachine *machine, const FtTaskStatus *status)
@@ -172,8 +173,8 @@
   attempt_exited (table, attempt, status->exit_reason);
 }
 
-/* A heartbeat showed the attempt, and a newer one does not. The protocol has no way to this; the start is repeated, on
- * this machine. */
+/* Handles an attempt that an earlier status showed and a newer one of the same incarnation does not. The protocol does
+ * not allow this. The start is repeated on this machine, unless the attempt is to stop. */
 static void
 attempt_vanished (FtAttempt *attempt)
 {
@@ -185,12 +186,12 @@
     ft_attempt_set_state (attempt, FT_ATTEMPT_PLACED);
 }
 
-/* An attempt that a newer heartbeat of its incarnation does not show. */
+/* Handles an attempt that a status of its incarnation does not list. */
 static void
-apply_absence (FtAttempt *attempt, const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat)
+apply_missing (FtAttempt *attempt, const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat)
 {
   if (ft_attempt_has_exited (attempt)) {
-    if (!attempt->bound) /* otherwise its result is not committed yet */
+    if (!attempt->bound) /* the result of a bound attempt is not committed yet */
       g_hash_table_remove (attempt->machine->attempts, attempt);
     return;
   }
@@ -198,16 +199,16 @@
     attempt_vanished (attempt);
     return;
   }
-  /* Commands in the answer to a heartbeat are executed before the next heartbeat or
-   * never, but a direct start may still be on its way: then only the end of
-   * the incarnation proves that it did not happen. */
-  gboolean certain = is_heartbeat && attempt->sent_sequence < heartbeat->sequence;
-  if (!ft_attempt_stop_requested (attempt) || !certain || attempt->direct_start == FT_DIRECT_START_IN_FLIGHT)
+  /* A worker executes the commands in the answer to a heartbeat before its next heartbeat, or never. A direct start may
+   * arrive later: if it was not answered, only the end of the incarnation proves that it was not executed. */
+  gboolean answer_start_expired = is_heartbeat && attempt->sent_sequence < heartbeat->sequence;
+  if (!ft_attempt_stop_requested (attempt) || !answer_start_expired
+      || attempt->direct_start == FT_DIRECT_START_IN_FLIGHT)
     return;
   if (attempt->direct_start != FT_DIRECT_START_UNANSWERED)
     ft_attempt_end (attempt);
   else if (attempt->bound && attempt->job->state == FT_JOB_OPEN)
-    ft_attempt_clear_stop (attempt); /* started after all: waiting for the lost start could last for ever */
+    ft_attempt_clear_stop (attempt); /* its start is repeated: waiting for the lost one could last for ever */
 }
 
 void
@@ -222,5 +223,5 @@
   g_autoptr (GList) after = g_hash_table_get_values (machine->attempts);
   for (GList *link = after; link != NULL; link = link->next)
     if (!((FtAttempt *) link->data)->listed)
-      apply_absence (link->data, heartbeat, is_heartbeat);
+      apply_missing (link->data, heartbeat, is_heartbeat);
 }
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -3,9 +3,9 @@
 #include "core/constants.h"
 #include "core/job.h"
 
-/* Remembers on how many different machines the job has failed, as far as it matters. */
+/* Adds the machine to those on which the job has failed, of which FT_MISTAKEN_MACHINES are recorded at most. */
 static void
-note_machine (FtJob *job, const FtMachine *machine)
+record_failed_machine (FtJob *job, const FtMachine *machine)
 {
   for (guint i = 0; i < job->n_failed_on; i++)
     if (job->failed_on[i] == machine)
@@ -14,42 +14,42 @@
     job->failed_on[job->n_failed_on++] = machine;
 }
 
-/* How long the attempt ran before it failed. */
+/* Returns how long the task has run in this attempt, in microseconds. */
 static gint64
-ran_for (const FtAttempt *attempt)
+run_time (const FtAttempt *attempt)
 {
   return attempt->running ? attempt->machine->context->now - attempt->running_at : 0;
 }
 
-/* Tasks of the job do well on other machines: one has completed, or has run for longer than
- * any that failed did. */
+/* Returns whether tasks of the job succeed on other machines: a task has completed, or a task on another machine has
+ * run longer than every failed task of the job, by FT_FAULT_MARGIN_S. */
 static gboolean
-does_well_elsewhere (const FtJob *job, const FtMachine *machine)
+succeeds_elsewhere (const FtJob *job, const FtMachine *machine)
 {
   if (ft_job_finished_tasks (job) > 0)
     return TRUE;
   GHashTableIter it;
   gpointer key;
-  guint looked = 0;
-  gint64 enough = job->longest_failed_run + ft_seconds (FT_FAULT_MARGIN_S);
+  guint examined = 0;
+  gint64 required_run = job->longest_failed_run + ft_seconds (FT_FAULT_MARGIN_S);
   g_hash_table_iter_init (&it, job->attempts);
-  while (looked++ < FT_FAULT_ATTEMPTS && g_hash_table_iter_next (&it, &key, NULL)) {
+  while (examined++ < FT_FAULT_ATTEMPTS && g_hash_table_iter_next (&it, &key, NULL)) {
     const FtAttempt *other = key;
     if (other->bound && other->running && !ft_attempt_has_exited (other) && other->machine != machine
-        && ran_for (other) > enough)
+        && run_time (other) > required_run)
       return TRUE;
   }
   return FALSE;
 }
 
-/* Whether the job's failure is evidence of a fault of the machine. */
+/* Returns whether a failure of the job on the machine counts against the machine. */
 static gboolean
-counts_against (const FtJob *job, const FtMachine *machine)
+counts_against_machine (const FtJob *job, const FtMachine *machine)
 {
-  if (does_well_elsewhere (job, machine))
+  if (succeeds_elsewhere (job, machine))
     return TRUE;
   if (job->n_failed_on >= FT_MISTAKEN_MACHINES)
-    return FALSE; /* the mistake is in the job, for all that is known */
+    return FALSE; /* the job fails everywhere: the mistake is probably its own */
   return machine->fitness.last_failed != job->revision;
 }
 
@@ -59,7 +59,7 @@
   return machine->fitness.quarantined;
 }
 
-/* Bounds the harm of a wrong judgement: most machines always stay in use. */
+/* Returns whether another machine may be quarantined. Most machines must stay in use even if the detection is wrong. */
 static gboolean
 may_quarantine_one_more (const FtMachineTable *table)
 {
@@ -72,9 +72,9 @@
 {
   FtJob *job = attempt->job;
   FtMachine *machine = attempt->machine;
-  job->longest_failed_run = MAX (job->longest_failed_run, ran_for (attempt));
-  note_machine (job, machine);
-  if (counts_against (job, machine))
+  job->longest_failed_run = MAX (job->longest_failed_run, run_time (attempt));
+  record_failed_machine (job, machine);
+  if (counts_against_machine (job, machine))
     machine->fitness.faults++;
   machine->fitness.last_failed = job->revision;
   if (machine->fitness.quarantined || !ft_fault_is_faulty (machine) || !may_quarantine_one_more (table))
--- a/src/core/fault.h
+++ b/src/core/fault.h
@@ -1,20 +1,22 @@
-/* Which machines are faulty, judged from the tasks that fail on them.
+/* Detects faulty machines by the tasks that fail on them.
  *
- * A failure alone proves nothing: a job that was submitted with a mistake fails everywhere.
- * A machine is judged by comparison: tasks of the same job do well elsewhere, or different
- * jobs, none of them known to fail everywhere, fail on it in a row.
+ * A single failure proves nothing, since a job that was submitted with a mistake fails on every machine. A failure
+ * counts against the machine in two cases: tasks of the same job succeed on other machines, or the job is not known to
+ * fail everywhere and was not also the last to fail on this machine. A machine is faulty after FT_FAULTS such failures
+ * in a row.
  *
- * Called by the heartbeats as attempts end. A faulty machine is quarantined here and terminated by the
- * eviction (machine_eviction.h) once it is idle. */
+ * The attempt reports call this module when attempts exit. It quarantines faulty machines; the eviction
+ * (machine_eviction.h) terminates them once they are idle. */
 #pragma once
 #include "core/attempt.h"
 #include "core/machine_table.h"
 
-/* The attempt has exited with an error; its job is open. May quarantine its machine, one of the table's. */
+/* Records that the attempt, whose job is open, has exited with an error. May quarantine the attempt's machine, which
+ * belongs to the table. */
 void ft_fault_task_failed (const FtMachineTable *table, const FtAttempt *attempt);
 
-/* A task has completed on the machine: what failed there before is forgotten. */
+/* Records that a task has completed on the machine: its earlier failures no longer count. */
 void ft_fault_task_completed (FtMachine *machine);
 
-/* The machine is quarantined for its faults, not for another reason. */
+/* Returns whether enough failures count against the machine to quarantine it. */
 gboolean ft_fault_is_faulty (const FtMachine *machine);
