--- a/src/core/admission.c
+++ b/src/core/admission.c
@@ -1,6 +1,6 @@
 #include "core/admission.h"
 
-/* Amounts are decimal numbers; this absorbs their rounding. */
+/* Tolerance for the rounding of CPUs, GPUs and memory, which are decimal fractions. */
 #define EPSILON 1e-9
 
 static gboolean
@@ -23,13 +23,14 @@
   return NULL;
 }
 
-/* An array may run task by task; the tasks of other kinds must all fit at once. */
+/* Returns whether the job fits in the team's limit. The tasks of an array may run one by one; the tasks of another kind
+ * of job must fit together. */
 static gboolean
 team_limit_fits (const FtTeamLimit *team, const FtJobSpec *spec)
 {
-  guint together = spec->kind == FT_KIND_ARRAY ? 1 : spec->tasks;
-  return spec->cpus * together <= ft_team_limit (team->cpus_max) + EPSILON
-         && spec->gpus * together <= ft_team_limit (team->gpus_max) + EPSILON;
+  guint concurrent_tasks = spec->kind == FT_KIND_ARRAY ? 1 : spec->tasks;
+  return spec->cpus * concurrent_tasks <= ft_team_limit (team->cpus_max) + EPSILON
+         && spec->gpus * concurrent_tasks <= ft_team_limit (team->gpus_max) + EPSILON;
 }
 
 FtAdmission
--- a/src/core/types.c
+++ b/src/core/types.c
@@ -1,9 +1,9 @@
 #include "core/types.h"
 
 double
-ft_team_limit (double most)
+ft_team_limit (double maximum)
 {
-  return most > 0 ? most : G_MAXDOUBLE;
+  return maximum > 0 ? maximum : G_MAXDOUBLE;
 }
 
 FtCatalog *
