--- a/src/core/attempt.h
+++ b/src/core/attempt.h
@@ -37,7 +37,8 @@
 } FtAttemptStop;
 
 /* The progress of the direct requests that carried the attempt's start command. A direct request goes from the leader
- * to the worker, unlike commands in the answer to a heartbeat. A worker may execute a delayed copy of one. */
+ * to the worker, unlike commands in the answer to a heartbeat. A worker may execute a delayed copy of such a
+ * request. */
 typedef enum {
   FT_DIRECT_START_NONE,       /* no direct request carried the start */
   FT_DIRECT_START_IN_FLIGHT,  /* a direct request with the start is in flight */
--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -208,7 +208,7 @@
   if (attempt->direct_start != FT_DIRECT_START_UNANSWERED)
     ft_attempt_end (attempt);
   else if (attempt->bound && attempt->job->state == FT_JOB_OPEN)
-    ft_attempt_clear_stop (attempt); /* its start is repeated: waiting for the lost one could last for ever */
+    ft_attempt_clear_stop (attempt); /* its start is repeated: the unanswered one may never be executed */
 }
 
 void
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -15,7 +15,7 @@
   gint64 took_over_at;         /* when this leadership began */
   gint64 loaded_at;            /* when the leader finished reading the store's rows after the failover */
   gint64 answer_grace_us;      /* how long a leader whose lease has expired may continue to answer heartbeats */
-  GRand *random;               /* seeded, so that a run can be repeated */
+  GRand *random;               /* source of all random choices; seeded, so that a run can be repeated */
   FtTuning tuning;             /* the operators' settings */
   gboolean may_start;          /* the lease allows the leader to start tasks now */
   gboolean placement_due;      /* a placement pass may have work; any module sets it */
--- a/src/core/dependency.c
+++ b/src/core/dependency.c
@@ -7,7 +7,7 @@
   gboolean cancelled;      /* a direct or indirect dependency of the job is cancelled */
   gboolean queued_unread;  /* the job's ref is in `unread` */
   gint64 next_read_at;     /* earliest time of the next read of its state row, in microseconds */
-  gint64 met_at;           /* when the last of its dependencies was done, in microseconds; 0: none was */
+  gint64 met_at;           /* when the last of its dependencies was done, in microseconds; 0: no such time is known */
   FtUrgency own_urgency;   /* the job's own urgency, as submitted */
   FtUrgency urgency;       /* the job's own urgency, raised to that of its dependents */
   GPtrArray *dependencies; /* Node, of the jobs that it waits for; borrowed from `nodes` */
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -149,7 +149,7 @@
   char *type;    /* name of the machine type */
   char *zone;
   gboolean spot;       /* the machine is a spot instance */
-  guint64 incarnation; /* of the worker's agent; only rises */
+  guint64 incarnation; /* incarnation of the worker's agent; only rises */
   guint64 sequence;    /* number of the status within the incarnation */
   guint64 token;       /* the highest fencing token that the worker has seen */
   double notice_s;     /* seconds until the cloud takes the spot instance away; negative: no interruption notice */
@@ -164,7 +164,7 @@
 
 typedef enum {
   FT_COMMAND_START,  /* starts the attempt */
-  FT_COMMAND_STOP,   /* stops the attempt after its grace period */
+  FT_COMMAND_STOP,   /* stops the attempt within the grace period of the command */
   FT_COMMAND_FORGET, /* removes an exited attempt from the worker's task list */
 } FtCommandOp;
 
