--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -10,7 +10,7 @@
 task_failed (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
   FtTask *task = &attempt->job->tasks[attempt->index];
-  task->failures = MIN (task->failures + 1, FT_FAILS_COUNTED);
+  task->failures = MIN (task->failures + 1, FT_TASK_FAILURES_MAX);
   task->avoided_machine = attempt->machine;
   double backoff_s = MIN (FT_RETRY_FIRST_S * (1u << (task->failures - 1)), FT_RETRY_LONGEST_S);
   task->not_before = table->context->now + ft_seconds (backoff_s);
--- a/src/core/cloud_calls.c
+++ b/src/core/cloud_calls.c
@@ -104,7 +104,7 @@
   FtCloudPool *pool = ft_cloud_pools_get (pools, call->type, call->zone, call->spot);
   if (g_strcmp0 (pool->booking, call->booking) != 0)
     return FALSE;
-  if (result == FT_CLOUD_FAILED) {
+  if (result == FT_CLOUD_UNANSWERED) {
     ft_cloud_pool_request_unanswered (pool, now + ft_seconds (FT_LAUNCH_RETRY_S));
     return TRUE;
   }
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -3,14 +3,14 @@
 #include "core/constants.h"
 #include "core/job.h"
 
-/* Adds the machine to those on which the job has failed, of which FT_MISTAKEN_MACHINES are recorded at most. */
+/* Adds the machine to those on which the job has failed, of which FT_FAULTY_JOB_MACHINES are recorded at most. */
 static void
 record_failed_machine (FtJob *job, const FtMachine *machine)
 {
   for (guint i = 0; i < job->n_failed_on; i++)
     if (job->failed_on[i] == machine)
       return;
-  if (job->n_failed_on < FT_MISTAKEN_MACHINES)
+  if (job->n_failed_on < FT_FAULTY_JOB_MACHINES)
     job->failed_on[job->n_failed_on++] = machine;
 }
 
@@ -33,7 +33,7 @@
   guint examined = 0;
   gint64 required_run = job->longest_failed_run + ft_seconds (FT_FAULT_MARGIN_S);
   g_hash_table_iter_init (&it, job->attempts);
-  while (examined++ < FT_FAULT_ATTEMPTS && g_hash_table_iter_next (&it, &key, NULL)) {
+  while (examined++ < FT_FAULT_ATTEMPTS_MAX && g_hash_table_iter_next (&it, &key, NULL)) {
     const FtAttempt *other = key;
     if (other->bound && other->running && !ft_attempt_has_exited (other) && other->machine != machine
         && run_time (other) > required_run)
@@ -48,7 +48,7 @@
 {
   if (succeeds_elsewhere (job, machine))
     return TRUE;
-  if (job->n_failed_on >= FT_MISTAKEN_MACHINES)
+  if (job->n_failed_on >= FT_FAULTY_JOB_MACHINES)
     return FALSE; /* the job fails everywhere: the mistake is probably its own */
   return machine->fitness.last_failed != job->revision;
 }
@@ -94,5 +94,5 @@
 gboolean
 ft_fault_is_faulty (const FtMachine *machine)
 {
-  return machine->fitness.faults >= FT_FAULTS;
+  return machine->fitness.faults >= FT_QUARANTINE_FAULTS;
 }
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -64,9 +64,9 @@
   gboolean too_late;   /* the job can no longer meet its deadline, and ranks behind others for a bounded time */
   gboolean begun;      /* a task of the job has been placed, or was found on a machine or done */
   gboolean starved;    /* the job has waited longer than FT_STARVED_AFTER_S to begin */
-  const FtMachine *failed_on[FT_MISTAKEN_MACHINES]; /* the first machines on which a task of the job failed; the
+  const FtMachine *failed_on[FT_FAULTY_JOB_MACHINES]; /* the first machines on which a task of the job failed; the
                                                        pointers are only compared, never followed */
-  guint n_failed_on;                                /* number of entries in `failed_on` */
+  guint n_failed_on;                                  /* number of entries in `failed_on` */
   gint64 longest_failed_run; /* the longest time that a failed task of the job had run, in microseconds */
   gint64 not_before;         /* no task of the job is placed before this time, in microseconds */
   gint64 no_room_pass;       /* number of the last placement pass in which no machine had room for the job */
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -188,14 +188,14 @@
 
 /* If connections between controllers are refused, a leader that is alive looks dead to all of its peers, and immediate
  * claims would replace the leader twice a second. Therefore an immediate claim requires that another peer answers this
- * controller and that the fence row has not changed for FT_SUSPECT_STABLE_S. */
+ * controller and that the fence row has not changed for FT_SUSPECT_FENCE_STABLE_S. */
 void
 ft_lease_suspect (FtLease *lease, const char *holder, gboolean confirmed, gint64 now)
 {
   if (lease->state != FT_LEASE_FOLLOWING || lease->suspicion != FT_LEASE_SUSPICION_NONE || !lease->rows_known
       || g_strcmp0 (lease->last_rows.holder, holder) != 0)
     return;
-  gboolean fence_stable = now - lease->fence_since > (gint64) (FT_SUSPECT_STABLE_S * FT_SECOND);
+  gboolean fence_stable = now - lease->fence_since > (gint64) (FT_SUSPECT_FENCE_STABLE_S * FT_SECOND);
   gboolean claim_at_once = confirmed && fence_stable;
   g_message ("lease %s: holder %s suspected to be gone (%s)", lease->member, holder,
              claim_at_once ? "confirmed" : "not confirmed");
@@ -320,7 +320,7 @@
 ft_lease_renew_failed (FtLease *lease, gint64 now)
 {
   lease->next_renewal
-      = now + (gint64) (g_rand_double_range (lease->random, FT_RENEW_AGAIN_MIN_S, FT_RENEW_AGAIN_MAX_S) * FT_SECOND);
+      = now + (gint64) (g_rand_double_range (lease->random, FT_RENEW_RETRY_MIN_S, FT_RENEW_RETRY_MAX_S) * FT_SECOND);
 }
 
 /* Drops the claim or the lease, and schedules a sweep at once. */
--- a/src/core/task.h
+++ b/src/core/task.h
@@ -22,7 +22,7 @@
 
 typedef struct {
   guint8 state;               /* FtTaskState; changed by ft_task_set_state() only */
-  guint8 failures;            /* failed attempts, FT_FAILS_COUNTED at most; the retry backoff grows with them */
+  guint8 failures;            /* failed attempts, FT_TASK_FAILURES_MAX at most; the retry backoff grows with them */
   gint64 not_before;          /* the task is not placed before this time, in microseconds */
   FtAttempt *attempt;         /* the attempt that the task is bound to, owned by its machine; NULL: unbound */
   FtMachine *avoided_machine; /* where the task failed last; the pointer is only compared, never followed */
--- a/src/core/zone.h
+++ b/src/core/zone.h
@@ -35,7 +35,7 @@
 void ft_zones_update (GHashTable *zones, GHashTable *machines, const FtCoreContext *context);
 
 /* Machines that may be launched in the zone now: all, or one to see whether it is back. */
-guint ft_zone_launchable (const FtZone *zone, gint64 now);
+guint ft_zone_launch_limit (const FtZone *zone, gint64 now);
 
 /* A launch has been requested in the zone. */
-void ft_zone_launched (FtZone *zone, gint64 now);
+void ft_zone_launch_requested (FtZone *zone, gint64 now);
