--- a/src/core/dependency.c
+++ b/src/core/dependency.c
@@ -264,7 +264,7 @@
   return NULL;
 }
 
-/* ---- for operators ---- */
+/* ---- lists for operators ---- */
 
 static GStrv
 refs_of (const GPtrArray *nodes)
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -16,8 +16,8 @@
   FtLeaseState state; /* changed by set_state() only */
 
   FtLeaseRows last_rows;  /* the rows as last read */
-  gint64 unrenewed_since; /* start of the time that counts as without a renewal: when the present rows were first read,
-                             or when a sweep last failed */
+  gint64 unrenewed_since; /* since when the holder counts as not renewing: since the present rows were first read, or
+                             since a sweep last failed */
   gboolean rows_known;    /* the rows were read after the last claim that failed and the last loss of the lease */
   gint64 next_sweep;      /* when the rows are to be read next */
   gint64 no_claim_before; /* no claim before this time, since this controller has released the lease */
@@ -372,7 +372,7 @@
 /* ---- what the holder may do ---- */
 
 /* A renewal that succeeds after an outage does not show which jobs were cancelled during the outage. So no task is
- * started before the cancellations have been read, too. */
+ * started before the cancellations have been read. */
 gboolean
 ft_lease_may_start (const FtLease *lease, gint64 now)
 {
