--- a/src/core/job.c
+++ b/src/core/job.c
@@ -17,7 +17,7 @@
     team->unknown_cpus += spec->cpus * spec->tasks;
     team->unknown_gpus += spec->gpus * spec->tasks;
   }
-  job->written = g_hash_table_new (g_direct_hash, g_direct_equal);
+  job->stored_chunks = g_hash_table_new (g_direct_hash, g_direct_equal);
   job->dirty_chunks = g_hash_table_new (g_direct_hash, g_direct_equal);
   job->attempts = g_hash_table_new (g_direct_hash, g_direct_equal);
   return job;
@@ -28,7 +28,7 @@
 {
   if (job == NULL)
     return;
-  g_hash_table_unref (job->written);
+  g_hash_table_unref (job->stored_chunks);
   g_hash_table_unref (job->dirty_chunks);
   g_hash_table_unref (job->attempts);
   g_free (job->tasks);
@@ -61,7 +61,7 @@
 
 /* ---- tasks ---- */
 
-/* Takes a task out of what the team may run unseen. */
+/* Subtracts an unknown task from the resources that the team's unknown tasks may use. */
 static void
 uncount_unknown (FtJob *job)
 {
@@ -119,7 +119,7 @@
   return job->counts[FT_TASK_FINISHED] + job->counts[FT_TASK_DONE];
 }
 
-/* ---- what is to be written ---- */
+/* ---- writes to the store ---- */
 
 void
 ft_job_queue_write (FtJob *job)
@@ -133,7 +133,7 @@
 void
 ft_job_set_end_write (FtJob *job, FtJobEndWrite to)
 {
-  /* A conflict is found by a batch that has failed: nothing of the job is in flight by then. */
+  /* A conflict is recorded only after its batch has failed, when no write of the job is in flight. */
   g_return_if_fail (job->end_write == to || job->end_write == FT_JOB_END_WRITE_IDLE || to == FT_JOB_END_WRITE_IDLE);
   job->end_write = to;
 }
--- a/src/core/worker_heartbeats.c
+++ b/src/core/worker_heartbeats.c
@@ -97,7 +97,7 @@
   FtCoreContext *context = heartbeats->context;
   if (ft_reachability_token_acknowledged (&machine->reachability))
     context->placement_due = TRUE;
-  context->last_heard = context->now;
+  context->last_acknowledged_at = context->now;
   if (!machine->reconciled) {
     ft_machine_set_reconciled (machine);
     g_message ("machine %s: reconciled (it has reported its tasks under our token)", machine->name);
