--- a/src/core/placement_search.c
+++ b/src/core/placement_search.c
@@ -76,7 +76,7 @@
 gboolean
 ft_placement_search_avoids (const FtCoreContext *context, const FtTask *task, const FtMachine *machine)
 {
-  return task->avoid == machine && context->now < task->not_before + ft_seconds (FT_AVOID_MACHINE_S);
+  return task->avoided_machine == machine && context->now < task->not_before + ft_seconds (FT_AVOID_MACHINE_S);
 }
 
 static gboolean
@@ -132,7 +132,7 @@
       best = machine;
     }
   }
-  gboolean plain = !job->spec->one_zone && !job->spec->spread && task->avoid == NULL;
+  gboolean plain = !job->spec->one_zone && !job->spec->spread && task->avoided_machine == NULL;
   if (best == NULL && plain && search->n_no_room_specs < FT_NO_ROOM_SPECS_MAX)
     search->no_room_specs[search->n_no_room_specs++] = job->spec;
   return best;
