--- a/src/net/ancestors.c
+++ b/src/net/ancestors.c
@@ -15,7 +15,7 @@
   GPtrArray *open;        /* of them, those that were found open; borrowed from `discovered` */
   guint visits_in_flight;
   gint64 began;
-  gint64 oldest_reading_at; /* of the readings that the result rests on */
+  gint64 oldest_read_at;    /* of the readings that the result rests on */
   FtAncestorsResult result; /* the weightiest so far */
   char *decisive_ref;       /* the job that decided it; NULL: none */
   FtAncestorsDone done;
@@ -50,7 +50,7 @@
   if (dependencies == NULL)
     return FT_DEPENDENCIES_PENDING;
   for (guint i = 0; dependencies[i] != NULL; i++)
-    if (!ft_job_cache_end (node->job_cache, dependencies[i], &end, NULL) || end != FT_JOB_END_DONE)
+    if (!ft_job_cache_find_end (node->job_cache, dependencies[i], &end, NULL) || end != FT_JOB_END_DONE)
       return FT_DEPENDENCIES_PENDING;
   return FT_DEPENDENCIES_MET;
 }
@@ -63,7 +63,7 @@
     FtCachedJob *job = cached_job (traversal, g_ptr_array_index (traversal->open, i));
     if (job == NULL)
       continue;
-    job->checked_at = MAX (job->checked_at, traversal->oldest_reading_at);
+    job->checked_at = MAX (job->checked_at, traversal->oldest_read_at);
     if (job->dependency_state != FT_DEPENDENCIES_NONE)
       job->dependency_state = dependency_state (traversal->node, job->dependencies);
   }
@@ -117,7 +117,7 @@
 static void
 visit_failed (Visit *visit)
 {
-  decide (visit->traversal, FT_ANCESTORS_UNREAD, NULL);
+  decide (visit->traversal, FT_ANCESTORS_UNKNOWN, NULL);
   visit_complete (visit);
 }
 
@@ -181,9 +181,9 @@
   } else if (result != FT_STORE_OK || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
     visit_failed (visit);
   } else if (state.open) {
-    visit_found_open (visit, ft_job_cache_open (node->job_cache, visit->ref, row.revision, state.has_dependencies));
+    visit_found_open (visit, ft_job_cache_add_open (node->job_cache, visit->ref, row.revision, state.has_dependencies));
   } else {
-    ft_job_cache_ended (node->job_cache, visit->ref, state.end, state.tasks);
+    ft_job_cache_add_ended (node->job_cache, visit->ref, state.end, state.tasks);
     if (state.end == FT_JOB_END_CANCELLED)
       decide (visit->traversal, FT_ANCESTORS_CANCELLED, visit->ref);
     visit_complete (visit);
@@ -215,7 +215,7 @@
 is_decided_by_cache (Traversal *traversal, const char *ref)
 {
   FtJobEnd end;
-  if (ft_job_cache_end (traversal->node->job_cache, ref, &end, NULL)) {
+  if (ft_job_cache_find_end (traversal->node->job_cache, ref, &end, NULL)) {
     if (end == FT_JOB_END_CANCELLED)
       decide (traversal, FT_ANCESTORS_CANCELLED, ref);
     return TRUE;
@@ -223,7 +223,7 @@
   const FtCachedJob *job = cached_job (traversal, ref);
   if (job == NULL || !is_fresh (traversal->node, job, traversal->began))
     return FALSE;
-  traversal->oldest_reading_at = MIN (traversal->oldest_reading_at, job->checked_at);
+  traversal->oldest_read_at = MIN (traversal->oldest_read_at, job->checked_at);
   return TRUE;
 }
 
@@ -234,7 +234,7 @@
   visit->traversal = traversal;
   visit->ref = g_strdup (ref);
   traversal->visits_in_flight++;
-  if (!ft_polls_ask (traversal->node->polls, ref, on_revision_compared, visit))
+  if (!ft_polls_add (traversal->node->polls, ref, on_revision_compared, visit))
     read_own_row (visit);
 }
 
@@ -249,8 +249,8 @@
 advance (Traversal *traversal)
 {
   if (is_too_late (traversal))
-    decide (traversal, FT_ANCESTORS_UNREAD, NULL);
-  while (traversal->result < FT_ANCESTORS_UNREAD && traversal->visits_in_flight < FT_ANCESTORS_READS_MAX
+    decide (traversal, FT_ANCESTORS_UNKNOWN, NULL);
+  while (traversal->result < FT_ANCESTORS_UNKNOWN && traversal->visits_in_flight < FT_ANCESTORS_READS_MAX
          && !g_queue_is_empty (&traversal->frontier)) {
     g_autofree char *ref = g_queue_pop_head (&traversal->frontier);
     if (!is_decided_by_cache (traversal, ref))
@@ -267,7 +267,7 @@
   traversal->node = node;
   traversal->discovered = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   traversal->open = g_ptr_array_new ();
-  traversal->began = traversal->oldest_reading_at = g_get_monotonic_time ();
+  traversal->began = traversal->oldest_read_at = g_get_monotonic_time ();
   traversal->done = done;
   traversal->data = data;
   return traversal;
--- a/src/net/ancestors.h
+++ b/src/net/ancestors.h
@@ -10,7 +10,7 @@
  * FtAncestorsResult:
  * @FT_ANCESTORS_OPEN: none of them is cancelled, and all were accepted
  * @FT_ANCESTORS_CANCELLED: one of them is cancelled, and all that were named were accepted
- * @FT_ANCESTORS_UNREAD: the key-value store did not answer in time
+ * @FT_ANCESTORS_UNKNOWN: the key-value store did not answer in time
  * @FT_ANCESTORS_MISSING: one of them was never accepted
  *
  * In the order in which one outweighs another: a job that was never accepted is reported whatever
@@ -19,7 +19,7 @@
 typedef enum {
   FT_ANCESTORS_OPEN,
   FT_ANCESTORS_CANCELLED,
-  FT_ANCESTORS_UNREAD,
+  FT_ANCESTORS_UNKNOWN,
   FT_ANCESTORS_MISSING,
 } FtAncestorsResult;
 
--- a/src/net/catalog_cache.c
+++ b/src/net/catalog_cache.c
@@ -7,7 +7,7 @@
   const FtConfig *config;    /* borrowed */
   FtHttpClient *client;      /* borrowed */
   FtMalformedLog *malformed; /* borrowed */
-  FtCatalogRead read;
+  FtCatalogUpdated read;
   gpointer data;
   FtCatalog *catalog; /* a reference; NULL until known */
   gboolean in_flight;
@@ -15,8 +15,8 @@
 };
 
 FtCatalogCache *
-ft_catalog_cache_new (const FtConfig *config, FtHttpClient *cloud_client, FtMalformedLog *malformed, FtCatalogRead read,
-                      gpointer data)
+ft_catalog_cache_new (const FtConfig *config, FtHttpClient *cloud_client, FtMalformedLog *malformed,
+                      FtCatalogUpdated read, gpointer data)
 {
   FtCatalogCache *cache = g_new0 (FtCatalogCache, 1);
   cache->config = config;
--- a/src/net/catalog_cache.h
+++ b/src/net/catalog_cache.h
@@ -14,11 +14,11 @@
 typedef struct _FtCatalogCache FtCatalogCache;
 
 /**
- * FtCatalogRead:
+ * FtCatalogUpdated:
  * @catalog: (transfer none): what was read
  * @data: that of ft_catalog_cache_new()
  */
-typedef void (*FtCatalogRead) (FtCatalog *catalog, gpointer data);
+typedef void (*FtCatalogUpdated) (FtCatalog *catalog, gpointer data);
 
 /**
  * ft_catalog_cache_new:
@@ -33,7 +33,7 @@
  * Returns: (transfer full): a cache without a catalog
  */
 FtCatalogCache *ft_catalog_cache_new (const FtConfig *config, FtHttpClient *cloud_client, FtMalformedLog *malformed,
-                                      FtCatalogRead read, gpointer data);
+                                      FtCatalogUpdated read, gpointer data);
 
 /**
  * ft_catalog_cache_free:
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -155,13 +155,13 @@
 const json_t *ft_http_body (FtHttpRequest *request);
 
 /**
- * ft_http_raw:
+ * ft_http_raw_body:
  * @size: (out): its bytes
  *
  * Returns: (nullable): the body as it came, borrowed until the request is answered; %NULL if it is
  *   larger than FT_BODY_MAX
  */
-const guint8 *ft_http_raw (const FtHttpRequest *request, gsize *size);
+const guint8 *ft_http_raw_body (const FtHttpRequest *request, gsize *size);
 
 /**
  * ft_http_respond:
@@ -174,11 +174,11 @@
 void ft_http_respond (FtHttpRequest *request, guint status, json_t *body);
 
 /**
- * ft_http_close:
+ * ft_http_close_after_response:
  *
  * Has the connection end with the answer, which is still to be given.
  */
-void ft_http_close (FtHttpRequest *request);
+void ft_http_close_after_response (FtHttpRequest *request);
 
 /**
  * ft_http_unavailable:
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -199,7 +199,7 @@
 }
 
 const guint8 *
-ft_http_raw (const FtHttpRequest *request, gsize *size)
+ft_http_raw_body (const FtHttpRequest *request, gsize *size)
 {
   *size = request->raw->len;
   return request->total <= FT_BODY_MAX ? request->raw->data : NULL;
@@ -234,7 +234,7 @@
 }
 
 void
-ft_http_close (FtHttpRequest *request)
+ft_http_close_after_response (FtHttpRequest *request)
 {
   request->closes = TRUE;
 }
--- a/src/net/idempotent_request.c
+++ b/src/net/idempotent_request.c
@@ -5,9 +5,9 @@
 #include "wire/messages.h"
 
 gboolean
-ft_idempotent_request_answer_known (FtUserRequest *request)
+ft_idempotent_request_answer_from_cache (FtUserRequest *request)
 {
-  json_t *ended = ft_job_answer_remembered (request->node, request->ref);
+  json_t *ended = ft_job_answer_cached (request->node, request->ref);
   if (ended == NULL)
     return FALSE;
   ft_user_request_answer_uncounted (request, FT_HTTP_OK, ended);
@@ -21,12 +21,12 @@
     ft_user_request_answer_uncounted (request, FT_HTTP_NOT_FOUND, NULL);
     return FALSE;
   }
-  if (ft_idempotent_request_answer_known (request))
+  if (ft_idempotent_request_answer_from_cache (request))
     return FALSE;
   if (!ft_store_client_contact (request->node->store, g_get_monotonic_time ())) {
     ft_user_request_answer_unavailable (request);
     return FALSE;
   }
-  ft_user_request_start_clock (request);
+  ft_user_request_start_deadline (request);
   return TRUE;
 }
--- a/src/net/idempotent_request.h
+++ b/src/net/idempotent_request.h
@@ -5,7 +5,7 @@
 #include "net/user_request.h"
 
 /**
- * ft_idempotent_request_answer_known:
+ * ft_idempotent_request_answer_from_cache:
  * @request: answered and freed if this returns %TRUE, else still the caller's
  *
  * A job that is known to have ended is answered from memory: its end is final, so that the answer
@@ -13,7 +13,7 @@
  *
  * Returns: whether the request was answered
  */
-gboolean ft_idempotent_request_answer_known (FtUserRequest *request);
+gboolean ft_idempotent_request_answer_from_cache (FtUserRequest *request);
 
 /**
  * ft_idempotent_request_begin:
--- a/src/net/job_answer.c
+++ b/src/net/job_answer.c
@@ -11,11 +11,11 @@
 }
 
 json_t *
-ft_job_answer_remembered (const FtNode *node, const char *ref)
+ft_job_answer_cached (const FtNode *node, const char *ref)
 {
   FtJobEnd end;
   guint tasks;
-  if (!ft_job_cache_end (node->job_cache, ref, &end, &tasks))
+  if (!ft_job_cache_find_end (node->job_cache, ref, &end, &tasks))
     return NULL;
   return ft_job_answer_ended (ref, end, tasks);
 }
--- a/src/net/job_answer.h
+++ b/src/net/job_answer.h
@@ -16,10 +16,10 @@
 json_t *ft_job_answer_ended (const char *ref, FtJobEnd end, guint tasks);
 
 /**
- * ft_job_answer_remembered:
+ * ft_job_answer_cached:
  * @node: the controller, whose job cache is asked
  * @ref: the job
  *
  * Returns: (transfer full) (nullable): the answer's body if the job is known to have ended, else %NULL
  */
-json_t *ft_job_answer_remembered (const FtNode *node, const char *ref);
+json_t *ft_job_answer_cached (const FtNode *node, const char *ref);
--- a/src/net/job_cache.c
+++ b/src/net/job_cache.c
@@ -45,7 +45,7 @@
 }
 
 FtCachedJob *
-ft_job_cache_open (FtJobCache *cache, const char *ref, guint64 revision, gboolean has_dependencies)
+ft_job_cache_add_open (FtJobCache *cache, const char *ref, guint64 revision, gboolean has_dependencies)
 {
   FtCachedJob *job = ft_job_cache_find (cache, ref);
   if (job == NULL) {
@@ -70,7 +70,7 @@
 }
 
 void
-ft_job_cache_forget (FtJobCache *cache, const char *ref)
+ft_job_cache_remove_open (FtJobCache *cache, const char *ref)
 {
   g_hash_table_remove (cache->open, ref);
 }
@@ -83,14 +83,14 @@
 }
 
 void
-ft_job_cache_ended (FtJobCache *cache, const char *ref, FtJobEnd end, guint tasks)
+ft_job_cache_add_ended (FtJobCache *cache, const char *ref, FtJobEnd end, guint tasks)
 {
   ft_recent_map_add (cache->ended, ref, pack (end, tasks));
-  ft_job_cache_forget (cache, ref);
+  ft_job_cache_remove_open (cache, ref);
 }
 
 gboolean
-ft_job_cache_end (const FtJobCache *cache, const char *ref, FtJobEnd *end, guint *tasks)
+ft_job_cache_find_end (const FtJobCache *cache, const char *ref, FtJobEnd *end, guint *tasks)
 {
   guint packed;
   if (!ft_recent_map_find (cache->ended, ref, &packed))
--- a/src/net/job_cache.h
+++ b/src/net/job_cache.h
@@ -49,14 +49,14 @@
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtJobCache, ft_job_cache_free)
 
 /**
- * ft_job_cache_open:
+ * ft_job_cache_add_open:
  * @has_dependencies: whether it was submitted with jobs that it needs
  *
  * Records that the job's row was read, or committed, as open at this revision.
  *
  * Returns: the job, borrowed until the next call; what was known of it before is kept
  */
-FtCachedJob *ft_job_cache_open (FtJobCache *cache, const char *ref, guint64 revision, gboolean has_dependencies);
+FtCachedJob *ft_job_cache_add_open (FtJobCache *cache, const char *ref, guint64 revision, gboolean has_dependencies);
 
 /**
  * ft_job_cache_find:
@@ -66,24 +66,24 @@
 FtCachedJob *ft_job_cache_find (const FtJobCache *cache, const char *ref);
 
 /**
- * ft_job_cache_forget:
+ * ft_job_cache_remove_open:
  *
  * Drops an open job whose row has changed.
  */
-void ft_job_cache_forget (FtJobCache *cache, const char *ref);
+void ft_job_cache_remove_open (FtJobCache *cache, const char *ref);
 
 /**
- * ft_job_cache_ended:
+ * ft_job_cache_add_ended:
  *
  * Records that the job has ended, as read from its row or committed.
  */
-void ft_job_cache_ended (FtJobCache *cache, const char *ref, FtJobEnd end, guint tasks);
+void ft_job_cache_add_ended (FtJobCache *cache, const char *ref, FtJobEnd end, guint tasks);
 
 /**
- * ft_job_cache_end:
+ * ft_job_cache_find_end:
  * @end: (out) (nullable): how it ended
  * @tasks: (out) (nullable): its number of tasks
  *
  * Returns: %FALSE if the job is not cached as ended
  */
-gboolean ft_job_cache_end (const FtJobCache *cache, const char *ref, FtJobEnd *end, guint *tasks);
+gboolean ft_job_cache_find_end (const FtJobCache *cache, const char *ref, FtJobEnd *end, guint *tasks);
--- a/src/net/job_status.c
+++ b/src/net/job_status.c
@@ -33,7 +33,7 @@
 void
 ft_job_status_answer_ended (FtUserRequest *request, FtJobEnd end, guint tasks)
 {
-  ft_job_cache_ended (request->node->job_cache, request->ref, end, tasks);
+  ft_job_cache_add_ended (request->node->job_cache, request->ref, end, tasks);
   ft_user_request_answer (request, FT_HTTP_OK, ft_job_answer_ended (request->ref, end, tasks));
 }
 
@@ -42,7 +42,7 @@
 {
   FtUserRequest *request = data;
   (void) ref;
-  json_t *ended = ft_job_answer_remembered (request->node, request->ref);
+  json_t *ended = ft_job_answer_cached (request->node, request->ref);
   if (ended != NULL) {
     ft_user_request_answer (request, FT_HTTP_OK, ended); /* another request has found it ended meanwhile */
   } else if (result == FT_ANCESTORS_OPEN) {
@@ -92,7 +92,7 @@
   } else if (request->cancel_reason != FT_CANCEL_NONE) {
     ft_cancellation_commit (request, row.revision, state.tasks, on_cancelled);
   } else {
-    ft_job_cache_open (request->node->job_cache, request->ref, row.revision, state.has_dependencies);
+    ft_job_cache_add_open (request->node->job_cache, request->ref, row.revision, state.has_dependencies);
     answer_open (request);
   }
 }
@@ -102,7 +102,7 @@
 {
   g_autofree char *key = ft_key_job (request->ref);
   gboolean cancels = request->cancel_reason != FT_CANCEL_NONE;
-  if (ft_user_request_is_too_late (request))
+  if (ft_user_request_is_past_deadline (request))
     ft_user_request_answer_unavailable (request);
   else
     ft_store_client_get (request->node->store, key, cancels ? FT_STORE_PRIORITY_CANCEL : FT_STORE_PRIORITY_READ,
@@ -144,7 +144,7 @@
 {
   if (!ft_idempotent_request_begin (request))
     return;
-  if (!ft_polls_ask (request->node->polls, request->ref, on_revision_compared, request))
+  if (!ft_polls_add (request->node->polls, request->ref, on_revision_compared, request))
     ft_job_status_read (request);
 }
 
--- a/src/net/leader_batches.c
+++ b/src/net/leader_batches.c
@@ -219,7 +219,7 @@
   const FtNode *node = batches->term->node;
   batches->journal_revision = revision;
   ft_metrics_count (node->metrics, FT_COUNT_BATCHES);
-  ft_metrics_time (node->metrics, FT_TIME_BATCH, g_get_monotonic_time () - batch->base.created_at);
+  ft_metrics_record_latency (node->metrics, FT_LATENCY_BATCH, g_get_monotonic_time () - batch->base.created_at);
   finish_batch (batch, TRUE, NULL);
   return FT_LEADER_OUTCOME_PROGRESS;
 }
--- a/src/net/leader_commands.c
+++ b/src/net/leader_commands.c
@@ -42,7 +42,7 @@
   if (result == FT_DIRECT_UNANSWERED)
     ft_metrics_count (node->metrics, FT_COUNT_DIRECT_UNANSWERED);
   else
-    ft_metrics_time (node->metrics, FT_TIME_DIRECT, g_get_monotonic_time () - request->created_at);
+    ft_metrics_record_latency (node->metrics, FT_LATENCY_DIRECT, g_get_monotonic_time () - request->created_at);
   if (!ft_scheduler_direct_done (request->term->scheduler, direct, result, heartbeat, g_get_monotonic_time ())) {
     request->superseded_reason = "a worker has seen a higher token";
     return FT_LEADER_OUTCOME_SUPERSEDED;
--- a/src/net/leader_recovery.c
+++ b/src/net/leader_recovery.c
@@ -63,7 +63,7 @@
   /* Only now: without the registry a cancelled task that is known of cannot be stopped, and
    * each answer to its worker would keep it alive. */
   ft_leader_rows_reading_complete (last_page->base.owner);
-  ft_metrics_time (node->metrics, FT_TIME_RECOVERY, g_get_monotonic_time () - term->led_since);
+  ft_metrics_record_latency (node->metrics, FT_LATENCY_RECOVERY, g_get_monotonic_time () - term->led_since);
   last_page->recovered (last_page->recovered_data);
   g_message ("node %s: leader under fencing token %" G_GUINT64_FORMAT ", recovered its state from the key-value store",
              node->config->member, ft_lease_token (node->lease));
--- a/src/net/metrics.c
+++ b/src/net/metrics.c
@@ -10,11 +10,11 @@
         "cancelled_with_need",  "reports_answered",    "reports_redirected",     "takeovers",       "step_downs",
         "direct_unanswered",    "batches_committed",   "batches_uncertain",      "batches_invalid", "malformed_workers",
         "malformed_cloud",      "malformed_state",     "malformed_peers" };
-static const char *const timer_names[FT_TIMERS] = { "submit_ms", "batch_ms", "direct_ms", "recovery_ms" };
+static const char *const timer_names[FT_LATENCIES] = { "submit_ms", "batch_ms", "direct_ms", "recovery_ms" };
 
 struct _FtMetrics {
   guint64 counters[FT_COUNTERS];
-  gsl_histogram *timers[FT_TIMERS];
+  gsl_histogram *timers[FT_LATENCIES];
 };
 
 /* Buckets grow by a constant factor from 0.1 ms to 100 s. */
@@ -34,7 +34,7 @@
 ft_metrics_new (void)
 {
   FtMetrics *metrics = g_new0 (FtMetrics, 1);
-  for (int i = 0; i < FT_TIMERS; i++)
+  for (int i = 0; i < FT_LATENCIES; i++)
     metrics->timers[i] = histogram_new ();
   return metrics;
 }
@@ -44,7 +44,7 @@
 {
   if (metrics == NULL)
     return;
-  for (int i = 0; i < FT_TIMERS; i++)
+  for (int i = 0; i < FT_LATENCIES; i++)
     gsl_histogram_free (metrics->timers[i]);
   g_free (metrics);
 }
@@ -68,7 +68,7 @@
 }
 
 void
-ft_metrics_time (FtMetrics *metrics, FtTimer timer, gint64 us)
+ft_metrics_record_latency (FtMetrics *metrics, FtLatency timer, gint64 us)
 {
   double ms = CLAMP ((double) us / 1000, FT_HISTOGRAM_MIN_MS, FT_HISTOGRAM_MAX_MS * 0.999);
   gsl_histogram_increment (metrics->timers[timer], ms);
@@ -92,7 +92,7 @@
   json_t *counters = json_object (), *timers = json_object ();
   for (int i = 0; i < FT_COUNTERS; i++)
     json_object_set_new (counters, counter_names[i], json_integer ((json_int_t) metrics->counters[i]));
-  for (int i = 0; i < FT_TIMERS; i++) {
+  for (int i = 0; i < FT_LATENCIES; i++) {
     const gsl_histogram *histogram = metrics->timers[i];
     json_object_set_new (timers, timer_names[i],
                          json_pack ("{s:I, s:f, s:f, s:f}", "count", (json_int_t) gsl_histogram_sum (histogram), "p50",
--- a/src/net/metrics.h
+++ b/src/net/metrics.h
@@ -39,15 +39,15 @@
 } FtCounter;
 
 /**
- * FtTimer:
- * @FT_TIME_SUBMIT: from a submission to its answer
- * @FT_TIME_BATCH: from sending a write batch to its commit
- * @FT_TIME_DIRECT: from sending a direct command to the worker's answer
- * @FT_TIME_RECOVERY: from the beginning of a term until the leader can place tasks
+ * FtLatency:
+ * @FT_LATENCY_SUBMIT: from a submission to its answer
+ * @FT_LATENCY_BATCH: from sending a write batch to its commit
+ * @FT_LATENCY_DIRECT: from sending a direct command to the worker's answer
+ * @FT_LATENCY_RECOVERY: from the beginning of a term until the leader can place tasks
  *
  * What is timed.
  */
-typedef enum { FT_TIME_SUBMIT, FT_TIME_BATCH, FT_TIME_DIRECT, FT_TIME_RECOVERY, FT_TIMERS } FtTimer;
+typedef enum { FT_LATENCY_SUBMIT, FT_LATENCY_BATCH, FT_LATENCY_DIRECT, FT_LATENCY_RECOVERY, FT_LATENCIES } FtLatency;
 
 /**
  * ft_metrics_new:
@@ -82,11 +82,11 @@
 const char *ft_metrics_name (FtCounter counter);
 
 /**
- * ft_metrics_time:
+ * ft_metrics_record_latency:
  * @timer: what has taken time
  * @us: how long, in microseconds
  */
-void ft_metrics_time (FtMetrics *metrics, FtTimer timer, gint64 us);
+void ft_metrics_record_latency (FtMetrics *metrics, FtLatency timer, gint64 us);
 
 /**
  * ft_metrics_body:
--- a/src/net/polls.c
+++ b/src/net/polls.c
@@ -71,7 +71,7 @@
       continue;
     }
     any = TRUE;
-    ft_job_cache_forget (polls->node->job_cache, poll->ref);
+    ft_job_cache_remove_open (polls->node->job_cache, poll->ref);
     poll_finish (poll, FT_POLL_CHANGED);
   }
   Poll *poll;
@@ -126,7 +126,7 @@
 }
 
 gboolean
-ft_polls_ask (FtPolls *polls, const char *ref, FtPollDone done, gpointer data)
+ft_polls_add (FtPolls *polls, const char *ref, FtPollDone done, gpointer data)
 {
   const FtCachedJob *job = ft_job_cache_find (polls->node->job_cache, ref);
   if (job == NULL || g_queue_get_length (&polls->waiting) >= FT_POLLS_MAX)
--- a/src/net/polls.h
+++ b/src/net/polls.h
@@ -39,7 +39,7 @@
 void ft_polls_free (FtPolls *polls);
 
 /**
- * ft_polls_ask:
+ * ft_polls_add:
  * @ref: the job
  * @done: called once if this returns %TRUE
  *
@@ -48,4 +48,4 @@
  * Returns: %FALSE, and @done is not called, if the cache does not have it as open or FT_POLLS_MAX
  *   polls wait
  */
-gboolean ft_polls_ask (FtPolls *polls, const char *ref, FtPollDone done, gpointer data);
+gboolean ft_polls_add (FtPolls *polls, const char *ref, FtPollDone done, gpointer data);
--- a/src/net/submission.c
+++ b/src/net/submission.c
@@ -81,7 +81,7 @@
     ft_user_request_answer (request, FT_HTTP_BAD_REQUEST, NULL);
     return;
   }
-  if (ft_idempotent_request_answer_known (request))
+  if (ft_idempotent_request_answer_from_cache (request))
     return;
   FtAdmission admission = validate (node, request->spec, &why);
   if (admission == FT_ADMIT_NEVER) {
@@ -93,7 +93,7 @@
     return;
   }
   request->spec->submitted_wall_ms = g_get_real_time () / 1000;
-  ft_user_request_start_clock (request);
+  ft_user_request_start_deadline (request);
   check_dependencies (request);
 }
 
@@ -120,7 +120,7 @@
 {
   const char *const *dependencies = (const char *const *) request->spec->dependencies;
   /* Its ancestors, if any, are found uncancelled as of a time that the check does not report. */
-  request->uncancelled_at = dependencies == NULL ? request->began : 0;
+  request->ancestors_checked_at = dependencies == NULL ? request->began : 0;
   ft_ancestors_check_named (request->node, dependencies, on_dependencies_checked, request);
 }
 
@@ -130,8 +130,8 @@
 remember_open (FtUserRequest *request, guint64 revision)
 {
   gboolean has_dependencies = request->spec->dependencies != NULL;
-  FtCachedJob *job = ft_job_cache_open (request->node->job_cache, request->ref, revision, has_dependencies);
-  job->checked_at = request->uncancelled_at;
+  FtCachedJob *job = ft_job_cache_add_open (request->node->job_cache, request->ref, revision, has_dependencies);
+  job->checked_at = request->ancestors_checked_at;
   g_strfreev (job->dependencies);
   job->dependencies = g_strdupv (request->spec->dependencies);
 }
@@ -171,7 +171,7 @@
   }
   g_message ("job %s: accepted as cancelled, since one of its ancestors is", request->ref);
   ft_metrics_count (request->node->metrics, FT_COUNT_CANCELLED_BY_DEPENDENCY);
-  ft_job_cache_ended (request->node->job_cache, request->ref, FT_JOB_END_CANCELLED, tasks);
+  ft_job_cache_add_ended (request->node->job_cache, request->ref, FT_JOB_END_CANCELLED, tasks);
   json_t *state = ft_job_answer_ended (request->ref, FT_JOB_END_CANCELLED, tasks);
   ft_user_request_answer (request, FT_HTTP_CREATED, state);
 }
--- a/src/net/user_request.h
+++ b/src/net/user_request.h
@@ -29,7 +29,7 @@
  * @spec: the submitted job, owned; %NULL for polls and cancellations
  * @cancel_reason: why the job is cancelled if it is open
  * @cancel_tries: cancellations committed without success so far
- * @uncancelled_at: monotonic time until which none of a submitted job's ancestors was cancelled;
+ * @ancestors_checked_at: monotonic time until which none of a submitted job's ancestors was cancelled;
  *   0 if that is not known
  * @began: monotonic time from which its deadline and its latency count
  */
@@ -40,7 +40,7 @@
   FtJobSpec *spec;
   FtCancelReason cancel_reason;
   guint cancel_tries;
-  gint64 uncancelled_at;
+  gint64 ancestors_checked_at;
   gint64 began;
 } FtUserRequest;
 
@@ -62,19 +62,19 @@
 const json_t *ft_user_request_body (FtUserRequest *request);
 
 /**
- * ft_user_request_start_clock:
+ * ft_user_request_start_deadline:
  *
  * Called when the request is about to wait for the key-value store: its deadline and its latency
  * count from here.
  */
-void ft_user_request_start_clock (FtUserRequest *request);
+void ft_user_request_start_deadline (FtUserRequest *request);
 
 /**
- * ft_user_request_is_too_late:
+ * ft_user_request_is_past_deadline:
  *
  * Returns: whether FT_USER_DEADLINE_S have passed since the clock was started
  */
-gboolean ft_user_request_is_too_late (const FtUserRequest *request);
+gboolean ft_user_request_is_past_deadline (const FtUserRequest *request);
 
 /**
  * ft_user_request_answer:
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -21,7 +21,8 @@
   if (g_strcmp0 (holder, node->config->member) == 0)
     holder = NULL;
   ft_metrics_count (node->metrics, FT_COUNT_REDIRECTS);
-  ft_http_close (request); /* the worker turns to another controller, and would keep its connection here */
+  ft_http_close_after_response (
+      request); /* the worker turns to another controller, and would keep its connection here */
   ft_http_respond (request, FT_HTTP_MISDIRECTED, ft_message_redirect (holder));
 }
 
@@ -42,7 +43,7 @@
     return;
   }
   gsize size;
-  const guint8 *body = ft_http_raw (request, &size);
+  const guint8 *body = ft_http_raw_body (request, &size);
   g_autoptr (FtWorkerHeartbeat) heartbeat = body != NULL ? ft_message_worker_heartbeat_read (body, size) : NULL;
   if (heartbeat == NULL) {
     ft_malformed_log_add (node->malformed, FT_COUNT_MALFORMED_WORKERS, "worker heartbeat");
