--- a/src/net/http_body.c
+++ b/src/net/http_body.c
@@ -1,4 +1,4 @@
-/* Bodies of HTTP messages, as both the server and the client encode and decode them. */
+/* Encoding and decoding of HTTP bodies, shared by the server and the client. */
 #include <string.h>
 
 #include "net/http.h"
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -1,7 +1,9 @@
 /* The HTTP client: libcurl's multi interface, driven by the main loop through one epoll descriptor.
- * A source for each socket, made anew whenever the library waits for something else, cost more.
- * libsoup's client takes several times as much for a request on a connection of its own, and a
- * failover asks every machine once: docs/design.md has the measurement. */
+ *
+ * One main loop source for each socket costs more CPU time, since the source must be recreated whenever
+ * libcurl waits for another event. libsoup's client needs several times the CPU time for a request on a
+ * new connection, and a new leader sends such a request to every machine after a failover.
+ * docs/design.md has the measurement. */
 #include <curl/curl.h>
 #include <glib-unix.h>
 #include <sys/epoll.h>
@@ -12,23 +14,23 @@
 
 struct _FtHttpClient {
   CURLM *multi;
-  struct curl_slist *headers[FT_BODY_JSON + 1]; /* for each FtBodyKind */
-  GHashTable *calls;                            /* set of Call under way */
-  GQueue spare_handles;                         /* CURL, to be used again */
-  guint timer;                                  /* source of the library's timeout; 0: none */
-  guint socket_source;                          /* source of `epoll_fd` */
-  int epoll_fd;                                 /* watches the library's sockets */
+  struct curl_slist *headers[FT_BODY_JSON + 1]; /* of a request, indexed by FtBodyKind */
+  GHashTable *calls;                            /* set of Call in flight */
+  GQueue spare_handles;                         /* CURL handles for later requests */
+  guint timer;                                  /* main loop source of libcurl's timeout; 0: none */
+  guint socket_source;                          /* main loop source of `epoll_fd` */
+  int epoll_fd;                                 /* epoll set of libcurl's sockets */
 };
 
-/* A request under way. Owned by the client's set. */
+/* A request in flight. The client's set of calls owns it. */
 typedef struct {
   FtHttpClient *client;
   CURL *easy;
   FtBodyKind kind;
-  GBytes *body;       /* of the request; NULL: none */
-  GByteArray *answer; /* as far as it has come */
-  FtHttpDone done;
-  FtHttpRawDone raw_done; /* instead of `done` */
+  GBytes *body;           /* encoded body of the request; NULL: none */
+  GByteArray *answer;     /* bytes of the answer's body received so far */
+  FtHttpDone done;        /* NULL: `raw_done` is set instead */
+  FtHttpRawDone raw_done; /* NULL: `done` is set instead */
   gpointer data;
 } Call;
 
@@ -64,8 +66,8 @@
 complete_finished (FtHttpClient *client)
 {
   CURLMsg *msg;
-  int left;
-  while ((msg = curl_multi_info_read (client->multi, &left)) != NULL) {
+  int remaining;
+  while ((msg = curl_multi_info_read (client->multi, &remaining)) != NULL) {
     Call *call;
     if (msg->msg != CURLMSG_DONE)
       continue;
@@ -75,8 +77,8 @@
   }
 }
 
-/* Handling one event may close a socket of a later event, and its descriptor may be opened again for
- * another: the library tolerates an event that does not concern it. */
+/* Handling one event may close the socket of a later event in the same batch, and a new socket may get
+ * the same descriptor. That later event is then passed for the wrong socket, which libcurl tolerates. */
 static gboolean
 on_sockets_ready (gint fd, GIOCondition condition, gpointer data)
 {
@@ -85,9 +87,9 @@
   (void) condition;
   int n = epoll_wait (fd, events, G_N_ELEMENTS (events), 0), running;
   for (int i = 0; i < n; i++) {
-    uint32_t what = events[i].events;
-    int ready = (what & EPOLLIN ? CURL_CSELECT_IN : 0) | (what & EPOLLOUT ? CURL_CSELECT_OUT : 0)
-                | (what & (EPOLLERR | EPOLLHUP) ? CURL_CSELECT_ERR : 0);
+    uint32_t mask = events[i].events;
+    int ready = (mask & EPOLLIN ? CURL_CSELECT_IN : 0) | (mask & EPOLLOUT ? CURL_CSELECT_OUT : 0)
+                | (mask & (EPOLLERR | EPOLLHUP) ? CURL_CSELECT_ERR : 0);
     curl_multi_socket_action (client->multi, events[i].data.fd, ready, &running);
   }
   complete_finished (client);
@@ -107,7 +109,8 @@
   event.events = (what & CURL_POLL_IN ? EPOLLIN : 0u) | (what & CURL_POLL_OUT ? EPOLLOUT : 0u);
   if (socket_data != NULL && epoll_ctl (client->epoll_fd, EPOLL_CTL_MOD, fd, &event) == 0)
     return 0;
-  curl_multi_assign (client->multi, fd, client); /* `socket_data` from now on: it is in the epoll set */
+  /* libcurl passes `client` as `socket_data` from now on, which marks the socket as being in the epoll set. */
+  curl_multi_assign (client->multi, fd, client);
   return epoll_ctl (client->epoll_fd, EPOLL_CTL_ADD, fd, &event);
 }
 
@@ -135,7 +138,7 @@
   return 0;
 }
 
-/* Without "Accept" and "Expect", which the library would add. */
+/* Returns the headers of a request. The empty "Accept:" and "Expect:" stop libcurl from adding its own. */
 static struct curl_slist *
 header_list (FtBodyKind kind)
 {
@@ -146,11 +149,11 @@
 }
 
 FtHttpClient *
-ft_http_client_new (guint per_host, guint most)
+ft_http_client_new (guint max_per_host, guint max_connections)
 {
   static gsize ready;
   if (g_once_init_enter (&ready)) {
-    curl_global_init (CURL_GLOBAL_NOTHING); /* plain HTTP only */
+    curl_global_init (CURL_GLOBAL_NOTHING); /* no TLS: only plain HTTP is used */
     g_once_init_leave (&ready, 1);
   }
   FtHttpClient *client = g_new0 (FtHttpClient, 1);
@@ -166,9 +169,9 @@
   curl_multi_setopt (client->multi, CURLMOPT_TIMERFUNCTION, set_timer);
   curl_multi_setopt (client->multi, CURLMOPT_TIMERDATA, client);
   curl_multi_setopt (client->multi, CURLMOPT_PIPELINING, (long) CURLPIPE_NOTHING);
-  curl_multi_setopt (client->multi, CURLMOPT_MAX_HOST_CONNECTIONS, (long) per_host);
-  curl_multi_setopt (client->multi, CURLMOPT_MAX_TOTAL_CONNECTIONS, (long) most);
-  curl_multi_setopt (client->multi, CURLMOPT_MAXCONNECTS, (long) most);
+  curl_multi_setopt (client->multi, CURLMOPT_MAX_HOST_CONNECTIONS, (long) max_per_host);
+  curl_multi_setopt (client->multi, CURLMOPT_MAX_TOTAL_CONNECTIONS, (long) max_connections);
+  curl_multi_setopt (client->multi, CURLMOPT_MAXCONNECTS, (long) max_connections);
   return client;
 }
 
@@ -201,13 +204,13 @@
 {
   Call *call = user;
   if (call->answer->len + size * n > FT_ANSWER_MAX)
-    return 0; /* has the library fail the request */
+    return 0; /* libcurl then fails the request */
   g_byte_array_append (call->answer, (const guint8 *) data, (guint) (size * n));
   return size * n;
 }
 
 static void
-set_options (Call *call, const char *method, const char *uri, double timeout_s, gboolean once)
+set_options (Call *call, const char *method, const char *uri, double timeout_s, gboolean no_resend)
 {
   CURL *easy = call->easy;
   curl_easy_setopt (easy, CURLOPT_PRIVATE, call);
@@ -221,9 +224,9 @@
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, on_data);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, call);
   curl_easy_setopt (easy, CURLOPT_HTTPHEADER, call->client->headers[call->kind]);
-  /* The library never repeats a request on a new connection. */
-  curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, once ? 1L : 0L);
-  curl_easy_setopt (easy, CURLOPT_FORBID_REUSE, once ? 1L : 0L);
+  /* libcurl resends a request only on a reused connection, never on a new one. */
+  curl_easy_setopt (easy, CURLOPT_FRESH_CONNECT, no_resend ? 1L : 0L);
+  curl_easy_setopt (easy, CURLOPT_FORBID_REUSE, no_resend ? 1L : 0L);
   if (call->body == NULL)
     return;
   gsize size;
@@ -232,10 +235,11 @@
   curl_easy_setopt (easy, CURLOPT_POSTFIELDS, data);
 }
 
-/* One of `done` and `raw_done` is NULL. */
+/* Exactly one of `done` and `raw_done` is not NULL. */
 static void
 send_call (FtHttpClient *client, const char *method, const char *addr, const char *path, FtBodyKind kind,
-           const json_t *body, double timeout_s, gboolean once, FtHttpDone done, FtHttpRawDone raw_done, gpointer data)
+           const json_t *body, double timeout_s, gboolean no_resend, FtHttpDone done, FtHttpRawDone raw_done,
+           gpointer data)
 {
   g_autofree char *uri = g_strconcat ("http://", addr, path, NULL);
   Call *call = g_new0 (Call, 1);
@@ -250,21 +254,21 @@
     call->easy = curl_easy_init ();
   if (body != NULL)
     call->body = ft_http_encode (kind, body);
-  set_options (call, method, uri, timeout_s, once);
+  set_options (call, method, uri, timeout_s, no_resend);
   g_hash_table_add (client->calls, call);
   curl_multi_add_handle (client->multi, call->easy);
 }
 
 void
 ft_http_send (FtHttpClient *client, const char *method, const char *addr, const char *path, FtBodyKind kind,
-              const json_t *body, double timeout_s, gboolean once, FtHttpDone done, gpointer data)
+              const json_t *body, double timeout_s, gboolean no_resend, FtHttpDone done, gpointer data)
 {
-  send_call (client, method, addr, path, kind, body, timeout_s, once, done, NULL, data);
+  send_call (client, method, addr, path, kind, body, timeout_s, no_resend, done, NULL, data);
 }
 
 void
 ft_http_send_raw (FtHttpClient *client, const char *method, const char *addr, const char *path, FtBodyKind kind,
-                  const json_t *body, double timeout_s, gboolean once, FtHttpRawDone done, gpointer data)
+                  const json_t *body, double timeout_s, gboolean no_resend, FtHttpRawDone done, gpointer data)
 {
-  send_call (client, method, addr, path, kind, body, timeout_s, once, NULL, done, data);
+  send_call (client, method, addr, path, kind, body, timeout_s, no_resend, NULL, done, data);
 }
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,6 +1,7 @@
-/* The HTTP server: libmicrohttpd, driven by the main loop through its epoll descriptor. libsoup's
- * server costs a main loop source for each connection, and several hundred workers keep theirs open:
- * docs/design.md has the measurement. */
+/* The HTTP server: libmicrohttpd, driven by the main loop through libmicrohttpd's epoll descriptor.
+ *
+ * libsoup's server needs one main loop source for each connection, which is expensive because several
+ * hundred workers keep their connections open. docs/design.md has the measurement. */
 #include <gio/gio.h>
 #include <glib-unix.h>
 #include <microhttpd.h>
@@ -12,36 +13,38 @@
 G_DEFINE_QUARK (ft - http - error - quark, ft_http_error)
 
 struct _FtHttpServer {
-  gboolean stopping; /* answers nothing but 503 any more */
+  gboolean stopping; /* the server answers every request with 503 */
   struct MHD_Daemon *daemon;
   FtBodyKind kind;
   FtHttpHandler handler;
   gpointer data;
-  guint most, connections; /* connections: to be kept open at most, and open */
-  guint turn;              /* number of the present run of the library */
-  guint epoll_source;      /* of the library's descriptor */
-  guint retry_source;      /* for work that no event announces; 0: none */
-  GHashTable *waiting;     /* set of requests whose handler has not answered yet */
+  guint max_connections; /* number of connections that may stay open */
+  guint connections;     /* number of open connections */
+  guint turn;            /* number of the current run of libmicrohttpd */
+  guint epoll_source;    /* main loop source of libmicrohttpd's epoll descriptor */
+  guint retry_source;    /* main loop source that runs libmicrohttpd without an epoll event; 0: none */
+  GHashTable *waiting;   /* set of suspended requests, which their handlers have not answered yet */
 };
 
-/* Owned by its connection, and by its handler as well until that has answered. */
+/* The connection owns the request and frees it in on_completed(). If the server is freed before the
+ * handler answers, `server` becomes NULL and ft_http_respond() frees the request instead. */
 struct _FtHttpRequest {
-  FtHttpServer *server; /* NULL: the server was freed before the answer */
+  FtHttpServer *server; /* NULL: the server was freed before the handler answered */
   struct MHD_Connection *connection;
   char *method, *path, *query;
-  GByteArray *raw;               /* the body as it came, up to FT_BODY_MAX */
-  gsize total;                   /* bytes of the body that have come */
-  json_t *body;                  /* decoded; NULL: not yet, or not possible */
-  gboolean is_decoded;           /* decoding has been tried */
-  gboolean closes;               /* the connection ends with the answer */
-  gboolean is_suspended;         /* the handler has returned without an answer */
-  guint status;                  /* of the answer */
+  GByteArray *raw_body;          /* body as received, up to FT_BODY_MAX bytes */
+  gsize body_size;               /* bytes of the body received, also those that are not kept */
+  json_t *body;                  /* decoded body; NULL: not decoded yet, or malformed */
+  gboolean is_decoded;           /* decoding was attempted, with or without success */
+  gboolean close_after_response; /* the server closes the connection after the answer */
+  gboolean is_suspended;         /* the handler has returned and will answer later */
+  guint status;                  /* HTTP status of the answer */
   struct MHD_Response *response; /* NULL: not answered yet */
 };
 
 static gboolean on_retry (gpointer data);
 
-/* Has the server run again without an event. */
+/* Schedules a run of libmicrohttpd that does not wait for an epoll event. */
 static void
 schedule_retry (FtHttpServer *server, guint after_ms)
 {
@@ -58,7 +61,7 @@
 {
   if (request->response != NULL)
     MHD_destroy_response (request->response);
-  g_byte_array_unref (request->raw);
+  g_byte_array_unref (request->raw_body);
   json_decref (request->body);
   g_free (request->method);
   g_free (request->path);
@@ -66,7 +69,7 @@
   g_free (request);
 }
 
-/* The library reports the raw target before anything else: the request begins here. */
+/* Creates the request. libmicrohttpd calls this function with the raw request target before any other callback. */
 static void *
 on_target (void *data, const char *target, struct MHD_Connection *connection)
 {
@@ -74,7 +77,7 @@
   const char *query = strchr (target, '?');
   request->server = data;
   request->connection = connection;
-  request->raw = g_byte_array_new ();
+  request->raw_body = g_byte_array_new ();
   request->query = g_strdup (query != NULL ? query + 1 : "");
   return request;
 }
@@ -103,15 +106,16 @@
     server->connections--;
 }
 
-/* A body is kept up to the limit, whatever its header says, and refused far beyond it. */
+/* Keeps a body of up to FT_BODY_MAX bytes, whatever Content-Length says. Closes the connection if the body
+ * exceeds FT_BODY_CUT bytes. */
 static enum MHD_Result
-take_chunk (FtHttpRequest *request, const char *chunk, size_t *size)
+append_chunk (FtHttpRequest *request, const char *chunk, size_t *size)
 {
-  request->total += *size;
-  if (request->total <= FT_BODY_MAX)
-    g_byte_array_append (request->raw, (const guint8 *) chunk, (guint) *size);
+  request->body_size += *size;
+  if (request->body_size <= FT_BODY_MAX)
+    g_byte_array_append (request->raw_body, (const guint8 *) chunk, (guint) *size);
   *size = 0;
-  return request->total > FT_BODY_CUT ? MHD_NO : MHD_YES;
+  return request->body_size > FT_BODY_CUT ? MHD_NO : MHD_YES;
 }
 
 static struct MHD_Response *
@@ -133,9 +137,9 @@
   return MHD_queue_response (request->connection, request->status, request->response);
 }
 
-/* The server's own answer while it stops. */
+/* Sets the answer to 503 without the handler, because the server is stopping. */
 static void
-answer_unavailable (FtHttpServer *server, FtHttpRequest *request)
+set_unavailable (FtHttpServer *server, FtHttpRequest *request)
 {
   request->status = FT_HTTP_UNAVAILABLE;
   request->response = response_new (server, NULL);
@@ -149,17 +153,17 @@
   FtHttpRequest *request = *context;
   (void) connection;
   (void) version;
-  if (request->method == NULL) { /* first call: the headers; the body is still to come */
+  if (request->method == NULL) { /* first call: the headers are complete, the body follows */
     request->method = g_strdup (method);
     request->path = g_strdup (path);
     return MHD_YES;
   }
   if (*size > 0)
-    return take_chunk (request, chunk, size);
+    return append_chunk (request, chunk, size);
   if (request->response != NULL)
-    return queue_response (request); /* the connection was resumed for its answer */
+    return queue_response (request); /* the handler has answered, which resumed the connection */
   if (server->stopping) {
-    answer_unavailable (server, request);
+    set_unavailable (server, request);
     return queue_response (request);
   }
   server->handler (request, server->data);
@@ -192,8 +196,8 @@
 const json_t *
 ft_http_body (FtHttpRequest *request)
 {
-  if (!request->is_decoded && request->total <= FT_BODY_MAX)
-    request->body = ft_http_decode (request->server->kind, request->raw->data, request->raw->len);
+  if (!request->is_decoded && request->body_size <= FT_BODY_MAX)
+    request->body = ft_http_decode (request->server->kind, request->raw_body->data, request->raw_body->len);
   request->is_decoded = TRUE;
   return request->body;
 }
@@ -201,8 +205,8 @@
 const guint8 *
 ft_http_raw_body (const FtHttpRequest *request, gsize *size)
 {
-  *size = request->raw->len;
-  return request->total <= FT_BODY_MAX ? request->raw->data : NULL;
+  *size = request->raw_body->len;
+  return request->body_size <= FT_BODY_MAX ? request->raw_body->data : NULL;
 }
 
 void
@@ -223,20 +227,20 @@
     g_snprintf (after, sizeof after, "%d", FT_RETRY_AFTER_S);
     MHD_add_response_header (request->response, MHD_HTTP_HEADER_RETRY_AFTER, after);
   }
-  if (request->closes || server->connections > server->most)
+  if (request->close_after_response || server->connections > server->max_connections)
     MHD_add_response_header (request->response, MHD_HTTP_HEADER_CONNECTION, "close");
   if (request->is_suspended) {
     request->is_suspended = FALSE;
     g_hash_table_remove (server->waiting, request);
     MHD_resume_connection (request->connection);
-    schedule_retry (server, 0); /* resuming does not wake an external loop */
+    schedule_retry (server, 0); /* MHD_resume_connection() does not wake an external main loop */
   }
 }
 
 void
 ft_http_close_after_response (FtHttpRequest *request)
 {
-  request->closes = TRUE;
+  request->close_after_response = TRUE;
 }
 
 void
@@ -248,21 +252,21 @@
 /* ---- the server ---- */
 
 static void
-serve (FtHttpServer *server)
+run_libmicrohttpd (FtHttpServer *server)
 {
-  MHD_UNSIGNED_LONG_LONG left;
+  MHD_UNSIGNED_LONG_LONG timeout_ms;
   server->turn++;
   MHD_run (server->daemon);
-  /* Work may be left for which no event will come. */
-  if (MHD_get_timeout (server->daemon, &left) == MHD_YES)
-    schedule_retry (server, (guint) MIN (left, G_MAXINT));
+  /* libmicrohttpd may have work left for which no epoll event will come. */
+  if (MHD_get_timeout (server->daemon, &timeout_ms) == MHD_YES)
+    schedule_retry (server, (guint) MIN (timeout_ms, G_MAXINT));
 }
 
 static gboolean
 on_retry (gpointer data)
 {
   ((FtHttpServer *) data)->retry_source = 0;
-  serve (data);
+  run_libmicrohttpd (data);
   return G_SOURCE_REMOVE;
 }
 
@@ -271,7 +275,7 @@
 {
   (void) fd;
   (void) condition;
-  serve (data);
+  run_libmicrohttpd (data);
   return G_SOURCE_CONTINUE;
 }
 
@@ -281,7 +285,7 @@
   const unsigned flags = MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME;
   return MHD_start_daemon (flags, 0, NULL, NULL, on_request, server, MHD_OPTION_SOCK_ADDR, address,
                            MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u, MHD_OPTION_CONNECTION_LIMIT,
-                           server->most + FT_CONNECTIONS_SPARE, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
+                           server->max_connections + FT_CONNECTIONS_SPARE, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
                            (size_t) FT_CONNECTION_MEMORY, MHD_OPTION_CONNECTION_TIMEOUT, 0u,
                            MHD_OPTION_URI_LOG_CALLBACK, on_target, server, MHD_OPTION_NOTIFY_COMPLETED, on_completed,
                            NULL, MHD_OPTION_NOTIFY_CONNECTION, on_connection, server, MHD_OPTION_END);
@@ -297,7 +301,8 @@
 }
 
 FtHttpServer *
-ft_http_server_new (const char *addr, FtBodyKind kind, guint most, FtHttpHandler handler, gpointer data, GError **error)
+ft_http_server_new (const char *addr, FtBodyKind kind, guint max_connections, FtHttpHandler handler, gpointer data,
+                    GError **error)
 {
   g_autoptr (GSocketAddress) address = parse_address (addr);
   struct sockaddr_storage native;
@@ -309,7 +314,7 @@
   server->kind = kind;
   server->handler = handler;
   server->data = data;
-  server->most = most;
+  server->max_connections = max_connections;
   server->waiting = g_hash_table_new (g_direct_hash, g_direct_equal);
   server->daemon = start_daemon (server, (const struct sockaddr *) &native);
   if (server->daemon == NULL) {
@@ -321,8 +326,8 @@
   return g_steal_pointer (&server);
 }
 
-/* The library must not be stopped while connections are suspended: those that wait are resumed with
- * 503, and what arrives in the last run is answered in the same way. */
+/* libmicrohttpd must not be stopped while connections are suspended. Every waiting request is therefore
+ * answered with 503 and its connection resumed. Requests that arrive during the last run get 503 too. */
 static void
 stop (FtHttpServer *server)
 {
@@ -332,7 +337,7 @@
   g_hash_table_iter_init (&it, server->waiting);
   while (g_hash_table_iter_next (&it, &key, NULL)) {
     FtHttpRequest *request = key;
-    answer_unavailable (server, request);
+    set_unavailable (server, request);
     request->server = NULL;
     MHD_resume_connection (request->connection);
   }
