--- a/src/net/catalog_cache.c
+++ b/src/net/catalog_cache.c
@@ -7,22 +7,22 @@
   const FtConfig *config;    /* borrowed */
   FtHttpClient *client;      /* borrowed */
   FtMalformedLog *malformed; /* borrowed */
-  FtCatalogUpdated read;
+  FtCatalogUpdated updated;
   gpointer data;
-  FtCatalog *catalog; /* a reference; NULL until known */
-  gboolean in_flight;
-  gint64 not_before; /* the next request is not sent before; monotonic, microseconds */
+  FtCatalog *catalog;  /* owned reference; NULL: no catalog was read yet */
+  gboolean in_flight;  /* a request has been sent and not answered */
+  gint64 next_read_at; /* earliest time of the next request; monotonic, microseconds */
 };
 
 FtCatalogCache *
 ft_catalog_cache_new (const FtConfig *config, FtHttpClient *cloud_client, FtMalformedLog *malformed,
-                      FtCatalogUpdated read, gpointer data)
+                      FtCatalogUpdated updated, gpointer data)
 {
   FtCatalogCache *cache = g_new0 (FtCatalogCache, 1);
   cache->config = config;
   cache->client = cloud_client;
   cache->malformed = malformed;
-  cache->read = read;
+  cache->updated = updated;
   cache->data = data;
   return cache;
 }
@@ -44,20 +44,20 @@
   FtCatalog *catalog = answered ? ft_cloud_catalog (body) : NULL;
   double pause_s = catalog != NULL ? FT_CATALOG_EVERY_S : FT_CATALOG_RETRY_S;
   cache->in_flight = FALSE;
-  cache->not_before = g_get_monotonic_time () + (gint64) (pause_s * FT_SECOND);
+  cache->next_read_at = g_get_monotonic_time () + (gint64) (pause_s * FT_SECOND);
   if (answered && catalog == NULL)
     ft_malformed_log_add (cache->malformed, FT_COUNT_MALFORMED_CLOUD, "catalog");
   if (catalog == NULL)
     return;
   ft_catalog_unref (cache->catalog);
   cache->catalog = catalog;
-  cache->read (catalog, cache->data);
+  cache->updated (catalog, cache->data);
 }
 
 void
 ft_catalog_cache_tick (FtCatalogCache *cache, gint64 now)
 {
-  if (cache->in_flight || now < cache->not_before)
+  if (cache->in_flight || now < cache->next_read_at)
     return;
   cache->in_flight = TRUE;
   ft_http_send (cache->client, "GET", cache->config->cloud_addr, "/catalog", FT_BODY_CBOR, NULL, FT_CLOUD_TIMEOUT_S,
--- a/src/net/catalog_cache.h
+++ b/src/net/catalog_cache.h
@@ -1,5 +1,5 @@
-/* The cloud's machine types, as read from it now and then. The leader's scheduler and the
- * admission of jobs use them. */
+/* A cache of the cloud's catalog of machine types, which it reads at regular intervals. The leader's scheduler
+ * and the admission of jobs use the catalog. */
 #pragma once
 #include "config.h"
 #include "core/types.h"
@@ -15,31 +15,35 @@
 
 /**
  * FtCatalogUpdated:
- * @catalog: (transfer none): what was read
- * @data: that of ft_catalog_cache_new()
+ * @catalog: (transfer none): the catalog that was read
+ * @data: the `data` argument of ft_catalog_cache_new()
+ *
+ * Called each time a catalog was read.
  */
 typedef void (*FtCatalogUpdated) (FtCatalog *catalog, gpointer data);
 
 /**
  * ft_catalog_cache_new:
- * @config: names the cloud's address
- * @cloud_client: on which the catalog is read
- * @malformed: is given catalogs that cannot be read
- * @read: called for each catalog that was read
- * @data: of @read
+ * @config: the settings file, which contains the cloud's address
+ * @cloud_client: the HTTP client that sends the requests for the catalog
+ * @malformed: the log of malformed messages, to which malformed catalogs are added
+ * @updated: called for each catalog that was read
+ * @data: passed to @updated
  *
- * All arguments are borrowed for the cache's life.
+ * All arguments are borrowed and must outlive the cache, except for @cloud_client; see
+ * ft_catalog_cache_free().
  *
- * Returns: (transfer full): a cache without a catalog
+ * Returns: (transfer full): a cache that has no catalog yet
  */
 FtCatalogCache *ft_catalog_cache_new (const FtConfig *config, FtHttpClient *cloud_client, FtMalformedLog *malformed,
-                                      FtCatalogUpdated read, gpointer data);
+                                      FtCatalogUpdated updated, gpointer data);
 
 /**
  * ft_catalog_cache_free:
  * @cache: (nullable) (transfer full): the cache
  *
- * To be called after its client was freed, with the request that may be under way.
+ * Must be called after the HTTP client was freed, since a request in flight may still call back into the
+ * cache.
  */
 void ft_catalog_cache_free (FtCatalogCache *cache);
 
@@ -47,14 +51,15 @@
  * ft_catalog_cache_tick:
  * @now: monotonic time in microseconds
  *
- * Reads the catalog if that is due.
+ * Requests the catalog if a read is due: FT_CATALOG_EVERY_S after a successful read, FT_CATALOG_RETRY_S after
+ * a failed read.
  */
 void ft_catalog_cache_tick (FtCatalogCache *cache, gint64 now);
 
 /**
  * ft_catalog_cache_get:
  *
- * Returns: (transfer none) (nullable): the catalog that was read last, NULL if none was yet; valid
- *     until the main loop runs again
+ * Returns: (transfer none) (nullable): the catalog of the last successful read, valid until the main loop
+ *   runs again; %NULL if no read has succeeded yet
  */
 FtCatalog *ft_catalog_cache_get (const FtCatalogCache *cache);
--- a/src/net/malformed.c
+++ b/src/net/malformed.c
@@ -5,7 +5,7 @@
 struct _FtMalformedLog {
   const char *member;            /* borrowed */
   FtMetrics *metrics;            /* borrowed */
-  gint64 logged_at[FT_COUNTERS]; /* of each source, monotonic; 0: never */
+  gint64 logged_at[FT_COUNTERS]; /* time of the last log line of each source; monotonic, microseconds, 0: none */
 };
 
 FtMalformedLog *
@@ -24,7 +24,7 @@
 }
 
 void
-ft_malformed_log_add (FtMalformedLog *log, FtCounter source, const char *what)
+ft_malformed_log_add (FtMalformedLog *log, FtCounter source, const char *message_kind)
 {
   gint64 now = g_get_monotonic_time ();
   ft_metrics_count (log->metrics, source);
@@ -32,6 +32,6 @@
   if (last > 0 && now - last < (gint64) (FT_MALFORMED_LOG_S * FT_SECOND))
     return;
   log->logged_at[source] = now;
-  g_warning ("node %s: a malformed %s was refused (%s: %" G_GUINT64_FORMAT ")", log->member, what,
+  g_warning ("node %s: a malformed %s was refused (%s: %" G_GUINT64_FORMAT ")", log->member, message_kind,
              ft_metrics_name (source), ft_metrics_value (log->metrics, source));
 }
--- a/src/net/malformed.h
+++ b/src/net/malformed.h
@@ -1,5 +1,6 @@
-/* Messages of workers, the cloud, the key-value store or peers that were refused as a whole and
- * have changed nothing: each is counted, and one of a source is logged now and then. */
+/* Counts and logs malformed messages of workers, the cloud, the key-value store and peers. A malformed
+ * message is refused as a whole and changes nothing. Every message is counted; logging is rate-limited for
+ * each source. */
 #pragma once
 #include "net/metrics.h"
 
@@ -12,8 +13,8 @@
 
 /**
  * ft_malformed_log_new:
- * @member: the controller's name; borrowed for the log's life
- * @metrics: where to count; borrowed for the log's life
+ * @member: the controller's name; borrowed, must outlive the log
+ * @metrics: the metrics in which the messages are counted; borrowed, must outlive the log
  *
  * Returns: (transfer full): the log
  */
@@ -27,9 +28,10 @@
 
 /**
  * ft_malformed_log_add:
- * @source: one of FT_COUNT_MALFORMED_*
- * @what: the kind of message, for the log line
+ * @source: the counter of the message's sender, one of FT_COUNT_MALFORMED_*
+ * @message_kind: the kind of message, for the log line, for example "worker heartbeat"
  *
- * Counts a message, and logs it unless one of @source was logged within FT_MALFORMED_LOG_S.
+ * Counts a malformed message. Logs it unless a message of the same source was logged within the last
+ * FT_MALFORMED_LOG_S seconds.
  */
-void ft_malformed_log_add (FtMalformedLog *log, FtCounter source, const char *what);
+void ft_malformed_log_add (FtMalformedLog *log, FtCounter source, const char *message_kind);
--- a/src/net/metrics.c
+++ b/src/net/metrics.c
@@ -10,14 +10,15 @@
         "cancelled_with_need",  "reports_answered",    "reports_redirected",     "takeovers",       "step_downs",
         "direct_unanswered",    "batches_committed",   "batches_uncertain",      "batches_invalid", "malformed_workers",
         "malformed_cloud",      "malformed_state",     "malformed_peers" };
-static const char *const timer_names[FT_LATENCIES] = { "submit_ms", "batch_ms", "direct_ms", "recovery_ms" };
+static const char *const latency_names[FT_LATENCIES] = { "submit_ms", "batch_ms", "direct_ms", "recovery_ms" };
 
 struct _FtMetrics {
   guint64 counters[FT_COUNTERS];
-  gsl_histogram *timers[FT_LATENCIES];
+  gsl_histogram *latencies[FT_LATENCIES];
 };
 
-/* Buckets grow by a constant factor from 0.1 ms to 100 s. */
+/* Returns an empty histogram whose buckets grow by a constant factor, from FT_HISTOGRAM_MIN_MS to
+ * FT_HISTOGRAM_MAX_MS. */
 static gsl_histogram *
 histogram_new (void)
 {
@@ -35,7 +36,7 @@
 {
   FtMetrics *metrics = g_new0 (FtMetrics, 1);
   for (int i = 0; i < FT_LATENCIES; i++)
-    metrics->timers[i] = histogram_new ();
+    metrics->latencies[i] = histogram_new ();
   return metrics;
 }
 
@@ -45,7 +46,7 @@
   if (metrics == NULL)
     return;
   for (int i = 0; i < FT_LATENCIES; i++)
-    gsl_histogram_free (metrics->timers[i]);
+    gsl_histogram_free (metrics->latencies[i]);
   g_free (metrics);
 }
 
@@ -68,13 +69,14 @@
 }
 
 void
-ft_metrics_record_latency (FtMetrics *metrics, FtLatency timer, gint64 us)
+ft_metrics_record_latency (FtMetrics *metrics, FtLatency latency, gint64 us)
 {
   double ms = CLAMP ((double) us / 1000, FT_HISTOGRAM_MIN_MS, FT_HISTOGRAM_MAX_MS * 0.999);
-  gsl_histogram_increment (metrics->timers[timer], ms);
+  gsl_histogram_increment (metrics->latencies[latency], ms);
 }
 
-/* Upper bound of the bucket that holds this share of the values. */
+/* Returns the upper bound of the bucket, in milliseconds, at which `share` of all values is reached; 0 if the
+ * histogram is empty. */
 static double
 quantile (const gsl_histogram *histogram, double share)
 {
@@ -89,15 +91,15 @@
 json_t *
 ft_metrics_body (const FtMetrics *metrics)
 {
-  json_t *counters = json_object (), *timers = json_object ();
+  json_t *counters = json_object (), *latencies = json_object ();
   for (int i = 0; i < FT_COUNTERS; i++)
     json_object_set_new (counters, counter_names[i], json_integer ((json_int_t) metrics->counters[i]));
   for (int i = 0; i < FT_LATENCIES; i++) {
-    const gsl_histogram *histogram = metrics->timers[i];
-    json_object_set_new (timers, timer_names[i],
+    const gsl_histogram *histogram = metrics->latencies[i];
+    json_object_set_new (latencies, latency_names[i],
                          json_pack ("{s:I, s:f, s:f, s:f}", "count", (json_int_t) gsl_histogram_sum (histogram), "p50",
                                     quantile (histogram, 0.5), "p95", quantile (histogram, 0.95), "p99",
                                     quantile (histogram, 0.99)));
   }
-  return json_pack ("{s:o, s:o}", "counters", counters, "latency", timers);
+  return json_pack ("{s:o, s:o}", "counters", counters, "latency", latencies);
 }
