--- a/src/net/admin.c
+++ b/src/net/admin.c
@@ -6,7 +6,8 @@
 #include "net/leader.h"
 #include "net/leadership.h"
 
-/* Segments of the longest path below /admin/, and one more for what is too long. */
+/* Maximum number of segments into which a path below /admin/ is split: one more than the longest route has, so
+ * that a longer path matches no route. */
 #define ADMIN_PATH_SEGMENTS_MAX 4
 
 void
@@ -19,8 +20,9 @@
   ft_http_respond (request, status, json_pack ("{s:s}", "error", text));
 }
 
-/* ---- the leader ---- */
+/* ---- redirects to the leader ---- */
 
+/* Returns the address of a peer, borrowed; NULL if the settings file has no peer of that name. */
 static const char *
 peer_addr (const FtNode *node, const char *member)
 {
@@ -32,7 +34,8 @@
   return NULL;
 }
 
-/* For what only a recovered leader can answer: FALSE if the request was answered with who leads. */
+/* Returns TRUE if this controller leads and has recovered. Otherwise answers the request with the leader's name
+ * and address, or with 503 if no leader is known, and returns FALSE. */
 static gboolean
 leads_or_redirects (FtNode *node, FtHttpRequest *request)
 {
@@ -51,7 +54,7 @@
 
 /* ---- routes ---- */
 
-/* /admin/NAME, which every controller serves. */
+/* A route with the path /admin/NAME, which every controller serves. */
 typedef struct {
   const char *method, *name;
   void (*handle) (FtNode *node, FtHttpRequest *request);
@@ -64,7 +67,7 @@
   { "PUT", "settings", ft_admin_put_settings },
 };
 
-/* POST /admin/machines/MACHINE/ACTION, which the leader serves. */
+/* A route of POST /admin/machines/MACHINE/ACTION, which only the leader serves. */
 typedef struct {
   const char *action;
   void (*handle) (FtNode *node, FtHttpRequest *request, const char *machine);
--- a/src/net/admin.h
+++ b/src/net/admin.h
@@ -1,7 +1,8 @@
-/* The administration API, on the peers' listener only: users never reach it.
+/* The administration API. Only the listener for peers and operators serves it, so users cannot reach it.
  *
- * Reads are answered with what this controller knows. What only the leader knows is answered
- * elsewhere with 421 and the leader's name and address. */
+ * Every controller answers requests for its own status, metrics and settings. Only the leader serves lists and
+ * drains; another controller answers these requests with 421 and the leader's name and address, or with 503
+ * if it knows no leader. */
 #pragma once
 #include "net/http.h"
 #include "net/node.h"
@@ -9,5 +10,7 @@
 /**
  * ft_admin_handle:
  * @request: (transfer full): a request whose path begins with "/admin/"
+ *
+ * Routes the request to its handler, which answers it now or later.
  */
 void ft_admin_handle (FtNode *node, FtHttpRequest *request);
--- a/src/net/admin_drains.c
+++ b/src/net/admin_drains.c
@@ -1,16 +1,17 @@
-/* Drains of machines: each is a row of the key-value store, committed under the leader's fence. */
+/* Drains of machines. Each drained machine has a row in the key-value store; the transactions that write and
+ * delete these rows are conditional on the leader's fence. */
 #include "core/lease.h"
 #include "net/admin_endpoints.h"
 #include "net/leader.h"
 #include "net/store_client.h"
 #include "wire/store.h"
 
-/* A change that is being committed. */
+/* A drain or undrain whose commit is in flight. */
 typedef struct {
   FtNode *node;
   FtHttpRequest *request;
   char *machine;
-  gboolean drain; /* or undrain */
+  gboolean drain; /* FALSE: undrain */
 } DrainChange;
 
 static void
--- a/src/net/admin_endpoints.h
+++ b/src/net/admin_endpoints.h
@@ -1,6 +1,6 @@
-/* The parts of the administration API behind the routes of admin.c. Private to admin*.c.
+/* The handlers of the administration API, called by the routes of admin.c. Private to admin*.c.
  *
- * Each function that takes an FtHttpRequest takes it over and answers it, now or later. */
+ * Every function with an FtHttpRequest argument takes ownership of the request and answers it, now or later. */
 #pragma once
 #include "net/http.h"
 #include "net/node.h"
@@ -9,9 +9,9 @@
  * ft_admin_refuse:
  * @request: (transfer full): the request
  * @status: the answer's HTTP status
- * @format: printf-style text for the operator
+ * @format: printf-style format of the error message for the operator
  *
- * Answers with an error that says why.
+ * Answers the request with an error message.
  */
 void ft_admin_refuse (FtHttpRequest *request, FtHttpStatus status, const char *format, ...) G_GNUC_PRINTF (3, 4);
 
@@ -20,6 +20,9 @@
 /**
  * ft_admin_get_status:
  * @request: (transfer full): GET /admin/status
+ *
+ * Answers with the status of this controller: its version, readiness, lease state and leader, whether it can
+ * reach the key-value store, and its peers.
  */
 void ft_admin_get_status (FtNode *node, FtHttpRequest *request);
 
@@ -27,22 +30,25 @@
  * ft_admin_get_metrics:
  * @request: (transfer full): GET /admin/metrics
  *
- * Answers with the counters since the start; a leader's also say how many jobs there are now.
+ * Answers with the counters and latencies since the start of this controller. On the leader, the counters
+ * include the current numbers of open and waiting jobs.
  */
 void ft_admin_get_metrics (FtNode *node, FtHttpRequest *request);
 
 /**
  * ft_admin_has_list:
  *
- * Returns: whether the leader has a list of that name: "teams", "jobs", "queue" or "machines"
+ * Returns: whether @name is the name of a list: "teams", "jobs", "queue" or "machines"
  */
 gboolean ft_admin_has_list (const char *name);
 
 /**
  * ft_admin_get_list:
- * @node: leads, and is recovered
+ * @node: a controller that leads and has recovered
  * @request: (transfer full): GET /admin/NAME
- * @name: of a list, see ft_admin_has_list()
+ * @name: the name of a list; see ft_admin_has_list()
+ *
+ * Answers with the list.
  */
 void ft_admin_get_list (FtNode *node, FtHttpRequest *request, const char *name);
 
@@ -52,7 +58,7 @@
  * ft_admin_get_settings:
  * @request: (transfer full): GET /admin/settings
  *
- * Answers with the settings in force on this controller, their ranges and their version.
+ * Answers with the settings in force on this controller, their version, and each setting's default and range.
  */
 void ft_admin_get_settings (FtNode *node, FtHttpRequest *request);
 
@@ -60,8 +66,8 @@
  * ft_admin_put_settings:
  * @request: (transfer full): PUT /admin/settings with {"version": N, "set": {NAME: VALUE}}
  *
- * Commits changed settings as a compare-and-swap on their version, and applies them here; the other
- * controllers read them within FT_SETTINGS_EVERY_S.
+ * Commits the changed settings as a compare-and-swap on their version, and applies them on this controller. The
+ * other controllers read them from the key-value store within FT_SETTINGS_EVERY_S seconds.
  */
 void ft_admin_put_settings (FtNode *node, FtHttpRequest *request);
 
@@ -69,20 +75,21 @@
 
 /**
  * ft_admin_drain:
- * @node: leads, and is recovered
+ * @node: a controller that leads and has recovered
  * @request: (transfer full): POST /admin/machines/NAME/drain
- * @machine: its name
+ * @machine: the machine's name
  *
- * Commits that nothing more is to be started on the machine, then has the scheduler drain it.
+ * Commits the drain of the machine, then makes the scheduler start no more tasks on it. Answers 404 if the
+ * leader does not know the machine.
  */
 void ft_admin_drain (FtNode *node, FtHttpRequest *request, const char *machine);
 
 /**
  * ft_admin_undrain:
- * @node: leads, and is recovered
+ * @node: a controller that leads and has recovered
  * @request: (transfer full): POST /admin/machines/NAME/undrain
- * @machine: its name
+ * @machine: the machine's name
  *
- * Takes a drain back; also for a machine that is not known.
+ * Removes the drain of the machine. The machine need not be known to the leader.
  */
 void ft_admin_undrain (FtNode *node, FtHttpRequest *request, const char *machine);
--- a/src/net/admin_settings.c
+++ b/src/net/admin_settings.c
@@ -1,30 +1,30 @@
-/* The administration API's settings: showing those in force (settings_reader.h), and changing them
- * by a compare-and-swap on their version. */
+/* The settings of the administration API: reading the settings in force (settings_reader.h), and changing them by
+ * a compare-and-swap on their version. */
 #include "net/admin_endpoints.h"
 #include "net/settings_reader.h"
 #include "net/store_client.h"
 #include "wire/store.h"
 
-/* A change that is being committed. */
+/* A change of the settings whose commit is in flight. */
 typedef struct {
   FtNode *node;
   FtHttpRequest *request;
-  FtTuning tuning; /* in force once committed */
+  FtTuning tuning; /* all settings after the change */
 } SettingsChange;
 
 static json_t *
 settings_body (const FtTuning *tuning, guint64 version)
 {
   guint length;
-  const FtTuningInfo *all = ft_tuning_table (&length);
-  FtTuning standard;
-  ft_tuning_defaults (&standard);
+  const FtTuningInfo *table = ft_tuning_table (&length);
+  FtTuning defaults;
+  ft_tuning_defaults (&defaults);
   json_t *list = json_array ();
   for (guint i = 0; i < length; i++) {
-    json_t *item
-        = json_pack ("{s:s, s:o, s:s, s:f, s:f, s:s}", "name", all[i].name, "value", ft_setting_value (tuning, &all[i]),
-                     "unit", all[i].unit, "least", all[i].least, "most", all[i].most, "what", all[i].what);
-    json_object_set_new (item, "default", ft_setting_value (&standard, &all[i]));
+    json_t *item = json_pack ("{s:s, s:o, s:s, s:f, s:f, s:s}", "name", table[i].name, "value",
+                              ft_setting_value (tuning, &table[i]), "unit", table[i].unit, "least", table[i].least,
+                              "most", table[i].most, "what", table[i].what);
+    json_object_set_new (item, "default", ft_setting_value (&defaults, &table[i]));
     json_array_append_new (list, item);
   }
   return json_pack ("{s:I, s:o}", "version", (json_int_t) version, "settings", list);
@@ -38,7 +38,7 @@
   ft_http_respond (request, FT_HTTP_OK, settings_body (tuning, ft_settings_reader_version (settings)));
 }
 
-/* ---- changing ---- */
+/* ---- changing the settings ---- */
 
 static void
 on_committed (FtStoreResult result, const json_t *body, gpointer data)
@@ -58,7 +58,8 @@
   g_free (change);
 }
 
-/* Sets one value, of which null means the default; FALSE if the request was refused. */
+/* Sets one setting in `tuning`. JSON null sets the default. Returns FALSE if the value is invalid; the request
+ * has then been answered with an error. */
 static gboolean
 set_value (FtHttpRequest *request, FtTuning *tuning, const char *name, const json_t *value)
 {
@@ -76,19 +77,20 @@
   return TRUE;
 }
 
-/* Reads {"version": N, "set": {NAME: VALUE}}; FALSE if the request was refused. */
+/* Parses the body {"version": N, "set": {NAME: VALUE}} and applies it to a copy of the settings in force.
+ * Returns FALSE if the body is invalid; the request has then been answered with an error. */
 static gboolean
 read_change (FtNode *node, FtHttpRequest *request, FtTuning *tuning, guint64 *version)
 {
   const json_t *body = ft_http_body (request);
-  const json_t *stated = json_object_get (body, "version"), *set = json_object_get (body, "set");
+  const json_t *requested = json_object_get (body, "version"), *set = json_object_get (body, "set");
   const char *name;
   json_t *value;
-  if (!json_is_integer (stated) || json_integer_value (stated) < 0 || !json_is_object (set)) {
+  if (!json_is_integer (requested) || json_integer_value (requested) < 0 || !json_is_object (set)) {
     ft_admin_refuse (request, FT_HTTP_BAD_REQUEST, "needed: {\"version\": N, \"set\": {NAME: VALUE}}");
     return FALSE;
   }
-  *version = (guint64) json_integer_value (stated);
+  *version = (guint64) json_integer_value (requested);
   *tuning = *ft_settings_reader_tuning (node->settings);
   json_object_foreach ((json_t *) set, name, value)
   {
@@ -98,7 +100,8 @@
   return TRUE;
 }
 
-/* FALSE if the request was refused. */
+/* Checks whether the change may be committed. Returns FALSE if not; the request has then been answered with an
+ * error. */
 static gboolean
 check_change (FtNode *node, FtHttpRequest *request, const FtTuning *tuning, guint64 version)
 {
@@ -107,9 +110,9 @@
     ft_admin_refuse (request, FT_HTTP_CONFLICT, "the settings are at version %" G_GUINT64_FORMAT, version_in_force);
     return FALSE;
   }
-  g_autofree char *why = ft_tuning_check (tuning, &node->config->core);
-  if (why != NULL) {
-    ft_admin_refuse (request, FT_HTTP_UNPROCESSABLE, "%s", why);
+  g_autofree char *error = ft_tuning_check (tuning, &node->config->core);
+  if (error != NULL) {
+    ft_admin_refuse (request, FT_HTTP_UNPROCESSABLE, "%s", error);
     return FALSE;
   }
   if (!ft_store_client_contact (node->store, g_get_monotonic_time ())) {
@@ -119,14 +122,15 @@
   return TRUE;
 }
 
+/* Returns the value of the settings row, which contains every setting. */
 static json_t *
 settings_row (const FtTuning *tuning)
 {
   guint length;
-  const FtTuningInfo *all = ft_tuning_table (&length);
+  const FtTuningInfo *table = ft_tuning_table (&length);
   json_t *row = json_object ();
   for (guint i = 0; i < length; i++)
-    json_object_set_new (row, all[i].name, ft_setting_value (tuning, &all[i]));
+    json_object_set_new (row, table[i].name, ft_setting_value (tuning, &table[i]));
   return row;
 }
 
--- a/src/net/admin_status.c
+++ b/src/net/admin_status.c
@@ -1,4 +1,4 @@
-/* The administration API's reads: a controller's status and metrics, and the leader's lists. */
+/* The read-only requests of the administration API: a controller's status and metrics, and the leader's lists. */
 #include <math.h>
 #include <string.h>
 
@@ -14,7 +14,7 @@
 
 /* ---- status ---- */
 
-/* Seconds to two decimals; null if it never happened. */
+/* Returns the seconds from `at` to `now`, rounded to two decimals; JSON null if `at` is 0 (never). */
 static json_t *
 seconds_ago (gint64 at, gint64 now)
 {
@@ -64,13 +64,14 @@
                                           "gpus_guaranteed", limit->gpus, "gpus_max", limit->gpus_max));
 }
 
-/* A list of jobs that is being filled. */
+/* The list to which add_job() appends, and the scheduler of its jobs. */
 typedef struct {
   const FtScheduler *scheduler;
   json_t *list;
 } JobList;
 
-/* The first FT_ADMIN_REFS_MAX refs as one text, with the number of the others; takes the refs. */
+/* Returns the first FT_ADMIN_REFS_MAX refs as one text, followed by the number of the remaining refs. Takes
+ * ownership of the refs. */
 static char *
 refs_text (GStrv all)
 {
@@ -105,12 +106,12 @@
 
 static void
 add_machine (const char *name, const char *state, const char *type, const char *zone, gboolean spot,
-             guint64 incarnation, guint tasks, const char *unused_why, gpointer data)
+             guint64 incarnation, guint tasks, const char *unused_reason, gpointer data)
 {
   json_array_append_new (data,
                          json_pack ("{s:s, s:s, s:s, s:s, s:s, s:I, s:i, s:s}", "machine", name, "state", state, "type",
                                     type, "zone", zone, "kind", spot ? "spot" : "ordinary", "session",
-                                    (json_int_t) incarnation, "tasks", (int) tasks, "not_used_because", unused_why));
+                                    (json_int_t) incarnation, "tasks", (int) tasks, "not_used_because", unused_reason));
 }
 
 static void
@@ -139,6 +140,7 @@
   ft_scheduler_each_machine (scheduler, add_machine, list);
 }
 
+/* A list of the leader and the function that appends its items to a JSON array. */
 typedef struct {
   const char *name;
   void (*add) (FtScheduler *scheduler, json_t *list);
--- a/src/net/controller.c
+++ b/src/net/controller.c
@@ -21,20 +21,20 @@
 #include "net/store_client.h"
 #include "net/worker_endpoint.h"
 
-/* Connections that are kept to one worker; there are thousands of workers. */
+/* Maximum number of connections to one worker; it is small because there are thousands of workers. */
 #define CONNECTIONS_PER_WORKER 2
-/* Share of all connections that are kept to workers: one in so many. */
+/* Divisor of `max_connections` that gives the maximum number of connections to all workers. */
 #define WORKER_CONNECTIONS_DIVISOR 4
-/* Connections to the cloud; its calls are few. */
+/* Maximum number of connections to the cloud; it is small because cloud calls are rare. */
 #define CLOUD_CONNECTIONS 4
 
 struct _FtController {
-  FtNode node; /* its parts, all owned here but the configuration */
-  guint timer;
-  gint64 last_tick; /* of the timer; monotonic, microseconds, 0: none yet */
+  FtNode node;      /* the modules, all owned by the controller except for the configuration */
+  guint timer;      /* main loop source of on_tick(); 0: none */
+  gint64 last_tick; /* time of the last on_tick(); monotonic, microseconds, 0: none yet */
 };
 
-/* ---- wiring ---- */
+/* ---- callbacks and routes ---- */
 
 static void
 on_catalog_read (FtCatalog *catalog, gpointer data)
@@ -56,7 +56,7 @@
     ft_scheduler_set_tuning (scheduler, tuning);
 }
 
-/* The listener for peers and operators. */
+/* Routes the requests to the listener for peers and operators. */
 static void
 on_peer_request (FtHttpRequest *request, gpointer data)
 {
@@ -72,16 +72,17 @@
 
 /* ---- the timer ---- */
 
+/* Reports a late timer to the leadership module: while the process was not running, it could receive nothing. */
 static void
 check_lateness (FtController *controller, gint64 now)
 {
   const FtNode *node = &controller->node;
-  gint64 late = controller->last_tick > 0 ? now - controller->last_tick - FT_TICK_MS * FT_MILLISECOND : 0;
+  gint64 late_us = controller->last_tick > 0 ? now - controller->last_tick - FT_TICK_MS * FT_MILLISECOND : 0;
   controller->last_tick = now;
-  if (late <= (gint64) (FT_LATE_TICK_S * FT_SECOND))
+  if (late_us <= (gint64) (FT_LATE_TICK_S * FT_SECOND))
     return;
   ft_leadership_stood_still (node->leadership, now);
-  g_warning ("node %s: its timers were late by %.1f s", node->config->member, (double) late / FT_SECOND);
+  g_warning ("node %s: its timers were late by %.1f s", node->config->member, (double) late_us / FT_SECOND);
 }
 
 static gboolean
@@ -99,7 +100,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
 static void
 make_lease (FtNode *node)
@@ -136,11 +137,12 @@
 start_listening (FtNode *node, GError **error)
 {
   const FtConfig *config = node->config;
-  guint most = (guint) (config->max_connections * FT_SOCKET_SHARE) - FT_CONNECTIONS_PER_HOST;
-  node->front = ft_http_server_new (config->listen, FT_BODY_CBOR, most, ft_front_handle, node, error);
+  guint max_connections = (guint) (config->max_connections * FT_SOCKET_SHARE) - FT_CONNECTIONS_PER_HOST;
+  node->front = ft_http_server_new (config->listen, FT_BODY_CBOR, max_connections, ft_front_handle, node, error);
   if (node->front == NULL)
     return FALSE;
-  node->peer_server = ft_http_server_new (config->peer_listen, FT_BODY_JSON, most, on_peer_request, node, error);
+  node->peer_server
+      = ft_http_server_new (config->peer_listen, FT_BODY_JSON, max_connections, on_peer_request, node, error);
   return node->peer_server != NULL;
 }
 
@@ -165,9 +167,10 @@
   return g_steal_pointer (&controller);
 }
 
-/* The parts that answers and requests refer to, once neither can come any more. */
+/* Frees the modules to which requests and answers refer. Must be called after the listeners and the clients
+ * were freed, so that no request or answer can arrive any more. */
 static void
-free_parts (FtNode *node)
+free_modules (FtNode *node)
 {
   ft_leader_free (node->leader);
   ft_heartbeat_queue_free (node->heartbeat_queue);
@@ -181,8 +184,8 @@
   g_rand_free (node->random);
 }
 
-/* The listeners are freed first, so that no request comes any more, then the term and the clients,
- * so that no answer does; what the requests refer to comes last. */
+/* The listeners are freed first, so that no more requests arrive. The leader's term and the clients follow, so
+ * that no more answers arrive. The modules to which requests and answers refer are freed last. */
 void
 ft_controller_free (FtController *controller)
 {
@@ -199,7 +202,7 @@
   ft_polls_free (node->polls);
   ft_http_client_free (node->worker_client);
   ft_http_client_free (node->cloud_client);
-  free_parts (node);
+  free_modules (node);
   g_free (controller);
 }
 
--- a/src/net/controller.h
+++ b/src/net/controller.h
@@ -1,18 +1,23 @@
-/* A controller, one per process: it makes the modules of src/net, connects and owns them, and its
- * timer drives them. The top of src/net; used by main.c. */
+/* The controller: creates, connects and owns the modules of src/net, and runs their periodic work from a timer.
+ * There is one controller per process. It is the top module of src/net; main.c uses it. */
 #pragma once
 #include "net/node.h"
 
+/**
+ * FtController:
+ *
+ * One per process, owned by main().
+ */
 typedef struct _FtController FtController;
 
 /**
  * ft_controller_new:
- * @config: borrowed for the controller's life
- * @error: that of ft_http_server_new(), if an address cannot be listened on
+ * @config: the settings file; borrowed, must outlive the controller
+ * @error: set to an %FT_HTTP_ERROR if the controller cannot listen on one of its addresses
  *
  * Starts a controller in the default main context.
  *
- * Returns: (transfer full): the controller, or NULL with @error set
+ * Returns: (transfer full): the controller; %NULL with @error set on failure
  */
 FtController *ft_controller_new (const FtConfig *config, GError **error);
 
@@ -20,8 +25,8 @@
  * ft_controller_free:
  * @controller: (nullable) (transfer full): the controller
  *
- * Stops it: requests that wait are refused, and the lease is left to expire. The main loop must
- * not run any more.
+ * Stops the controller. Waiting requests are answered with 503, and the lease is not released but expires. The
+ * main loop must not run during or after the call.
  */
 void ft_controller_free (FtController *controller);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtController, ft_controller_free)
@@ -29,6 +34,6 @@
 /**
  * ft_controller_node:
  *
- * Returns: (transfer none): its parts, for tests that observe them
+ * Returns: (transfer none): the controller's modules, for tests that observe them
  */
 const FtNode *ft_controller_node (const FtController *controller);
--- a/src/net/front.c
+++ b/src/net/front.c
@@ -10,9 +10,10 @@
 
 /* ---- readiness ---- */
 
-/* A controller that cannot reach the key-value store is ready all the same while no peer can either:
- * it answers 503 at once, and an outage of the store does not make the balancer take every
- * controller out for longer and longer. */
+/* A controller that has lost contact with the key-value store stays ready while no peer can reach the store
+ * either, provided that it receives a peer's heartbeats and that the store has served it before. It answers
+ * requests with 503 at once. Otherwise an outage of the store would make the load balancer remove every
+ * controller for longer and longer times. */
 gboolean
 ft_node_ready (const FtNode *node, gint64 now)
 {
@@ -36,9 +37,10 @@
 
 /* ---- routes ---- */
 
+/* A path of the front listener and the endpoint that serves it. */
 typedef struct {
   const char *path;
-  gboolean with_subpaths; /* paths below it are routed to the same endpoint */
+  gboolean with_subpaths; /* the route also matches paths that begin with `path` and a slash */
   void (*handle) (FtNode *node, FtHttpRequest *request);
 } Route;
 
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -15,15 +15,15 @@
 static void
 redirect (const FtNode *node, FtHttpRequest *request)
 {
-  const char *holder = ft_peers_leader (node->peers);
-  if (holder == NULL)
-    holder = ft_lease_holder (node->lease);
-  if (g_strcmp0 (holder, node->config->member) == 0)
-    holder = NULL;
+  const char *leader = ft_peers_leader (node->peers);
+  if (leader == NULL)
+    leader = ft_lease_holder (node->lease);
+  if (g_strcmp0 (leader, node->config->member) == 0)
+    leader = NULL;
   ft_metrics_count (node->metrics, FT_COUNT_REDIRECTS);
-  ft_http_close_after_response (
-      request); /* the worker turns to another controller, and would keep its connection here */
-  ft_http_respond (request, FT_HTTP_MISDIRECTED, ft_message_redirect (holder));
+  /* The worker connects to another controller next, and would leave an idle connection open here. */
+  ft_http_close_after_response (request);
+  ft_http_respond (request, FT_HTTP_MISDIRECTED, ft_message_redirect (leader));
 }
 
 static gboolean
@@ -32,7 +32,7 @@
   return ft_leader_scheduler (node->leader) != NULL && ft_lease_may_answer (node->lease, now);
 }
 
-/* Everything is decided by the time now, not that of arrival: the heartbeat may have waited. */
+/* Answers a heartbeat as of the current time instead of its arrival, since it may have waited in the queue. */
 static void
 answer (FtHttpRequest *request, gpointer data)
 {
@@ -86,7 +86,7 @@
   if (strcmp (ft_http_method (request), "POST") != 0)
     ft_http_respond (request, FT_HTTP_METHOD_NOT_ALLOWED, NULL);
   else if (!may_answer (node, now))
-    redirect (node, request); /* without decoding it, which only the leader has to */
+    redirect (node, request); /* only the leader decodes heartbeats */
   else
     ft_heartbeat_queue_take (node->heartbeat_queue, request, ft_http_server_turn (node->front), now);
 }
--- a/src/net/worker_endpoint.h
+++ b/src/net/worker_endpoint.h
@@ -1,7 +1,8 @@
-/* The workers' endpoint: heartbeats, which the leader answers and every other controller redirects.
+/* The workers' endpoint, which serves worker heartbeats. The leader answers them; every other controller
+ * redirects the worker to the leader.
  *
- * Heartbeats are served at once while few come in a turn of the HTTP server; the others wait in the
- * controller's FtHeartbeatQueue. */
+ * While no heartbeat waits, the leader answers up to FT_HEARTBEATS_AT_ONCE heartbeats at once in each turn of
+ * the HTTP server. All other heartbeats wait in the controller's FtHeartbeatQueue. */
 #pragma once
 #include "net/heartbeat_queue.h"
 #include "net/node.h"
@@ -9,14 +10,14 @@
 /**
  * ft_worker_queue_hooks:
  *
- * For the controller's FtHeartbeatQueue; the hooks' data is the FtNode.
+ * The hooks of the controller's FtHeartbeatQueue. Their data argument is the FtNode.
  */
 extern const FtHeartbeatQueueHooks ft_worker_queue_hooks;
 
 /**
  * ft_worker_handle_heartbeat:
- * @request: (transfer full): POST /checkin
+ * @request: (transfer full): a request for /checkin, with any method
  *
- * Answers a heartbeat now, or takes it into the queue.
+ * Answers a worker heartbeat or adds it to the heartbeat queue. Answers a method other than POST with 405.
  */
 void ft_worker_handle_heartbeat (FtNode *node, FtHttpRequest *request);
