--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -9,7 +9,7 @@
   double idle_s = machine->spot ? context->tuning.idle_spot_s : context->tuning.idle_ordinary_s;
   return ft_machine_usable (machine) && ft_machine_idle (machine)
          && context->now - machine->idle_since > ft_seconds (idle_s)
-         && context->now - machine->launched_at > ft_seconds (FT_LEAST_CHARGED_S)
+         && context->now - machine->launched_at > ft_seconds (FT_MINIMUM_CHARGE_S)
          && !machine->requests.command_in_flight;
 }
 
@@ -27,7 +27,7 @@
 void
 ft_scale_in_idle (FtMachineTable *table, const FtCloudPools *pools, gboolean any_jobs)
 {
-  FtCapacitySupply supply = ft_capacity_supply_find (table, pools, NULL);
+  FtCapacitySupply supply = ft_capacity_supply_compute (table, pools, NULL);
   double standby = any_jobs ? FT_STANDBY_MACHINES : 0;
   double spare = supply.free - ft_capacity_headroom (table->context) * supply.in_use - standby;
   if (spare < 1)
--- a/src/core/scheduler_operators.c
+++ b/src/core/scheduler_operators.c
@@ -14,8 +14,8 @@
                              .job_class = job->spec->job_class,
                              .state = ft_job_state_name (job->state),
                              .tasks = job->spec->tasks,
-                             .done = ft_job_finished (job),
-                             .running = ft_job_live (job) - job->counts[FT_TASK_STARTING],
+                             .done = ft_job_finished_tasks (job),
+                             .running = ft_job_bound_tasks (job) - job->counts[FT_TASK_STARTING],
                              .why_waiting = ft_explain_waiting (&scheduler->placement, job) };
     visit (&info, data);
   }
@@ -75,7 +75,7 @@
 }
 
 gboolean
-ft_scheduler_knows (const FtScheduler *scheduler, const char *name)
+ft_scheduler_has_machine (const FtScheduler *scheduler, const char *name)
 {
   return ft_machine_table_find (&scheduler->machine_table, name) != NULL;
 }
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -64,7 +64,7 @@
 quiet (const FtCoreContext *context, const FtZone *zone)
 {
   gint64 since = MAX (zone->last_heard, MAX (context->on_time_since, context->answering_since));
-  return zone->members >= FT_ZONE_MEMBERS
+  return zone->members >= FT_ZONE_MEMBERS_MIN
          && context->now - MAX (since, context->loaded_at) > ft_reachability_overdue_us (context);
 }
 
@@ -95,7 +95,7 @@
 }
 
 guint
-ft_zone_launchable (const FtZone *zone, gint64 now)
+ft_zone_launch_limit (const FtZone *zone, gint64 now)
 {
   if (!zone->unreachable)
     return G_MAXUINT;
@@ -103,7 +103,7 @@
 }
 
 void
-ft_zone_launched (FtZone *zone, gint64 now)
+ft_zone_launch_requested (FtZone *zone, gint64 now)
 {
   if (zone->unreachable)
     zone->probe_at = now + (gint64) (FT_ZONE_PROBE_EVERY_S * FT_SECOND);
--- a/src/net/ancestors.h
+++ b/src/net/ancestors.h
@@ -3,7 +3,7 @@
  *
  * The check reads committed rows and does not rely on a leader to cancel the dependents of a cancelled job.
  * Users therefore see a cancellation in time even while no controller leads. A result may rest on rows that
- * were read up to FT_ANCESTORS_FRESH * cancel_s seconds ago. Used by submissions and polls. */
+ * were read up to FT_ANCESTORS_FRESH_SHARE * cancel_s seconds ago. Used by submissions and polls. */
 #pragma once
 #include "net/node.h"
 
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -107,7 +107,7 @@
 }
 
 /* Keeps a body of up to FT_BODY_MAX bytes, whatever Content-Length says. Closes the connection if the body
- * exceeds FT_BODY_CUT bytes. */
+ * exceeds FT_BODY_ABORT_BYTES bytes. */
 static enum MHD_Result
 append_chunk (FtHttpRequest *request, const char *chunk, size_t *size)
 {
@@ -115,7 +115,7 @@
   if (request->body_size <= FT_BODY_MAX)
     g_byte_array_append (request->raw_body, (const guint8 *) chunk, (guint) *size);
   *size = 0;
-  return request->body_size > FT_BODY_CUT ? MHD_NO : MHD_YES;
+  return request->body_size > FT_BODY_ABORT_BYTES ? MHD_NO : MHD_YES;
 }
 
 static struct MHD_Response *
--- a/src/net/job_status.c
+++ b/src/net/job_status.c
@@ -24,7 +24,7 @@
   const FtJobProgress *reported = ft_peers_job_progress (node->peers, ref);
   FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   if (scheduler != NULL)
-    progress = ft_scheduler_view (scheduler, ref);
+    progress = ft_scheduler_job_progress (scheduler, ref);
   else if (reported != NULL)
     progress = *reported;
   const char *state = progress.running > 0 ? "running" : "queued";
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -57,10 +57,10 @@
     redirect (node, request);
     return;
   }
-  ft_scheduler_allow (scheduler, ft_lease_may_start (node->lease, now));
+  ft_scheduler_set_may_start (scheduler, ft_lease_may_start (node->lease, now));
   g_autoptr (GArray) commands = ft_scheduler_answer (scheduler, heartbeat, now);
   ft_http_respond (request, FT_HTTP_OK, ft_message_answer (ft_lease_token (node->lease), commands));
-  ft_leader_pump (node->leader, g_get_monotonic_time ());
+  ft_leader_run_actions (node->leader, g_get_monotonic_time ());
 }
 
 /* ---- the queue ---- */
@@ -71,7 +71,7 @@
   const FtNode *node = data;
   FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   if (scheduler != NULL)
-    ft_scheduler_late (scheduler, now);
+    ft_scheduler_was_late (scheduler, now);
 }
 
 const FtHeartbeatQueueHooks ft_worker_queue_hooks = {
@@ -88,5 +88,5 @@
   else if (!may_answer (node, now))
     redirect (node, request); /* only the leader decodes heartbeats */
   else
-    ft_heartbeat_queue_take (node->heartbeat_queue, request, ft_http_server_turn (node->front), now);
+    ft_heartbeat_queue_handle (node->heartbeat_queue, request, ft_http_server_turn (node->front), now);
 }
