--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -4,9 +4,9 @@
 #include "core/machine_watch.h"
 #include "core/scheduler_private.h"
 
-/* ---- life ---- */
+/* ---- creation and destruction ---- */
 
-/* Lends the modules that deal with machines what they need of each other. */
+/* Gives the modules that deal with machines pointers to the modules that they use. */
 static void
 init_workers (FtScheduler *scheduler)
 {
@@ -32,12 +32,12 @@
   ft_autoscaler_init (&scheduler->autoscaler);
 }
 
-/* Whoever keeps a pointer to a job that is about to be freed drops it. */
+/* A job is about to be freed: drops the placement's pointers to it. */
 static void
 on_job_removed (FtJob *job, gpointer data)
 {
   FtScheduler *scheduler = data;
-  ft_placement_forget (&scheduler->placement, job);
+  ft_placement_job_removed (&scheduler->placement, job);
 }
 
 FtScheduler *
@@ -68,7 +68,7 @@
 {
   if (scheduler == NULL)
     return;
-  /* Attempts know their jobs: machines go first. */
+  /* Attempts point to their jobs and are owned by the machines, so the machines are freed first. */
   ft_machine_table_clear (&scheduler->machine_table);
   ft_job_table_clear (&scheduler->job_table);
   ft_autoscaler_clear (&scheduler->autoscaler);
@@ -99,9 +99,9 @@
 }
 
 guint
-ft_scheduler_up (const FtScheduler *scheduler)
+ft_scheduler_count_expected_machines (const FtScheduler *scheduler)
 {
-  return ft_machine_table_up (&scheduler->machine_table);
+  return ft_machine_table_should_report_count (&scheduler->machine_table);
 }
 
 /* ---- recovery ---- */
@@ -112,12 +112,12 @@
 {
   FtMachine *known = g_hash_table_lookup (scheduler->machine_table.machines, name);
   if (known != NULL || g_hash_table_contains (scheduler->machine_table.gone, name)) {
-    ft_registry_loaded (&scheduler->registry, row, known);
+    ft_registry_load_entry (&scheduler->registry, row, known);
     return;
   }
   FtMachine *machine = ft_machine_table_add (&scheduler->machine_table, name, addr, type, zone, spot);
-  ft_registry_loaded (&scheduler->registry, row, machine);
-  /* A former leader that lost the store may have answered it until then. */
+  ft_registry_load_entry (&scheduler->registry, row, machine);
+  /* A former leader that lost contact with the store may have answered the machine's heartbeats until then. */
   gint64 answered_until = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
   ft_reachability_registered (&machine->reachability, answered_until, scheduler->context.now);
 }
@@ -133,7 +133,7 @@
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
-    ft_reachability_loaded (&machine->reachability, now);
+    ft_reachability_registry_loaded (&machine->reachability, now);
     if (machine->state == FT_MACHINE_BOOTING && machine->registered)
       ft_machine_set_state (machine, FT_MACHINE_UP, "in the registry");
   }
@@ -163,12 +163,12 @@
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
   while (g_hash_table_iter_next (&it, NULL, &value)) {
     FtMachine *machine = value;
-    ft_machine_watch (machine);
+    ft_machine_check_timeouts (machine);
     if (machine->state == FT_MACHINE_GONE && !ft_machine_has_request_in_flight (machine))
       g_hash_table_iter_remove (&it);
   }
   ft_recovery_tick (&scheduler->recovery);
-  ft_placement_pass (&scheduler->placement); /* pauses end with time alone */
+  ft_placement_pass (&scheduler->placement); /* a retry pause ends without any event */
   if (ft_recovery_is_loaded (&scheduler->recovery))
     ft_autoscaler_tick (&scheduler->autoscaler);
 }
@@ -178,14 +178,14 @@
 {
   scheduler->context.now = now;
   scheduler->context.may_start = may_start;
-  /* Many heartbeats come between two passes; what each has freed is filled by its
-   * answer, without one. */
+  /* Many heartbeats arrive between two passes. The room that a heartbeat frees is filled when it is answered, without
+   * a pass. */
   if (scheduler->context.placement_due && now >= scheduler->placement.next_pass)
     ft_placement_pass (&scheduler->placement);
 }
 
 void
-ft_scheduler_late (FtScheduler *scheduler, gint64 now)
+ft_scheduler_was_late (FtScheduler *scheduler, gint64 now)
 {
   scheduler->context.on_time_since = now;
 }
@@ -197,19 +197,19 @@
 }
 
 void
-ft_scheduler_unanswering (FtScheduler *scheduler, gint64 now)
+ft_scheduler_not_answering (FtScheduler *scheduler, gint64 now)
 {
   scheduler->context.answering_since = now;
 }
 
 gint64
-ft_scheduler_last_heard (const FtScheduler *scheduler)
+ft_scheduler_last_heartbeat_at (const FtScheduler *scheduler)
 {
   return scheduler->context.last_heard;
 }
 
 guint
-ft_scheduler_looked_at (const FtScheduler *scheduler)
+ft_scheduler_examined (const FtScheduler *scheduler)
 {
-  return scheduler->context.looked_at;
+  return scheduler->context.examined_count;
 }
--- a/src/core/worker_commands.c
+++ b/src/core/worker_commands.c
@@ -8,7 +8,7 @@
   const FtMachine *machine = attempt->machine;
   return machine->context->may_start && machine->registered && attempt->bound
          && attempt->index < attempt->job->spec->dispatch_watermark && attempt->state == FT_ATTEMPT_PLACED
-         && !ft_attempt_stop_wanted (attempt) && machine->state != FT_MACHINE_TERMINATING
+         && !ft_attempt_stop_requested (attempt) && machine->state != FT_MACHINE_TERMINATING
          && attempt->job->state == FT_JOB_OPEN;
 }
 
@@ -23,7 +23,7 @@
       || attempt->direct_start == FT_DIRECT_START_UNANSWERED)
     return FALSE;
   return attempt->direct_start == FT_DIRECT_START_NONE
-         || context->now - attempt->exited_at > ft_seconds (FT_COPY_LEASES * context->settings->lease_s);
+         || context->now - attempt->exited_at > ft_seconds (FT_LATE_COPY_LEASES * context->settings->lease_s);
 }
 
 void
@@ -37,10 +37,10 @@
   g_array_append_val (commands, command);
 }
 
-FtDirect *
-ft_worker_command_direct (FtMachine *machine, GArray *commands)
+FtDirectRequest *
+ft_worker_command_request_new (FtMachine *machine, GArray *commands)
 {
-  FtDirect *direct = g_new0 (FtDirect, 1);
+  FtDirectRequest *direct = g_new0 (FtDirectRequest, 1);
   direct->machine = g_strdup (machine->name);
   direct->addr = g_strdup (machine->addr);
   direct->incarnation = machine->incarnation;
@@ -50,7 +50,7 @@
 }
 
 void
-ft_direct_free (FtDirect *direct)
+ft_direct_request_free (FtDirectRequest *direct)
 {
   if (direct == NULL)
     return;
