--- a/src/core/attempt_reports.c
+++ b/src/core/attempt_reports.c
@@ -5,7 +5,7 @@
 
 /* ---- an attempt exits ---- */
 
-/* Records a failure of the task: it pauses for a backoff, and avoids this machine for some time after that. */
+/* Records a failure of the task: it is not placed for a backoff, and for some time after that not on this machine. */
 static void
 task_failed (const FtMachineTable *table, FtAttempt *attempt, FtExitReason reason)
 {
@@ -208,7 +208,7 @@
   if (attempt->direct_start != FT_DIRECT_START_UNANSWERED)
     ft_attempt_end (attempt);
   else if (attempt->bound && attempt->job->state == FT_JOB_OPEN)
-    ft_attempt_clear_stop (attempt); /* its start is repeated: the unanswered one may never be executed */
+    ft_attempt_clear_stop (attempt); /* the start is sent again: the unanswered one may never be executed */
 }
 
 void
--- a/src/core/dependency.c
+++ b/src/core/dependency.c
@@ -6,12 +6,12 @@
   gboolean is_open;        /* the job is open; otherwise only its dependents name it, and its state row is to be read */
   gboolean cancelled;      /* a direct or indirect dependency of the job is cancelled */
   gboolean queued_unread;  /* the job's ref is in `unread` */
-  gint64 next_read_at;     /* earliest time of the next read of its state row, in microseconds */
-  gint64 met_at;           /* when the last of its dependencies was done, in microseconds; 0: no such time is known */
+  gint64 next_read_at;     /* earliest time of the next read of the job's state row, in microseconds */
+  gint64 met_at;           /* when the job's last dependency was done, in microseconds; 0: no such time is known */
   FtUrgency own_urgency;   /* the job's own urgency, as submitted */
   FtUrgency urgency;       /* the job's own urgency, raised to that of its dependents */
-  GPtrArray *dependencies; /* Node, of the jobs that it waits for; borrowed from `nodes` */
-  GPtrArray *dependents;   /* Node, of the jobs that wait for it; borrowed from `nodes` */
+  GPtrArray *dependencies; /* the jobs that this job waits for: Node, borrowed from `nodes` */
+  GPtrArray *dependents;   /* the jobs that wait for this job: Node, borrowed from `nodes` */
 } Node;
 
 struct _FtDependencyGraph {
@@ -250,7 +250,7 @@
   while ((ref = g_queue_peek_head (&graph->unread)) != NULL) {
     Node *node = find (graph, ref);
     if (node != NULL && !node->is_open && node->next_read_at > now)
-      return NULL; /* the reads of the refs behind it are due later */
+      return NULL; /* `unread` is ordered by time: no other read is due earlier */
     g_queue_pop_head (&graph->unread);
     if (node != NULL && !node->is_open) {
       node->next_read_at = now + retry_us;
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -49,7 +49,7 @@
   if (succeeds_elsewhere (job, machine))
     return TRUE;
   if (job->n_failed_on >= FT_FAULTY_JOB_MACHINES)
-    return FALSE; /* the job fails everywhere: the mistake is probably its own */
+    return FALSE; /* the job fails on every machine: the mistake is probably in the job */
   return machine->fitness.last_failed != job->revision;
 }
 
--- a/src/core/fault.h
+++ b/src/core/fault.h
@@ -1,9 +1,9 @@
 /* Detects faulty machines by the tasks that fail on them.
  *
  * A single failure proves nothing, since a job that was submitted with a mistake fails on every machine. A failure
- * counts against the machine in two cases: tasks of the same job succeed on other machines, or the job is not known to
- * fail everywhere and was not also the last to fail on this machine. A machine is faulty after FT_QUARANTINE_FAULTS
- * such failures in a row.
+ * counts against the machine in two cases: tasks of the same job succeed on other machines; or the job is not known to
+ * fail on every machine, and the last failure on this machine was not a failure of the same job. A machine is faulty
+ * after FT_QUARANTINE_FAULTS such failures in a row.
  *
  * The attempt reports call this module when attempts exit. It quarantines faulty machines; the eviction
  * (machine_eviction.h) terminates them once they are idle. */
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -133,7 +133,8 @@
 void
 ft_job_set_end_write (FtJob *job, FtJobEndWrite to)
 {
-  /* A conflict is recorded only after its batch has failed, when no write of the job is in flight. */
+  /* A conflict is recorded only after the batch with the write of the end has failed, so that no write of the job is in
+   * flight then. */
   g_return_if_fail (job->end_write == to || job->end_write == FT_JOB_END_WRITE_IDLE || to == FT_JOB_END_WRITE_IDLE);
   job->end_write = to;
 }
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -46,13 +46,14 @@
   GHashTable *stored_chunks;    /* set of the indexes of the chunks that are in the store */
   GHashTable *dirty_chunks;     /* set of the indexes of the chunks with finished tasks that are not committed */
   gint64 next_chunk_write_at;   /* earliest time of the next write of a chunk, in microseconds */
-  guint wanted_watermark;       /* dispatch watermark that the placed tasks need; compare spec->dispatch_watermark */
+  guint wanted_watermark;       /* dispatch watermark that the job's placed tasks need; it is written if it is
+                                   higher than the committed one, spec->dispatch_watermark */
   gboolean watermark_in_flight; /* a raised watermark is in the batch that is in flight; independent of `end_write`,
                                    since both writes may be in one batch */
   FtJobEndWrite end_write;      /* changed by ft_job_set_end_write() only */
 
   gint64 accepted_at;            /* when the job was accepted, in microseconds */
-  gint64 ready_at;               /* from when the job could be placed: accepted, and all its dependencies done */
+  gint64 ready_at;               /* when the job was accepted and all its dependencies were done, in microseconds */
   gint64 deadline_at;            /* the earliest deadline of the job and its dependents, in microseconds; 0: none */
   FtPriority priority;           /* the highest priority of the job and its dependents */
   gboolean dependency_cancelled; /* a dependency is cancelled, so that this job is to be cancelled too */
@@ -61,7 +62,7 @@
                                     reported does not set this */
 
   gboolean guaranteed; /* the job fits in its team's guaranteed share */
-  gboolean too_late;   /* the job can no longer meet its deadline, and ranks behind others for a bounded time */
+  gboolean too_late;   /* the job can no longer meet its deadline: it is served after the others for a bounded time */
   gboolean begun;      /* a task of the job has been placed, or was found on a machine or done */
   gboolean starved;    /* the job has waited longer than FT_STARVED_AFTER_S to begin */
   const FtMachine *failed_on[FT_FAULTY_JOB_MACHINES]; /* the first machines on which a task of the job failed; the
@@ -72,8 +73,8 @@
   gint64 no_room_pass;       /* number of the last placement pass in which no machine had room for the job */
 };
 
-/* Makes a job with all tasks in the state `initial`. It takes ownership of the spec and borrows `team`, which may be
- * NULL. The job waits if its spec names dependencies, and is open otherwise. */
+/* Creates a job with all tasks in the state `initial`. The job takes ownership of the spec and borrows `team`, which
+ * may be NULL. The job is in FT_JOB_WAITING if its spec names dependencies, otherwise in FT_JOB_OPEN. */
 FtJob *ft_job_new (FtJobSpec *spec, FtTeam *team, guint64 revision, FtTaskState initial);
 /* Frees the job with its spec; NULL is ignored. Its attempts must have been detached before. */
 void ft_job_free (FtJob *job);
@@ -97,10 +98,11 @@
 
 /* ---- writes to the store ---- */
 
-/* Queues the job, which may have a change to write. May be repeated at little cost. */
+/* Adds the job to `pending_writes`, since it may have a change to write. Does nothing if the job is in that queue
+ * already. */
 void ft_job_queue_write (FtJob *job);
 
-/* Changes `end_write`; no other function does. The state that the job already has is ignored. */
+/* Changes `end_write`; no other function does. A call with the present value of `end_write` changes nothing. */
 void ft_job_set_end_write (FtJob *job, FtJobEndWrite to);
 
 /* Returns the number of chunks in the done-set. */
--- a/src/core/job_table.c
+++ b/src/core/job_table.c
@@ -84,7 +84,8 @@
 void
 ft_job_table_end_read (FtJobTable *table, const char *ref, FtJobEnd end, gint64 at)
 {
-  /* The end of an open job is recorded when its write is committed or its cancellation is read. */
+  /* The end of an open job is recorded elsewhere: when the write of the end is committed, or when the row of its
+   * cancellation is read. */
   if (g_hash_table_contains (table->jobs, ref))
     return;
   ft_recent_map_add (table->ended_jobs, ref, end);
@@ -121,8 +122,9 @@
 {
   FtJob *job = ft_job_new (spec, ft_quota_team (table->quota, spec->team), revision, initial);
   job->pending_writes = &table->pending_writes;
-  /* A leader starts a task only below a dispatch watermark that it has committed, and the fence keeps former leaders
-   * from raising one. So tasks from the watermark on were never sent and cannot run on any machine. */
+  /* A leader starts a task only if its index is below a dispatch watermark that the leader has committed. Former
+   * leaders can raise no watermark any more, since each write is conditional on the leader's fence row. So tasks from
+   * the watermark on were never sent and cannot run on any machine. */
   for (guint i = spec->dispatch_watermark; initial == FT_TASK_UNKNOWN && i < spec->tasks; i++)
     ft_task_set_state (job, i, FT_TASK_QUEUED);
   job->accepted_at = job->ready_at = table->context->now - age_us;
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -8,7 +8,7 @@
   guint64 incarnation;    /* random number of this process */
   gint64 lease_us;        /* lease time that the next claim or renewal writes */
   gint64 sweep_us;        /* time between two reads of the rows by a follower */
-  gint64 answer_grace_us; /* longest time after the last contact during which heartbeats may be answered */
+  gint64 answer_grace_us; /* longest time since contact with the store in which heartbeats may be answered */
   gint64 sent_lease_us;   /* lease time that the last claim or renewal wrote */
   double jitter;          /* share by which the time between two sweeps varies at random */
   double renew_fraction;  /* number of renewals within one lease time */
@@ -16,11 +16,11 @@
   FtLeaseState state; /* changed by set_state() only */
 
   FtLeaseRows last_rows;  /* the rows as last read */
-  gint64 unrenewed_since; /* since when the holder counts as not renewing: since the present rows were first read, or
-                             since a sweep last failed */
+  gint64 unrenewed_since; /* start of the time in which the holder should have renewed the lease: when the present rows
+                             were first read or when a sweep last failed, whichever is later */
   gboolean rows_known;    /* the rows were read after the last claim that failed and the last loss of the lease */
   gint64 next_sweep;      /* when the rows are to be read next */
-  gint64 no_claim_before; /* no claim before this time, since this controller has released the lease */
+  gint64 no_claim_before; /* this controller makes no claim before this time, since it has released the lease */
   gint64 fence_since;     /* when the present fence row was first read */
   FtLeaseSuspicion suspicion; /* suspicion that the present holder is gone */
 
@@ -165,7 +165,8 @@
   if (same_fence && rows->renewal_revision == lease->last_rows.renewal_revision) {
     ft_lease_suspicion_rows_unchanged (&lease->suspicion);
   } else {
-    ft_lease_suspicion_clear (&lease->suspicion); /* the holder has renewed, or another controller leads */
+    /* The holder has renewed the lease, or another controller has acquired it. */
+    ft_lease_suspicion_clear (&lease->suspicion);
     copy_rows (lease, now, rows);
   }
   schedule_sweep (lease, now);
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -15,7 +15,7 @@
 #include <glib.h>
 
 typedef enum {
-  FT_LEASE_FOLLOWING, /* this controller does not hold the lease; another may */
+  FT_LEASE_FOLLOWING, /* this controller does not hold the lease; another controller may hold it */
   FT_LEASE_ACQUIRING, /* this controller's claim is in flight or got no answer */
   FT_LEASE_HOLDING,   /* this controller holds the lease and may start tasks until it expires */
   FT_LEASE_EXPIRED,   /* the lease was not renewed in time: no task is started; heartbeats are answered until the answer
@@ -66,8 +66,8 @@
 /* Returns whether a follower should read the rows now. */
 gboolean ft_lease_sweep_due (const FtLease *lease, gint64 now);
 
-/* Records the rows, which it copies; their answer arrived at `now`. A holder loses the lease if the rows show that
- * another controller has acquired it. */
+/* Records the result of a sweep: the contents of the rows, which are copied. The answer with the rows arrived at `now`.
+ * A holder loses the lease if the rows show that another controller has acquired it. */
 void ft_lease_observe (FtLease *lease, gint64 now, const FtLeaseRows *rows);
 
 /* Records that a sweep failed. Time during which the rows cannot be read does not count against the holder. */
@@ -111,8 +111,8 @@
 void ft_lease_renew_failed (FtLease *lease, gint64 now);
 /* Ends the leadership, since the fence row has changed or a higher fencing token was seen. */
 void ft_lease_lost (FtLease *lease, gint64 now);
-/* Ends the leadership, since the holder has released the lease in the renewal row. It does not claim the lease again
- * for FT_ABSTAIN_S. */
+/* Ends the leadership, since this controller has released the lease in the renewal row. It does not claim the lease
+ * again for FT_ABSTAIN_S. */
 void ft_lease_released (FtLease *lease, gint64 now);
 /* Moves a holder whose lease time is over from HOLDING to EXPIRED. */
 void ft_lease_tick (FtLease *lease, gint64 now);
@@ -122,8 +122,9 @@
 
 /* ---- what the holder may do ---- */
 
-/* Records that the holder knows every cancellation committed before `at`, the time at which the request was sent whose
- * answer completed that knowledge. After an acquisition nothing is known until the rows have been read. */
+/* Records that the holder knows every cancellation committed before `at`: the time at which the last answered request
+ * for cancellations was sent. After an acquisition, no cancellation counts as known until the rows of the cancellations
+ * have been read. */
 void ft_lease_cancellations_known (FtLease *lease, gint64 at);
 
 /* Returns whether tasks may be started: the lease is valid, and the cancellations were read recently. */
--- a/src/core/recovery.h
+++ b/src/core/recovery.h
@@ -49,8 +49,8 @@
 /* Subtracts the machine, which is reconciled now, from the totals. */
 void ft_recovery_machine_reconciled (FtRecovery *recovery, FtMachine *machine);
 
-/* Ends the recovery if every machine is reconciled: tasks that no machine has shown are queued again. Cheap; to be
- * called after each event that may have reconciled a machine. */
+/* Ends the recovery if every machine is reconciled: tasks that no machine has shown are queued again. To be called
+ * after each event that may have reconciled a machine; a call costs little. */
 void ft_recovery_tick (FtRecovery *recovery);
 
 /* Sets `cpus` and `gpus` to the total capacity of the machines that are not reconciled; to FT_CAPACITY_UNKNOWN while
--- a/src/core/registry.c
+++ b/src/core/registry.c
@@ -40,7 +40,7 @@
   switch (from) {
   case FT_REGISTRY_ROW_IDLE:
     return to == FT_REGISTRY_ROW_QUEUED;
-  case FT_REGISTRY_ROW_QUEUED: /* becomes idle if a split has moved its machines to other rows */
+  case FT_REGISTRY_ROW_QUEUED: /* a queued row becomes idle if a split has moved its machines to other rows */
     return to == FT_REGISTRY_ROW_WRITING || to == FT_REGISTRY_ROW_IDLE;
   case FT_REGISTRY_ROW_WRITING:
     return to == FT_REGISTRY_ROW_WRITING_QUEUED || to == FT_REGISTRY_ROW_IDLE;
--- a/src/core/registry.h
+++ b/src/core/registry.h
@@ -39,8 +39,8 @@
   GQueue pending_rows;           /* FtRegistryRow to write, borrowed from `rows` */
   FtRegistryRow *open_row;       /* the row to which new machines are added; NULL: none yet */
   guint64 next_row;              /* number of the next row that this leader creates */
-  guint value_divisor;    /* the value limit of the settings is divided by this; it doubles when the store refuses
-                             a batch as invalid */
+  guint value_divisor;    /* divisor by which the settings' limit on the size of a value is lowered; it doubles when
+                             the store refuses a batch as invalid */
   GQueue drain_deletions; /* names, owned, of drained machines that are gone and whose drain rows are to be deleted */
 } FtRegistry;
 
@@ -62,7 +62,7 @@
 /* Halves the largest size of a row, down to FT_VALUE_KB_MIN, since the store has refused a batch as invalid. */
 void ft_registry_lower_value_limit (FtRegistry *registry);
 
-/* Adds the writes (FtWrite) of at most `max_rows` rows that are due to `writes`. */
+/* Appends to `writes` the writes (FtWrite) that are due, for at most `max_rows` rows. */
 void ft_registry_collect_writes (FtRegistry *registry, GPtrArray *writes, guint max_rows);
 
 /* Records the result of a row's write. `applied` is TRUE if it is committed; otherwise the row is queued again. */
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -4,8 +4,8 @@
 #define ON_MACHINE                                                                                                     \
   (BIT (FT_TASK_STARTING) | BIT (FT_TASK_FETCHING) | BIT (FT_TASK_RUNNING) | BIT (FT_TASK_CHECKPOINTING))
 
-/* For each state, the states from which a task may change to it. The states on a machine can be skipped: a task may
- * pass through several of them between two heartbeats. */
+/* For each state, the states from which a task may change to it. A task can skip the states of ON_MACHINE: it may pass
+ * through several of them between two heartbeats. */
 static const guint allowed_from[] = {
   [FT_TASK_UNKNOWN] = 0,
   [FT_TASK_QUEUED] = BIT (FT_TASK_UNKNOWN) | ON_MACHINE,
--- a/src/core/write_queue_outcome.c
+++ b/src/core/write_queue_outcome.c
@@ -1,4 +1,5 @@
-/* The result of a batch of the write queue: what follows when it is committed, or refused, or in conflict. */
+/* Applies the result of a batch of the write queue: the batch is committed, or refused, or in conflict with the state
+ * row of a job. */
 #include "core/attempt_lifecycle.h"
 #include "core/write_queue.h"
 
