--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -37,7 +37,8 @@
 /* Seconds after which a leader starts no more tasks, counted from the time up to which it knows all cancellations.
  * A watch request whose answer is lost takes 4 of these seconds. */
 #define FT_CANCELLATIONS_FRESH_S 6.0
-/* Seconds by which the answer grace period is shortened, because timers may fire late. */
+/* Seconds by which the answer grace period is shortened, because timers may fire late. It is the longest time for
+ * which a leader that cannot reach the key-value store may continue to answer heartbeats. */
 #define FT_ANSWER_GRACE_MARGIN_S 2.0
 
 /* Seconds without any worker heartbeat, beyond the longest regular gap, after which a leader considers itself cut
@@ -117,8 +118,9 @@
 /* Seconds for which a machine must count as not receiving before it may be terminated: until then it is probed,
  * because the fault may be short. */
 #define FT_NOT_RECEIVING_SCALE_IN_S 10.0
-/* Worker leases after the exit of an attempt during which its worker must remember it, if a direct command carried
- * its start: a copy of the command may arrive late, and a worker that remembers the attempt ignores the copy. */
+/* Time, in worker leases, for which a worker must remember an attempt after the exit of the attempt, if a direct
+ * command carried its start: a copy of the command may arrive late, and a worker that remembers the attempt ignores
+ * the copy. */
 #define FT_LATE_COPY_LEASES 2.0
 /* Seconds between two ticks above which this controller counts as late itself: heartbeats missing in that time
  * count against no machine. */
@@ -131,8 +133,8 @@
 #define FT_SILENT_PROBES_FAILOVER 2
 /* Share of the machines that may be terminated for silence within one window of FT_SILENT_SCALE_IN_WINDOW_S. */
 #define FT_SILENT_SCALE_IN_SHARE 0.2
-/* Worker leases without a heartbeat after which a machine may be terminated for silence while more machines are
- * lost than report: in that case the leader itself may be cut off. */
+/* Time without a heartbeat, in worker leases, after which a machine may be terminated for silence while more
+ * machines are lost than report: in that case the leader itself may be cut off. */
 #define FT_SILENT_MAJORITY_LEASES 2
 /* Machines that may be terminated for silence within one window, however small the fleet is. */
 #define FT_SILENT_SCALE_IN_MIN 2
@@ -181,7 +183,8 @@
 /* Default number of machines with room that are compared for a task before the best is taken: limits the cost of a
  * placement. */
 #define FT_SAMPLE_SIZE 64
-/* Highest count of a task's failures: the retry pause reaches its maximum long before. */
+/* Largest number of failures that is counted for a task: the retry pause reaches FT_RETRY_LONGEST_S after fewer
+ * failures. */
 #define FT_TASK_FAILURES_MAX 16
 /* Seconds from the first failure of a task until the task may be placed again. The pause doubles with each failure. */
 #define FT_RETRY_FIRST_S 1.0
@@ -193,8 +196,8 @@
 #define FT_PREEMPT_AFTER_S 0.5
 /* Share of its estimated run time that a task without checkpoints may have run and still be preempted. */
 #define FT_PREEMPT_RAN_SHARE 0.25
-/* Multiple of its estimated run time that must be left until its deadline for a task to be preempted, so that the
- * task can still be in time when it starts again. */
+/* A task with a deadline ahead is preempted only if the time left until the deadline is more than this multiple of
+ * the estimated run time of the task, so that the task can still be in time when it starts again. */
 #define FT_PREEMPT_SLACK 1.3
 /* Share of cancel_s, since a cancellation, after which an unreachable machine that may hold a cancelled task is
  * terminated regardless of the limits for silence: the cloud needs the rest of the time. */
@@ -230,8 +233,8 @@
 /* A job that is too late for its deadline is served after the jobs that can still be in time, until it is overdue
  * by this many times the time from its acceptance to its deadline. */
 #define FT_TOO_LATE_DEFERRAL 3.0
-/* Shortest time in seconds between two placement passes on request. A machine on which a heartbeat frees room is
- * filled without a pass. */
+/* Shortest time in seconds from a placement pass to a pass that an event requests before the next tick. A machine
+ * on which a heartbeat frees room is filled without a pass. */
 #define FT_PASS_EVERY_S 0.1
 /* Jobs that are examined to fill one machine: limits the cost of a heartbeat. */
 #define FT_FILL_JOBS_MAX 32
@@ -306,10 +309,12 @@
 #define FT_SCALE_IN_MAX 100
 
 /* Capacity, in CPUs or GPUs, that is assumed for a machine whose type is not in the catalog. It is above every
- * team's limit, so that the unknown tasks that the machine may run count in full. */
+ * team's limit, so that all tasks in FT_TASK_UNKNOWN, which the machine may run, count against the limit of their
+ * team. */
 #define FT_CAPACITY_UNKNOWN 1e9
 
-/* Tasks by which a job's dispatch watermark is raised at least, once some of its tasks have been sent. */
+/* Lowest number of tasks by which a job's dispatch watermark is raised, once some of its tasks have been sent. The
+ * watermark is stored in the job's row: only tasks with an index below it are sent to machines. */
 #define FT_WATERMARK_STEP 16
 
 /* ---- limits of the key-value store ---- */
@@ -332,7 +337,7 @@
  * key-value store. */
 #define FT_DEPENDENCY_READS_MAX 8
 /* Share of cancel_s for which a controller may report a job as open without reading again whether one of the job's
- * ancestors was cancelled. */
+ * ancestors (its direct and indirect dependencies) was cancelled. */
 #define FT_ANCESTORS_FRESH_SHARE 0.5
 /* Jobs that one check of a job's ancestors reads at once: limits its share of the requests to the key-value store. */
 #define FT_ANCESTORS_READS_MAX 16
@@ -349,7 +354,8 @@
 #define FT_REGISTRY_DELETE_AFTER_S 1.0
 
 /* ---- jobs ---- */
-/* Shortest time in seconds between two writes of a job's done-set. */
+/* Shortest time in seconds between two writes of a job's done-set, the stored record of which of its tasks are
+ * done. */
 #define FT_CHUNK_EVERY_S 3.0
 /* Share of the key-value store's change rate that done-sets may use: the more jobs are running, the less often each
  * done-set is written. */
@@ -359,7 +365,7 @@
 #define FT_CHUNKS_WITHOUT_SPARE 1
 /* Share of the changes of one second that must be unused for the key-value store to have spare changes. */
 #define FT_SPARE_WRITES_SHARE 0.6
-/* Tasks of one job (protocol). */
+/* Largest number of tasks of one job (protocol). */
 #define FT_JOB_TASKS_MAX 100000
 /* Tasks of open jobs above which new submissions are refused for the time being: limits the memory of the leader. */
 #define FT_OPEN_TASKS_MAX 1000000
@@ -396,14 +402,15 @@
 /* Share of the change limit of the key-value store that each follower may use. The shares of all controllers
  * together may exceed the limit: a refused change is sent again, at a lower rate. */
 #define FT_FOLLOWER_WRITE_SHARE 0.17
-/* Share of its full rate that a budget regains in one second after a refusal has lowered its rate. */
+/* Share of its full rate that a budget regains in one second, after a refused request has lowered its rate. A
+ * budget limits how much of a service's rate limit this controller uses. */
 #define FT_BUDGET_RECOVERY 0.1
 /* Lowest share of its full rate to which refusals reduce the rate of a budget. */
 #define FT_BUDGET_MIN 0.05
 /* Times that the client of the key-value store sends a request again after refusals for its rate, before it reports
  * the refusal to the caller. */
 #define FT_STORE_RESENDS 3
-/* Milliseconds until a used-up budget is checked again. */
+/* Milliseconds until a budget that leaves no room for another request is checked again. */
 #define FT_BUDGET_WAIT_MS 20
 /* Requests waiting for the key-value store above which new user requests are answered with 503. */
 #define FT_STORE_QUEUE_MAX 64
@@ -439,9 +446,10 @@
 #define FT_RETRY_AFTER_S 1
 /* Attempts at a cancellation that conflicts with other changes. */
 #define FT_CANCEL_TRIES 3
-/* Open jobs whose revision is kept for polls. */
+/* Open jobs whose revision is kept in memory. A user's poll for the state of a job is answered after this revision
+ * has been compared with the one in the key-value store. */
 #define FT_JOB_CACHE_OPEN_MAX 16384
-/* Polls that may wait at once. */
+/* Polls of users that may wait at once for the comparison of revisions in the key-value store. */
 #define FT_POLLS_MAX 4096
 /* Ended jobs whose final state is kept in memory. */
 #define FT_JOB_CACHE_ENDED_MAX 4096
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -58,7 +58,7 @@
       g_ptr_array_add (placement->waiting, g_ptr_array_index (placement->order, i));
 }
 
-/* Returns the lowest index of a queued task whose pause is over; the number of tasks if there is none. */
+/* Returns the lowest index of a queued task whose `not_before` has passed; the number of tasks if there is none. */
 static guint
 next_queued_task (FtJob *job, gint64 now)
 {
@@ -71,7 +71,8 @@
   return i;
 }
 
-/* The token is in the upper bits, so attempt numbers also increase from one leader to the next. */
+/* Returns a new attempt number. The leader's fencing token is in the upper bits, so attempt numbers also increase from
+ * one leader to the next. */
 static guint64
 next_attempt (FtPlacement *placement)
 {
--- a/src/core/placement.h
+++ b/src/core/placement.h
@@ -29,7 +29,7 @@
   gint64 pass;          /* number of the present pass */
   GPtrArray *order;     /* FtJob: the open jobs in the order in which the last pass served them */
   GPtrArray *waiting;   /* FtJob: the jobs in `order` that had tasks to place when the last pass began */
-  gint64 next_pass;     /* earliest time of the next pass on request, in microseconds */
+  gint64 next_pass;     /* earliest time of the next pass that an event requests before a tick, in microseconds */
   gint64 next_preempt;  /* earliest time of the next pass that may preempt tasks, in microseconds */
   guint64 next_attempt; /* lower bits of the next attempt number */
 } FtPlacement;
--- a/src/core/placement_search.c
+++ b/src/core/placement_search.c
@@ -39,7 +39,7 @@
   zones->zone_count = g_hash_table_new (g_str_hash, g_str_equal);
   zones->zone = NULL;
   if (!job->spec->one_zone && !job->spec->spread)
-    return; /* the zones are not needed, and a job may have very many tasks */
+    return; /* the zones are not needed, and finding them is expensive for a job with very many tasks */
   for (guint i = 0; i < job->spec->tasks; i++) {
     const FtAttempt *attempt = job->tasks[i].attempt;
     if (attempt == NULL || !attempt->reserved)
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -117,7 +117,8 @@
   }
   FtMachine *machine = ft_machine_table_add (&scheduler->machine_table, name, addr, type, zone, spot);
   ft_registry_load_entry (&scheduler->registry, row, machine);
-  /* A former leader that lost contact with the store may have answered the machine's heartbeats until then. */
+  /* A former leader that has lost contact with the store may continue to answer the machine's heartbeats until its
+   * answer grace period is over. */
   gint64 answered_until = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
   ft_reachability_registered (&machine->reachability, answered_until, scheduler->context.now);
 }
@@ -168,7 +169,8 @@
       g_hash_table_iter_remove (&it);
   }
   ft_recovery_tick (&scheduler->recovery);
-  ft_placement_pass (&scheduler->placement); /* a retry pause ends without any event */
+  /* A pass runs on every tick, since no event tells that the retry pause of a task has ended. */
+  ft_placement_pass (&scheduler->placement);
   if (ft_recovery_is_loaded (&scheduler->recovery))
     ft_autoscaler_tick (&scheduler->autoscaler);
 }
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -29,7 +29,7 @@
 void ft_scheduler_set_tuning (FtScheduler *scheduler, const FtTuning *tuning);
 
 /* ---- recovery: the rows of the store, then ft_scheduler_loaded() ---- */
-/* Adds an open job from its row, read at `revision`. Takes the spec. */
+/* Adds an open job from its row, which was read at `revision`. Takes ownership of the spec. */
 void ft_scheduler_load_job (FtScheduler *scheduler, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms);
 /* Adds a chunk of a job's done-set; to be called after ft_scheduler_load_job() for the job. */
 void ft_scheduler_load_done (FtScheduler *scheduler, const char *ref, guint chunk, const char *bits);
@@ -42,7 +42,7 @@
 gboolean ft_scheduler_is_loaded (const FtScheduler *scheduler);
 
 /* ---- jobs ---- */
-/* Adds a job that was accepted after the failover. Takes the spec. */
+/* Adds a job that was accepted after the failover. Takes ownership of the spec. */
 void ft_scheduler_job_added (FtScheduler *scheduler, FtJobSpec *spec, guint64 revision, gint64 now, gint64 wall_ms);
 /* The row of the job's cancellation was read. `age_us`: time since the cancellation was committed, in microseconds. */
 void ft_scheduler_job_cancelled (FtScheduler *scheduler, const char *ref, gint64 age_us, gint64 now);
@@ -61,7 +61,7 @@
   gboolean cancelled;
   guint done, running; /* number of tasks */
 } FtJobProgress;
-/* Returns the progress of the job. */
+/* Returns the progress of the job `ref`. */
 FtJobProgress ft_scheduler_job_progress (const FtScheduler *scheduler, const char *ref);
 
 /* ---- workers ---- */
@@ -128,7 +128,8 @@
 void ft_scheduler_was_late (FtScheduler *scheduler, gint64 now);
 /* Returns the time of the last heartbeat that showed the token of this leadership; 0: there was none. */
 gint64 ft_scheduler_last_heartbeat_at (const FtScheduler *scheduler);
-/* Returns the number of machines, jobs and attempts that the core has examined so far. Tests limit the work by it. */
+/* Returns the number of machines, jobs and attempts that the core has examined so far. Tests use it to bound the work
+ * that an event causes. */
 guint ft_scheduler_examined (const FtScheduler *scheduler);
 /* Returns the number of tasks of all open jobs. */
 guint ft_scheduler_open_tasks (const FtScheduler *scheduler);
--- a/src/core/scheduler_workers.c
+++ b/src/core/scheduler_workers.c
@@ -1,5 +1,5 @@
 /* The scheduler's events from workers and from the cloud, and its requests to them. Each function passes the event to
- * the modules that it concerns; their order matters. */
+ * the modules that it concerns; the order in which it calls them matters. */
 #include "core/direct_commands.h"
 #include "core/heartbeat_answer.h"
 #include "core/scheduler_private.h"
--- a/src/core/team.h
+++ b/src/core/team.h
@@ -11,5 +11,5 @@
 struct _FtTeam {
   const FtTeamLimit *limit;          /* borrowed from the settings */
   double cpus, gpus;                 /* taken by attempts on machines */
-  double unknown_cpus, unknown_gpus; /* of tasks that may be on machines that have not reported since the failover */
+  double unknown_cpus, unknown_gpus; /* for tasks that may be on machines that have not reported since the failover */
 };
