--- a/src/core/autoscaler.h
+++ b/src/core/autoscaler.h
@@ -38,7 +38,8 @@
 /* Returns the next call to the cloud that is due; new. NULL: none is due. */
 FtCloudCall *ft_autoscaler_next_call (FtAutoscaler *autoscaler);
 
-/* Applies the result of a call. The caller marks the machines whose return the cloud has confirmed as gone. */
+/* Applies the result of a call. If the cloud has confirmed that it took machines back, the caller marks these machines
+ * as gone. */
 void ft_autoscaler_call_done (FtAutoscaler *autoscaler, const FtCloudCall *call, FtCloudResult result);
 
 /* Applies the cloud's list of machines, an array of FtListedMachine. */
--- a/src/core/capacity_supply.c
+++ b/src/core/capacity_supply.c
@@ -1,6 +1,6 @@
 #include "core/capacity_supply.h"
 
-/* Returns the free share of the machine's scarcer resource, CPUs or memory. */
+/* Returns the smaller of the machine's free shares of CPUs and memory. */
 static double
 free_share (const FtMachine *machine)
 {
--- a/src/core/capacity_supply.h
+++ b/src/core/capacity_supply.h
@@ -5,8 +5,8 @@
 #include "core/capacity_demand.h"
 #include "core/cloud_pool.h"
 
-/* Amounts in machines. A machine that is partly in use adds the free share of its scarcest resource to `free`, and the
- * rest to `in_use`. */
+/* The amounts are numbers of machines and may be fractional. A machine that is partly in use adds the smaller of its
+ * free shares of CPUs and memory to `free`, and the rest to `in_use`. */
 typedef struct {
   double free, in_use;
   double booting; /* machines that have been launched or requested and are expected to come up */
--- a/src/core/cloud_inventory.c
+++ b/src/core/cloud_inventory.c
@@ -9,7 +9,7 @@
     return;
   FtMachine *machine = ft_machine_table_add (table, entry->name, entry->addr, entry->type, entry->zone, entry->spot);
   machine->launched_at = table->context->now - ft_seconds (entry->age_s);
-  ft_machine_set_reconciled (machine); /* not in the registry, so it has never been sent a command */
+  ft_machine_set_reconciled (machine); /* the machine is not in the registry, so it has never been sent a command */
   machine->listed_running = entry->state == FT_LISTED_RUNNING;
   g_message ("machine %s: added (in the cloud's list)", machine->name);
 }
--- a/src/core/direct_commands.h
+++ b/src/core/direct_commands.h
@@ -10,8 +10,8 @@
 /* Returns the next request with commands for a machine in the queue; new. NULL: no machine in the queue needs one. */
 FtDirectRequest *ft_direct_commands_next (FtMachineQueues *queues);
 
-/* Whether the machine needs a command that may not have been sent when it was decided on. Checked on each tick, since
- * no event queues the machine for it. */
+/* Whether an attempt on the machine needs a start or a stop, which perhaps could not be sent when it was decided on.
+ * Checked on each tick, since no event queues the machine when the command can be sent. */
 gboolean ft_direct_commands_wanted (const FtMachine *machine);
 
 /* Records the result of a request to the machine in the attempts whose starts it carried. */
--- a/src/core/heartbeat_answer.c
+++ b/src/core/heartbeat_answer.c
@@ -56,7 +56,7 @@
     return commands;
   /* The room that the heartbeat has freed is filled with starts in this same answer. */
   ft_placement_fill (placement, machine);
-  /* Stops and forgets come first, since they make room for the starts. */
+  /* Stop and forget commands come first, since they make room for the starts. */
   add_stops_and_forgets (commands, machine);
   add_starts (commands, machine, heartbeat->sequence);
   return commands;
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -62,7 +62,7 @@
   gboolean quarantined;    /* the machine is faulty, or a cancelled start got no answer for too long; never revoked */
   gboolean start_in_doubt; /* a direct start of this incarnation got no answer and may be executed late */
   guint faults;            /* failures in a row that count against the machine; see fault.h */
-  guint64 last_failed;     /* revision of the job that last failed here; 0: no failure since a task completed */
+  guint64 last_failed;     /* revision of the job whose task last failed here; 0: no failure since a task completed */
 } FtMachineFitness;
 
 struct _FtMachine {
@@ -73,14 +73,14 @@
   const FtMachineType *type; /* borrowed from the context's catalog; NULL: the catalog does not have the type */
   gboolean spot;
   FtMachineState state;          /* changed by ft_machine_set_state() only */
-  guint64 incarnation, sequence; /* of the machine's newest status */
+  guint64 incarnation, sequence; /* those of the machine's newest status */
   guint64 expired_incarnation;   /* incarnations up to this one have ended or expired and get no commands */
   FtReachability reachability;
   gint64 launched_at;            /* when the machine was launched, as far as it is known; in microseconds */
   gint64 idle_since;             /* when the machine became idle, in microseconds; valid while it is idle */
   gint64 notice_until;           /* end of the interruption notice's period, in microseconds; 0: no notice */
   gboolean counted_unreconciled; /* the recovery counts the machine among the unreconciled ones */
-  gboolean reconciled;           /* has reported with this leader's fencing token, or is certainly empty */
+  gboolean reconciled;           /* the machine has reported with this leader's token, or certainly runs no task */
   FtRegistryRow *row;            /* the registry row that names the machine; NULL: none yet */
   FtRegistryRow *split_row;      /* the stored row that names the machine until `row` is stored; NULL: none */
   gboolean registered;           /* a committed registry row names the machine */
@@ -144,7 +144,7 @@
  * yet. */
 gboolean ft_machine_idle (const FtMachine *machine);
 
-/* Returns the machine's attempt `id` at task `index` of the job `ref`; borrowed. NULL: there is none. */
+/* Returns the machine's attempt with number `id` of task `index` of the job `ref`; borrowed. NULL: there is none. */
 FtAttempt *ft_machine_attempt (const FtMachine *machine, const char *ref, guint index, guint64 id);
 
 /* ---- reachability ---- */
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -148,8 +148,8 @@
                 > ft_seconds (FT_NOT_RECEIVING_SCALE_IN_S);
 }
 
-/* Whether the machine has sent no heartbeat for so long that its worker lease has expired. A new incarnation would
- * expire as well. */
+/* Whether no heartbeat of the machine has arrived for so long that its worker lease has expired. The lease of a new
+ * incarnation would expire as well, as long as its heartbeats do not arrive either. */
 static gboolean
 not_reporting_long (const FtMachine *machine)
 {
@@ -219,7 +219,7 @@
 {
   gboolean others;
   if (!machine->fitness.start_in_doubt)
-    return FALSE; /* nearly all machines: their attempts need no check */
+    return FALSE; /* this holds for nearly all machines, so that their attempts are not examined */
   double age_s = unanswered_start_age_s (machine, &others);
   if (age_s <= FT_START_IN_DOUBT_QUARANTINE_S)
     return FALSE;
--- a/src/core/machine_table.h
+++ b/src/core/machine_table.h
@@ -22,7 +22,7 @@
  * is removed from its job. */
 void ft_machine_table_clear (FtMachineTable *table);
 
-/* Adds a machine of a name that the table does not have; borrowed. `addr` may be NULL. */
+/* Adds a machine, whose name the table must not have yet, and returns it; borrowed. `addr` may be NULL. */
 FtMachine *ft_machine_table_add (FtMachineTable *table, const char *name, const char *addr, const char *type,
                                  const char *zone, gboolean spot);
 
--- a/src/core/probes.h
+++ b/src/core/probes.h
@@ -1,8 +1,8 @@
 /* Probes: direct requests without commands. The worker answers a probe with its status.
  *
  * A machine is probed while it is not reconciled after a failover, while it seems not to receive our answers, and while
- * its heartbeat is overdue. A probe shows whether the machine is lost or only its heartbeats or our answers are. The
- * scheduler's tick puts machines into the queue of probes; ft_probes_next() takes them out. */
+ * its heartbeat is overdue. A probe shows whether the machine itself is lost, or whether only its heartbeats or our
+ * answers are lost. The scheduler's tick puts machines into the queue of probes; ft_probes_next() takes them out. */
 #pragma once
 #include "core/direct_command.h"
 #include "core/machine.h"
--- a/src/core/reachability.h
+++ b/src/core/reachability.h
@@ -83,7 +83,7 @@
 /* Returns the time since which no status has arrived and this leader was not late itself. */
 gint64 ft_reachability_silent_since (const FtReachability *reachability, const FtCoreContext *context);
 
-/* Whether a status is overdue: none has arrived for longer than the longest ordinary gap between two heartbeats and
+/* Whether a status is overdue: none has arrived for longer than the longest regular gap between two heartbeats plus
  * FT_OVERDUE_MARGIN_S. */
 gboolean ft_reachability_overdue (const FtReachability *reachability, const FtCoreContext *context);
 
--- a/src/core/scale_in.h
+++ b/src/core/scale_in.h
@@ -1,4 +1,5 @@
-/* Scale-in: terminates idle machines in excess of the reserve.
+/* Scale-in: terminates idle machines in excess of the reserve. The reserve is the idle capacity that is kept for new
+ * demand, see ft_capacity_headroom() in capacity_supply.h.
  *
  * Machines that are lost, faulty or taken back by the cloud are terminated by the eviction (machine_eviction.h). Called
  * by the autoscaler at its interval, while the lease is valid. */
--- a/src/core/scale_out.c
+++ b/src/core/scale_out.c
@@ -89,7 +89,7 @@
   guint count = MIN (MIN (wanted, FT_SCALE_OUT_MAX), ft_zone_launch_limit (zone, context->now));
   ft_zone_launch_requested (zone, context->now);
   if (pool->spot && context->tuning.spot_share < 1)
-    count = 1; /* single launches keep the spot machines within the share */
+    count = 1; /* launched one at a time, so that the spot machines do not exceed their share */
   ft_cloud_pools_request (pools, pool, count, context->token, context->now);
 }
 
--- a/src/core/worker_heartbeats.h
+++ b/src/core/worker_heartbeats.h
@@ -21,7 +21,7 @@
 FtMachine *ft_worker_heartbeats_machine (FtWorkerHeartbeats *heartbeats, const FtWorkerHeartbeat *heartbeat);
 
 /* Applies a status of the machine if it is the newest; returns FALSE if it is not. `is_heartbeat`: the status came in a
- * heartbeat, not in the answer to a direct request. After TRUE the caller adds the machine to the registry, and
- * notifies the recovery if the machine is reconciled. */
+ * heartbeat, not in the answer to a direct request. If the function returns TRUE, the caller adds the machine to the
+ * registry, and notifies the recovery if the machine is reconciled. */
 gboolean ft_worker_heartbeats_apply (FtWorkerHeartbeats *heartbeats, FtMachine *machine,
                                      const FtWorkerHeartbeat *heartbeat, gboolean is_heartbeat);
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -59,8 +59,9 @@
   }
 }
 
-/* Whether at least one of the zone's members would have reported by now if the zone were reachable. The zone must have
- * enough members, and time in which this leader was late or answered no heartbeats does not count. */
+/* Whether the reports of all members of the zone are overdue. Time in which this leader was late or answered no
+ * heartbeats does not count. A zone with fewer than FT_ZONE_MEMBERS_MIN members never counts as overdue, since so few
+ * machines may have failed independently. */
 static gboolean
 all_members_overdue (const FtCoreContext *context, const FtZone *zone)
 {
