--- a/src/core/attempt_lifecycle.c
+++ b/src/core/attempt_lifecycle.c
@@ -98,8 +98,8 @@
   attempt->machine->fitness.start_in_doubt = TRUE;
 }
 
-/* Returns whether no start of the attempt can be executed any more: none was sent, or each that was sent has been
- * answered without the attempt being shown. */
+/* Returns whether no start of the attempt can be executed any more: no start was sent, or starts were sent in direct
+ * requests only, all of these were answered, and no status shows the attempt. */
 static gboolean
 cannot_start (const FtAttempt *attempt)
 {
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -475,8 +475,8 @@
 #define FT_PEER_REFUSED_WITHIN_S 0.3
 /* Seconds until the next heartbeat after a refused one. */
 #define FT_PEER_RETRY_S 0.3
-/* Successive refused heartbeats after which a controller suspects that a peer is gone. Only the suspicion of a
- * leader has an effect. */
+/* Successive refused heartbeats after which a controller suspects that a peer is gone. The suspicion has an effect
+ * only if that peer is the leader. */
 #define FT_PEER_SUSPECT_REFUSALS 2
 /* Seconds for which heartbeats to the peers contain a cancellation, so that the loss of one heartbeat does no harm. */
 #define FT_PEER_CANCELLATIONS_S 5.0
--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -80,8 +80,8 @@
   if (machine->fitness.quarantined || !ft_fault_is_faulty (machine) || !may_quarantine_one_more (table))
     return;
   machine->fitness.quarantined = TRUE;
-  g_warning ("machine %s: quarantined (faulty: %u tasks in a row failed on it, not by their own mistake)",
-             machine->name, machine->fitness.faults);
+  g_warning ("machine %s: quarantined (faulty: %u task failures in a row count against the machine)", machine->name,
+             machine->fitness.faults);
 }
 
 void
--- a/src/core/job.h
+++ b/src/core/job.h
@@ -17,7 +17,7 @@
 typedef struct _FtJob FtJob;
 
 typedef enum {
-  FT_JOB_WAITING,    /* the job waits for its dependencies: its tasks are not placed and add to no demand or quota */
+  FT_JOB_WAITING,    /* the job waits for its dependencies: its tasks are not placed and count for no demand or quota */
   FT_JOB_OPEN,       /* tasks of the job may be placed */
   FT_JOB_CANCELLING, /* the job is cancelled, and its tasks are being stopped */
   FT_JOB_ENDED,      /* the job's end is committed; the job is about to be freed */
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -74,11 +74,11 @@
 void ft_lease_sweep_failed (FtLease *lease, gint64 now);
 
 /* Records that peers report `holder` as gone. The report is advisory: the follower reads the rows at once and may claim
- * the lease before its time is over. If the report is `confirmed` (another peer answers this controller) and the fence
- * row is not new, it may claim as soon as a read shows that the rows have not changed, otherwise when a renewal is
- * overdue. The claim is fenced like any other. The holder may still be alive, but it can start no task beyond the
- * dispatch watermarks that are committed, and the new leader places the tasks below them only after the machines are
- * reconciled. */
+ * the lease before the lease time is over. If the report is `confirmed` (another peer answers this controller) and the
+ * fence row has not changed for FT_SUSPECT_FENCE_STABLE_S, the follower may claim the lease as soon as a read shows
+ * that the rows have not changed; otherwise it may do so when a renewal is overdue. The claim is fenced like any other.
+ * The holder may still be alive, but it can start no task beyond the dispatch watermarks that are committed, and the
+ * new leader places the tasks below them only after the machines are reconciled. */
 void ft_lease_suspect (FtLease *lease, const char *holder, gboolean confirmed, gint64 now);
 
 /* ---- acquiring and renewing ---- */
--- a/src/core/placement_rank.c
+++ b/src/core/placement_rank.c
@@ -85,8 +85,8 @@
 {
   /* 1. The time until the task can start. */
   double wait_s = image_wait_s (machine, job->spec);
-  /* 2. The CPUs that stay free on the machine. Tasks that need not begin at once are packed more densely, so that
-   * whole machines become idle, the expensive ones first. */
+  /* 2. The CPUs that stay free on the machine. Tasks that need not begin at once are packed more densely, and avoid
+   * ordinary machines more strongly, so that whole machines become idle, the expensive ordinary ones first. */
   double pack = job->priority < FT_PRIORITY_HIGH ? FT_SCORE_PACK_FACTOR : 1;
   double room_left = (machine->type->cpus - machine->cpus - job->spec->cpus) / machine->type->cpus;
   /* 3. The expected cost of the kind of machine: the cloud may take a spot machine back, and an ordinary machine is
--- a/src/core/write_queue.h
+++ b/src/core/write_queue.h
@@ -33,7 +33,7 @@
  * added. The caller owns the array, which owns the writes. */
 GPtrArray *ft_write_queue_next (FtWriteQueue *queue, guint ops, gboolean spare);
 
-/* Applies a batch that is committed. May end jobs. */
+/* Applies a batch that is committed. The call may end jobs. */
 void ft_write_queue_committed (FtWriteQueue *queue, const GPtrArray *writes);
 
 /* Queues all writes of a batch again, since none of it is committed. `conflicted` is the ref of a job whose state row
