--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -190,11 +190,12 @@
 #define FT_RETRY_FIRST_S 1.0
 /* Longest pause in seconds between the failure of a task and the next placement of the task. */
 #define FT_RETRY_LONGEST_S 30.0
-/* Seconds after its retry pause during which a task is not placed on the machine where it failed. */
+/* Seconds after the retry pause of a failed task during which the task is not placed on the machine where it
+ * failed. */
 #define FT_AVOID_MACHINE_S 10.0
 /* Seconds that a job waits for room to become free before other tasks are preempted for it. */
 #define FT_PREEMPT_AFTER_S 0.5
-/* Share of its estimated run time that a task without checkpoints may have run and still be preempted. */
+/* A task without checkpoints may be preempted only until it has run for this share of its estimated run time. */
 #define FT_PREEMPT_RAN_SHARE 0.25
 /* A task with a deadline ahead is preempted only if the time left until the deadline is more than this multiple of
  * the estimated run time of the task, so that the task can still be in time when it starts again. */
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -15,7 +15,7 @@
 /* How a job ended. An end is final. */
 typedef enum { FT_JOB_END_DONE, FT_JOB_END_CANCELLED } FtJobEnd;
 
-/* A team's share of the fleet. */
+/* What a team may use of the fleet: its guaranteed share and its limit. */
 typedef struct {
   char *name;
   double cpus;     /* CPUs that the team is guaranteed; 0: none */
