--- a/src/core/fault.c
+++ b/src/core/fault.c
@@ -49,7 +49,7 @@
   if (succeeds_elsewhere (job, machine))
     return TRUE;
   if (job->n_failed_on >= FT_FAULTY_JOB_MACHINES)
-    return FALSE; /* the job fails everywhere: the mistake is probably its own */
+    return FALSE; /* the job fails on every machine: the mistake is probably in the job */
   return machine->fitness.last_failed != job->revision;
 }
 
@@ -80,8 +80,8 @@
   if (machine->fitness.quarantined || !ft_fault_is_faulty (machine) || !may_quarantine_one_more (table))
     return;
   machine->fitness.quarantined = TRUE;
-  g_warning ("machine %s: quarantined (faulty: %u tasks in a row failed on it, not by their own mistake)",
-             machine->name, machine->fitness.faults);
+  g_warning ("machine %s: quarantined (faulty: %u task failures in a row count against the machine)", machine->name,
+             machine->fitness.faults);
 }
 
 void
