--- a/src/net/http.h
+++ b/src/net/http.h
@@ -77,7 +77,7 @@
 
 /* A listening socket and its connections. The node or the test that creates the server owns it. */
 typedef struct _FtHttpServer FtHttpServer;
-/* A received request. Its handler owns it until the handler passes it to ft_http_respond(). */
+/* A received request. Its handler owns it until it is answered by ft_http_respond() or ft_http_unavailable(). */
 typedef struct _FtHttpRequest FtHttpRequest;
 
 /**
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -14,7 +14,7 @@
 
 struct _FtHttpClient {
   CURLM *multi;
-  struct curl_slist *headers[FT_BODY_JSON + 1]; /* of a request, indexed by FtBodyKind */
+  struct curl_slist *headers[FT_BODY_JSON + 1]; /* headers of a request, indexed by FtBodyKind */
   GHashTable *calls;                            /* set of Call in flight */
   GQueue spare_handles;                         /* CURL handles for later requests */
   guint timer;                                  /* main loop source of libcurl's timeout; 0: none */
--- a/src/net/job_status.c
+++ b/src/net/job_status.c
@@ -82,7 +82,7 @@
   FtRow row;
   FtJobRow state;
   if (result == FT_STORE_NOT_FOUND) {
-    /* A submission without an answer to its commit is not accepted yet, but the commit may still be applied. */
+    /* A submission whose commit got no answer is not accepted yet, but the commit may still be applied. */
     ft_user_request_answer (request, request->spec != NULL ? FT_HTTP_UNAVAILABLE : FT_HTTP_NOT_FOUND, NULL);
     return;
   }
--- a/src/net/job_status.h
+++ b/src/net/job_status.h
@@ -42,10 +42,11 @@
  * @request: (transfer full): a request whose commit was not confirmed
  * @result: the result of the commit, any value except %FT_STORE_OK
  *
- * Finds out by ft_job_status_read() what has happened to the job. After a conflict, the job's row has
- * changed, possibly by an earlier attempt of the same request. If the commit got no answer, it may have
- * been applied. A cancellation commits at most FT_CANCEL_TRIES times. Any other result is answered with 503: the
- * commit was not applied, except that this is unknown after %FT_STORE_FAILED.
+ * After %FT_STORE_CONFLICT and %FT_STORE_UNANSWERED, finds out by ft_job_status_read() what has happened to the
+ * job. After a conflict, the job's row has changed, possibly by an earlier attempt of the same request. If the
+ * commit got no answer, it may have been applied. A cancellation commits at most FT_CANCEL_TRIES times; after the
+ * last attempt, the request is answered with 503. After any other result, the request is answered with 503 at
+ * once: the commit was not applied, except that this is unknown after %FT_STORE_FAILED.
  */
 void ft_job_status_read_after_commit (FtUserRequest *request, FtStoreResult result);
 
--- a/src/net/polls.c
+++ b/src/net/polls.c
@@ -7,8 +7,8 @@
 
 struct _FtPolls {
   FtNode *node;         /* borrowed */
-  GQueue waiting;       /* Poll, oldest first; they wait for the next transaction */
-  GPtrArray *in_flight; /* Poll of the transaction in flight; NULL: no transaction is in flight */
+  GQueue waiting;       /* elements: Poll, oldest first; they wait for the next transaction */
+  GPtrArray *in_flight; /* elements: Poll, of the transaction in flight; NULL: no transaction is in flight */
 };
 
 /* A poll of one job, waiting or in flight. */
