--- a/src/net/budget.c
+++ b/src/net/budget.c
@@ -8,7 +8,7 @@
   *budget = (FtBudget){ .rate = rate, .max_rate = rate, .burst = burst, .level = burst, .updated_at = now };
 }
 
-/* Updates the level and the recovering rate to `now`. */
+/* Updates the level, and the rate if it is recovering from a refusal, to their values at `now`. */
 static void
 refill (FtBudget *budget, gint64 now)
 {
--- a/src/net/budget.h
+++ b/src/net/budget.h
@@ -1,7 +1,7 @@
 /* A token bucket that limits how much of a service's rate limit this controller uses. When the service
- * refuses a request for its rate limit, the budget's rate is halved and then recovers gradually. The
- * store client has one budget for requests and one for changes; the leader's cloud calls have one.
- * All times are monotonic, in microseconds. */
+ * refuses a request because of its rate limit, the budget's rate is halved and then recovers gradually.
+ * The store client has one budget for requests and one for changes; the leader's cloud calls have one.
+ * A unit of a budget is one request or one change. All times are monotonic, in microseconds. */
 #pragma once
 #include <glib.h>
 
@@ -76,6 +76,7 @@
  * ft_budget_note_throttled:
  * @now: monotonic time
  *
- * Halves the rate. Call it when the service has refused a request for its rate limit.
+ * Empties the budget and halves its rate, but not below the share FT_BUDGET_MIN of its maximum. Call it
+ * when the service has refused a request because of its rate limit.
  */
 void ft_budget_note_throttled (FtBudget *budget, gint64 now);
--- a/src/net/heartbeat_queue.c
+++ b/src/net/heartbeat_queue.c
@@ -84,7 +84,8 @@
     queue->source = g_idle_add_full (G_PRIORITY_DEFAULT, on_heartbeats_waiting, queue, NULL);
 }
 
-/* Counts a heartbeat that arrived in `turn`. Returns whether FT_HEARTBEATS_AT_ONCE arrived in it before. */
+/* Counts a heartbeat that arrived in `turn`. Returns whether FT_HEARTBEATS_AT_ONCE other heartbeats had already
+ * arrived in that turn. */
 static gboolean
 turn_is_full (FtHeartbeatQueue *queue, guint turn)
 {
--- a/src/net/heartbeat_queue.h
+++ b/src/net/heartbeat_queue.h
@@ -26,7 +26,7 @@
 
 /**
  * ft_heartbeat_queue_new:
- * @hooks: static
+ * @hooks: the owner's callbacks; a static struct
  * @data: data of @hooks; outlives the queue
  *
  * Returns: (transfer full): an empty queue
@@ -35,7 +35,7 @@
 
 /**
  * ft_heartbeat_queue_free:
- * @queue: (nullable) (transfer full): the queue, emptied by ft_heartbeat_queue_refuse_all()
+ * @queue: (nullable) (transfer full): the queue, which ft_heartbeat_queue_refuse_all() has emptied
  */
 void ft_heartbeat_queue_free (FtHeartbeatQueue *queue);
 
--- a/src/net/node.h
+++ b/src/net/node.h
@@ -1,8 +1,8 @@
-/* The modules of a controller, which use each other through this list.
+/* The modules of a controller. FtNode holds a pointer to each, by which they use each other.
  *
- * controller.c makes and owns the modules, and is the only module that changes the list. A module that
- * uses another one includes that one's header, so that the includes show the order of the modules
- * (.ci/layers.txt). Private to src/net. */
+ * controller.c makes and owns the modules, and is the only module that changes the FtNode. A module that
+ * uses another one includes that one's header, so that the includes show which module depends on which
+ * (see .ci/layers.txt). Private to src/net. */
 #pragma once
 #include <glib.h>
 
--- a/src/net/node_peers.c
+++ b/src/net/node_peers.c
@@ -12,8 +12,8 @@
 add_job (const FtJobInfo *job, gpointer data)
 {
   FtPeerHeartbeat *heartbeat = data;
-  /* The jobs are for display only: followers show the tasks of an omitted job as queued. A peer would
-   * refuse a heartbeat with too large a body as a whole. */
+  /* The jobs are for display only: followers show the tasks of an omitted job as queued. Their number is
+   * limited because a peer refuses the whole heartbeat if its body is too large. */
   if ((job->done > 0 || job->running > 0) && heartbeat->jobs->len < FT_PEER_JOBS_MAX)
     ft_peer_heartbeat_add_job (heartbeat, job->ref, job->done, job->running);
 }
@@ -57,7 +57,8 @@
 on_heartbeat (const FtPeerHeartbeat *heartbeat, gint64 now, gpointer data)
 {
   FtNode *node = data;
-  /* A controller that leads under a higher token has changed the fence row, and so succeeds this one. */
+  /* A controller that leads under a higher token has changed the fence row, and so has replaced this controller
+   * as the leader. */
   if (ft_leader_scheduler (node->leader) != NULL && heartbeat->token > ft_lease_token (node->lease))
     ft_leadership_step_down (node->leadership, "a peer leads under a higher fencing token");
   apply_advisory_cancellations (node, heartbeat->cancellations);
--- a/src/net/node_peers.h
+++ b/src/net/node_peers.h
@@ -12,11 +12,12 @@
 
 /**
  * ft_node_announce_cancellation:
- * @ref: a job whose cancellation a user has requested from this controller; the cancellation was
- *     committed now
+ * @ref: a job whose cancellation a user has requested from this controller; the cancellation has just
+ *     been committed
  *
- * Reports the cancellation at once to this controller's scheduler, if it leads, and to the peers. The
- * leader would also learn of it by its watch. But a leader that the key-value store refuses would not,
- * and would keep the job's tasks running until its answer grace period is over.
+ * Reports the cancellation at once to this controller's scheduler, if it leads, and to the peers. A
+ * leader learns of a cancellation also by its watch, but not while the key-value store does not serve it.
+ * Without this report such a leader would keep the job's tasks running until its answer grace period is
+ * over.
  */
 void ft_node_announce_cancellation (FtNode *node, const char *ref);
--- a/src/net/peers.c
+++ b/src/net/peers.c
@@ -15,10 +15,10 @@
   gint64 last_heartbeat_at;       /* when its last heartbeat arrived; 0: none has */
   gboolean supports_dependencies; /* whether its version supports dependencies of jobs */
   gint64 served_at;               /* when the store last answered it, on this controller's clock; 0: not known */
-  gboolean in_flight;             /* whether a heartbeat to it awaits its answer */
+  gboolean in_flight;             /* whether a heartbeat to the peer awaits an answer */
   gint64 sent_at;                 /* when the last heartbeat to it was sent */
   gint64 answered_at;             /* when it last answered a heartbeat; 0: never */
-  guint refusals_in_row;          /* connections it refused in a row, since the last answer or timeout */
+  guint refusals_in_row;          /* number of connections that it refused in a row, since its last answer or timeout */
 } Peer;
 
 struct _FtPeers {
@@ -28,7 +28,7 @@
   gpointer data;             /* passed to the hooks */
   FtHttpClient *client;
   GArray *all;                 /* elements: Peer */
-  char *leader;                /* owned: the leader with the highest fencing token so far; NULL: none yet */
+  char *leader;                /* owned: name of the leader with the highest fencing token so far; NULL: none yet */
   guint64 leader_token;        /* of `leader`; 0: none yet */
   GHashTable *job_progress;    /* job's ref -> FtJobProgress, from the leader's last heartbeat */
   GQueue recent_cancellations; /* elements: RecentCancellation, oldest first */
@@ -38,7 +38,7 @@
 /* The context of a heartbeat that awaits its answer. */
 typedef struct {
   FtPeers *peers;
-  guint index; /* of the peer in `all` */
+  guint index; /* of the peer in `all` of FtPeers */
 } HeartbeatRequest;
 
 /* A cancellation that this controller has committed recently. */
@@ -204,7 +204,8 @@
 
 /* ---- receiving ---- */
 
-/* Records the sender as the leader, and its jobs' progress. A sender with a lower token was succeeded. */
+/* Records the sender as the leader, and its jobs' progress. Ignores a sender with a lower token, which another
+ * leader has replaced. */
 static void
 record_leader_summary (FtPeers *peers, const FtPeerHeartbeat *heartbeat)
 {
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -76,14 +76,15 @@
  * ft_peers_handle_heartbeat:
  * @request: (transfer full): a peer's heartbeat
  *
- * Records what the heartbeat says, calls the owner's hook and answers the request. A heartbeat that is
- * malformed or of an unknown member is logged and answered with 400.
+ * Records what the heartbeat says, calls the owner's `received` hook and answers the request. A heartbeat
+ * that is malformed, or whose sender is not a configured peer, is added to the log of malformed messages and
+ * answered with 400.
  */
 void ft_peers_handle_heartbeat (FtPeers *peers, FtHttpRequest *request);
 
 /**
  * ft_peers_add_cancellation:
- * @ref: a job whose cancellation this controller has committed now
+ * @ref: a job whose cancellation this controller has just committed
  *
  * Includes the cancellation in the heartbeats of the next FT_PEER_CANCELLATIONS_S, and makes the next
  * heartbeats due at once.
@@ -118,8 +119,8 @@
 /**
  * ft_peers_leader:
  *
- * Returns: (transfer none) (nullable): the peer that leads according to the heartbeat with the highest
- *     fencing token; %NULL until a leader's heartbeat has arrived
+ * Returns: (transfer none) (nullable): the name of the peer that leads according to the heartbeat with the
+ *     highest fencing token; %NULL until a leader's heartbeat has arrived
  */
 const char *ft_peers_leader (const FtPeers *peers);
 
--- a/src/net/store_client.c
+++ b/src/net/store_client.c
@@ -4,9 +4,9 @@
 #include "net/budget.h"
 #include "wire/store_messages.h"
 
-/* Connections for requests of FT_STORE_PRIORITY_LEASE. */
+/* Maximum number of connections for requests of FT_STORE_PRIORITY_LEASE. */
 #define LEASE_CONNECTIONS 2
-/* Connections for watches. */
+/* Maximum number of connections for watches. */
 #define WATCH_CONNECTIONS 2
 /* Number of queues of requests, one for each priority. */
 #define QUEUE_COUNT (FT_STORE_PRIORITY_READ + 1)
@@ -19,7 +19,7 @@
   double timeout_s;
   FtStorePriority priority;
   guint writes;  /* number of changes that the transaction makes; 0: the request changes nothing */
-  guint resends; /* times that it was sent again after a refusal for the rate limit */
+  guint resends; /* number of times that it was sent again after the store had throttled it */
   FtStoreDone done;
   gpointer data;
 } Request;
@@ -37,7 +37,7 @@
   guint writes_waiting; /* number of changes that the requests in the queues make */
   guint queue_timer;    /* ID of the timer that checks the queues again; 0: none */
   gint64 last_served;   /* when the store last served a request; 0: never */
-  gint64 failing_since; /* when the first request failed since then, not counting throttled ones; 0: none has */
+  gint64 failing_since; /* when the first request failed since `last_served`, not counting throttled ones; 0: none */
   guint in_flight;      /* number of requests that were sent and not answered yet */
 };
 
@@ -98,9 +98,9 @@
 
 static void send_queued (FtStoreClient *store);
 
-/* Sends a request again once the budget allows it. The store has refused it for the rate limit, and so has
- * not executed it. Returns FALSE, and leaves the request to the caller, if the request must not wait or
- * was sent again too often. */
+/* Queues a request that the store has throttled, so that it is sent again once the budgets allow that. The
+ * store has not executed a throttled request. Returns FALSE, and leaves the request to the caller, if its
+ * priority is FT_STORE_PRIORITY_LEASE or it was already sent again FT_STORE_RESENDS times. */
 static gboolean
 resend_throttled (Request *request, gint64 now)
 {
@@ -228,7 +228,8 @@
   }
 }
 
-/* Sends or queues a request. Takes ownership of `path`. */
+/* Sends or queues a request, or calls `done` with FT_STORE_UNAVAILABLE if its queue is full. Takes ownership of
+ * `path`. */
 static void
 submit (FtStoreClient *store, const char *method, char *path, const json_t *body, FtStorePriority priority,
         FtStoreDone done, gpointer data)
--- a/src/net/store_client.h
+++ b/src/net/store_client.h
@@ -38,12 +38,12 @@
  * FtStoreResult:
  * @FT_STORE_OK: the rows were read, or the transaction was committed
  * @FT_STORE_NOT_FOUND: the row does not exist
- * @FT_STORE_CONFLICT: a condition of the transaction does not hold; the body names the rows
+ * @FT_STORE_CONFLICT: a condition of the transaction does not hold; the body names the rows concerned
  * @FT_STORE_COMPACTED: the store no longer has all changes since the requested revision; the rows must
  *     be read again
  * @FT_STORE_INVALID: the store refused the request as invalid and will never accept it
- * @FT_STORE_THROTTLED: the store refused the request for its rate limits; the client has resent it
- *     FT_STORE_RESENDS times, or does not resend requests of its priority
+ * @FT_STORE_THROTTLED: the store refused the request because of its rate limits; the client has resent the
+ *     request FT_STORE_RESENDS times, or does not resend requests of this priority
  * @FT_STORE_UNAVAILABLE: the store refused the request for now, or the client's queue is full
  * @FT_STORE_UNANSWERED: no answer came in time; the request may still be executed
  * @FT_STORE_FAILED: the answer has a status that the protocol does not define
@@ -142,8 +142,8 @@
  * ft_store_client_free:
  * @store: (nullable) (transfer full): the client
  *
- * Drops the requests in flight and in the queues: their callbacks are not called, so the data that these
- * own is leaked, which only suits the end of the process. See ft_store_client_in_flight().
+ * Drops the requests in flight and in the queues without calling their callbacks. Data that only a callback
+ * would free is leaked, which is acceptable only at the end of the process. See ft_store_client_in_flight().
  */
 void ft_store_client_free (FtStoreClient *store);
 
@@ -192,7 +192,7 @@
  * ft_store_client_watch:
  * @prefix: prefix of the rows' keys
  * @since: revision after which changes are reported
- * @done: called with the changes: at once if there are any, else when there are some or after FT_WATCH_S
+ * @done: called with the changes: at once if there are any, else at the first change or after FT_WATCH_S
  * @data: data of @done
  *
  * Watches rows for changes, on a connection that only watches use and without waiting for the budget.
@@ -205,8 +205,8 @@
  * ft_store_client_has_contact:
  * @now: monotonic time
  *
- * Returns: whether the store has served this controller before and, if it fails at present, has done so
- *     for less than FT_CONTACT_LOST_S
+ * Returns: whether the store has served this controller before, and requests to it have not been failing
+ *     for FT_CONTACT_LOST_S or longer
  */
 gboolean ft_store_client_has_contact (const FtStoreClient *store, gint64 now);
 
@@ -214,7 +214,7 @@
  * ft_store_client_failing_since:
  *
  * Returns: when the first request failed since the store last served this controller, not counting
- *     refusals for the rate limits; 0 if none has failed
+ *     requests refused because of the rate limits; 0 if none has failed
  */
 gint64 ft_store_client_failing_since (const FtStoreClient *store);
 
