--- a/src/net/leader.h
+++ b/src/net/leader.h
@@ -1,5 +1,5 @@
-/* The work of a controller while it leads: it sends the scheduler's actions to the key-value store, the
- * workers and the cloud, and reports their answers to the scheduler.
+/* The work of a controller while it leads: it carries out the scheduler's actions by requests to the
+ * key-value store, the workers and the cloud, and reports their answers to the scheduler.
  *
  * The leadership module begins and ends terms. The controller's timer calls ft_leader_tick(), and
  * every module that changes the scheduler's state calls ft_leader_run_actions() afterwards. The work is
@@ -22,8 +22,9 @@
 
 /**
  * ft_leader_free:
- * @leader: (nullable) (transfer full): its term has ended, and no answer to its requests may arrive
- *     any more
+ * @leader: (nullable) (transfer full): the leader's modules
+ *
+ * Must be called only when the term has ended and no answer to the leader's requests can arrive any more.
  */
 void ft_leader_free (FtLeader *leader);
 
--- a/src/net/leader_batches.c
+++ b/src/net/leader_batches.c
@@ -19,7 +19,7 @@
   FtBatchState state;
   guint64 journal_revision; /* revision of the journal row, on which the next batch is conditional */
   guint64 last_number;      /* number of the last batch that was sent in this term */
-  guint max_operations; /* limit for a batch, counting the journal row; lowered when the store refuses large batches */
+  guint max_operations; /* limit for a batch, including that on the journal row; lowered when the store refuses a batch */
   gint64 not_before;    /* the next batch is not sent before this time; monotonic, microseconds */
 };
 
@@ -30,7 +30,7 @@
   guint64 number;    /* of the batch, within the term */
 } BatchRequest;
 
-/* The read of a job's row that was not at the revision on which a batch was conditional. */
+/* The read of a job's row, after a batch has failed because the row was not at the expected revision. */
 typedef struct {
   FtLeaderRequest base;
   char *ref; /* of the job; owned */
--- a/src/net/leader_batches.h
+++ b/src/net/leader_batches.h
@@ -19,7 +19,9 @@
 
 /**
  * ft_leader_batches_free:
- * @batches: (nullable) (transfer full): no answer to a batch may arrive any more
+ * @batches: (nullable) (transfer full): the batches
+ *
+ * Must be called only when no answer to a batch can arrive any more.
  */
 void ft_leader_batches_free (FtLeaderBatches *batches);
 
@@ -27,7 +29,7 @@
  * ft_leader_batches_begin:
  * @journal_revision: revision at which the claim of the term wrote the journal row
  *
- * Resets the batches at the beginning of a term.
+ * Resets the state of the batches at the beginning of a term.
  */
 void ft_leader_batches_begin (FtLeaderBatches *batches, guint64 journal_revision);
 
--- a/src/net/leader_cloud.c
+++ b/src/net/leader_cloud.c
@@ -152,7 +152,8 @@
   .clear = list_request_clear,
 };
 
-/* Reads the next page of the list. `machines`: those of the pages read so far; takes ownership. */
+/* Reads the next page of the list. `machines`: the machines of the pages read so far. Takes ownership of
+ * `machines`. */
 static void
 read_list (FtLeaderCloud *cloud, GArray *machines)
 {
--- a/src/net/leader_cloud.h
+++ b/src/net/leader_cloud.h
@@ -18,7 +18,9 @@
 
 /**
  * ft_leader_cloud_free:
- * @cloud: (nullable) (transfer full): no answer to a call may arrive any more
+ * @cloud: (nullable) (transfer full): the cloud calls
+ *
+ * Must be called only when no answer to a call can arrive any more.
  */
 void ft_leader_cloud_free (FtLeaderCloud *cloud);
 
@@ -26,14 +28,16 @@
  * ft_leader_cloud_begin:
  * @now: monotonic time in microseconds
  *
- * Called at the beginning of a term. The list is read as soon as the scheduler is loaded.
+ * Called at the beginning of a term. Makes the first read of the list due, which starts as soon as the
+ * recovery has loaded the scheduler.
  */
 void ft_leader_cloud_begin (FtLeaderCloud *cloud, gint64 now);
 
 /**
  * ft_leader_cloud_end:
  *
- * Resets the calls at the end of a term. Answers to calls in flight will be dropped.
+ * Called at the end of a term. Resets the number of calls in flight; answers to these calls will be
+ * dropped.
  */
 void ft_leader_cloud_end (FtLeaderCloud *cloud);
 
--- a/src/net/leader_commands.c
+++ b/src/net/leader_commands.c
@@ -19,7 +19,8 @@
   FtDirectRequest *direct; /* owned */
 } CommandRequest;
 
-/* `heartbeat`: the worker's status from its answer; NULL if there was no answer or it was malformed. */
+/* Returns the result of a command. `heartbeat`: the worker's status from its answer; NULL if there was no
+ * answer, or it contained no valid status. */
 static FtDirectResult
 command_result (guint status, const FtWorkerHeartbeat *heartbeat)
 {
--- a/src/net/leader_commands.h
+++ b/src/net/leader_commands.h
@@ -15,14 +15,17 @@
 
 /**
  * ft_leader_commands_free:
- * @commands: (nullable) (transfer full): no answer to a command may arrive any more
+ * @commands: (nullable) (transfer full): the direct commands
+ *
+ * Must be called only when no answer to a command can arrive any more.
  */
 void ft_leader_commands_free (FtLeaderCommands *commands);
 
 /**
  * ft_leader_commands_end:
  *
- * Resets the commands at the end of a term. Answers to commands in flight will be dropped.
+ * Called at the end of a term. Resets the number of commands in flight; answers to these commands will be
+ * dropped.
  */
 void ft_leader_commands_end (FtLeaderCommands *commands);
 
--- a/src/net/leader_dependencies.c
+++ b/src/net/leader_dependencies.c
@@ -5,7 +5,8 @@
 #include "net/store_client.h"
 #include "wire/store.h"
 
-/* The age that is reported to the scheduler if the job's row does not say when the job ended. */
+/* The age of a job's end that is reported to the scheduler if the job's row does not say when the job
+ * ended. */
 #define AGE_UNKNOWN (-1)
 
 struct _FtLeaderDependencies {
@@ -19,7 +20,7 @@
   char *ref; /* of the job; owned */
 } DependencyRequest;
 
-/* How long ago the job ended, in microseconds. */
+/* Returns how long ago the job ended, in microseconds; AGE_UNKNOWN if its row does not say. */
 static gint64
 age_of_end_us (const FtJobRow *job)
 {
@@ -37,7 +38,7 @@
   FtRow row;
   FtJobRow job;
   dependencies->in_flight--;
-  /* The job is open or the read failed: the scheduler requests the read again later. */
+  /* If the read failed or the job is still open, the scheduler requests the read again later. */
   if (ft_store_read_job (result, body, &row, &job) != FT_STORE_OK || job.open)
     return FT_LEADER_OUTCOME_DONE;
   ft_scheduler_job_end_read (request->term->scheduler, ref, job.end, age_of_end_us (&job), g_get_monotonic_time ());
--- a/src/net/leader_dependencies.h
+++ b/src/net/leader_dependencies.h
@@ -1,5 +1,5 @@
-/* Reads how a job ended on which an open job depends. A job that has ended is no longer among the
- * open jobs' rows that the leader reads, so its own row has to be read. */
+/* Reads how the jobs ended on which open jobs depend. The row of an ended job is no longer among the open
+ * jobs' rows that the leader reads, so the job's own row has to be read. */
 #pragma once
 #include "net/leader_term.h"
 
@@ -15,14 +15,17 @@
 
 /**
  * ft_leader_dependencies_free:
- * @dependencies: (nullable) (transfer full): no answer to a read may arrive any more
+ * @dependencies: (nullable) (transfer full): the reads
+ *
+ * Must be called only when no answer to a read can arrive any more.
  */
 void ft_leader_dependencies_free (FtLeaderDependencies *dependencies);
 
 /**
  * ft_leader_dependencies_end:
  *
- * Resets the reads at the end of a term. Answers to reads in flight will be dropped.
+ * Called at the end of a term. Resets the number of reads in flight; answers to these reads will be
+ * dropped.
  */
 void ft_leader_dependencies_end (FtLeaderDependencies *dependencies);
 
--- a/src/net/leader_recovery.c
+++ b/src/net/leader_recovery.c
@@ -20,7 +20,7 @@
   FtLeaderRequest base;
   guint prefix_index;             /* index into recovery_prefixes */
   char *after;                    /* the last key of the previous page, owned; NULL: this is the first page */
-  gint64 first_page_requested_at; /* monotonic, microseconds */
+  gint64 first_page_requested_at; /* of this prefix; monotonic, microseconds */
   FtLeaderRecovered recovered;    /* called when the recovery is complete */
   gpointer recovered_data;        /* data of `recovered` */
 } PageRequest;
@@ -60,8 +60,9 @@
   const FtLeaderTerm *term = last_page->base.term;
   const FtNode *node = term->node;
   ft_scheduler_loaded (term->scheduler, g_get_monotonic_time ());
-  /* The leader must not answer worker heartbeats earlier: without the registry the scheduler cannot stop
-   * a cancelled task that it knows, and each answer to its worker would keep the task alive. */
+  /* This call permits the leader to answer worker heartbeats. It must not come before the machine registry
+   * has been read: without the registry the scheduler cannot stop a task that it knows to be cancelled, and
+   * each answer to the task's worker would keep the task alive. */
   ft_leader_rows_note_read_complete (last_page->base.owner);
   ft_metrics_record_latency (node->metrics, FT_LATENCY_RECOVERY, g_get_monotonic_time () - term->began_at);
   last_page->recovered (last_page->recovered_data);
@@ -87,7 +88,7 @@
   }
 }
 
-/* Records the revision of the first page; the watch returns the changes since then. */
+/* Records the revision at which the first page was read; the watch returns the changes after it. */
 static void
 record_known_revision (FtLeaderRows *rows, const json_t *body)
 {
--- a/src/net/leader_recovery.h
+++ b/src/net/leader_recovery.h
@@ -1,6 +1,6 @@
 /* The leader's reads of whole groups of rows from the key-value store: at the beginning of a term the
- * open jobs, done-sets, drained machines and the machine registry, and later the open jobs again after
- * the watch has fallen behind. */
+ * rows of the open jobs, of their finished tasks (done-sets), of the drained machines and of the machine
+ * registry, and later the open jobs' rows again after the watch has fallen behind. */
 #pragma once
 #include "net/leader_rows.h"
 
@@ -19,7 +19,7 @@
  * @data: data of @recovered
  *
  * Reads the rows page by page, and repeats the request for a page until it is answered. At the
- * beginning of a term it reads the four prefixes one after another, and the scheduler starts placing
+ * beginning of a term it reads all four groups of rows one after another, and the scheduler starts placing
  * tasks afterwards. Later in the term it reads only the open jobs' rows.
  */
 void ft_leader_recovery_start (FtLeaderRows *rows, FtLeaderRecovered recovered, gpointer data);
--- a/src/net/leader_request.h
+++ b/src/net/leader_request.h
@@ -22,8 +22,8 @@
  * @FT_LEADER_OUTCOME_PROGRESS: the answer has changed the scheduler's state, so the scheduler's next
  *     actions are carried out; the context is freed
  * @FT_LEADER_OUTCOME_RETRY: the request is sent again after a backoff pause, with the same context
- * @FT_LEADER_OUTCOME_SUPERSEDED: another controller leads, for the reason in `superseded_reason`: the
- *     term ends; the context is freed
+ * @FT_LEADER_OUTCOME_SUPERSEDED: another controller leads, as the request's `superseded_reason` explains;
+ *     the term ends, and the context is freed
  *
  * What follows the handling of an answer.
  */
@@ -67,7 +67,7 @@
  * @retries: number of times that the request was sent again
  * @superseded_reason: static text, set by a handler that returns %FT_LEADER_OUTCOME_SUPERSEDED
  *
- * The common part of all contexts.
+ * The part that the contexts of all requests have in common.
  */
 struct _FtLeaderRequest {
   const FtLeaderRequestKind *kind;
@@ -123,7 +123,7 @@
 /**
  * ft_leader_first_retry_at:
  *
- * Returns: the monotonic time at which an operation that failed now may be tried again: after the
+ * Returns: the monotonic time at which an operation that has just failed may be tried again: now plus the
  *     first, jittered pause of the backoff
  */
 gint64 ft_leader_first_retry_at (const FtLeaderTerm *term);
--- a/src/net/leader_rows.c
+++ b/src/net/leader_rows.c
@@ -75,8 +75,8 @@
 {
   g_autoptr (GError) error = NULL;
   gint64 now = g_get_monotonic_time ();
-  /* The rows are also read again after the watch has fallen behind: the jobs among them that the
-   * scheduler does not know yet were accepted since the recovery. */
+  /* The open jobs' rows are also read again after the watch has fallen behind. ft_row_apply() then takes
+   * every job that the scheduler does not know yet to be accepted since the first recovery of the term. */
   if (!ft_row_apply (rows->term->scheduler, row, now, wall_ms (), &error))
     warn_unreadable (rows, error);
 }
--- a/src/net/leader_rows.h
+++ b/src/net/leader_rows.h
@@ -16,13 +16,15 @@
  * ft_leader_rows_new:
  * @term: borrowed for the life of the object
  *
- * Returns: (transfer full): an object that knows no rows yet
+ * Returns: (transfer full): an object that has passed no rows to the scheduler yet
  */
 FtLeaderRows *ft_leader_rows_new (FtLeaderTerm *term);
 
 /**
  * ft_leader_rows_free:
- * @rows: (nullable) (transfer full): no answer to a request that uses it may arrive any more
+ * @rows: (nullable) (transfer full): the object
+ *
+ * Must be called only when no answer to a request that uses the object can arrive any more.
  */
 void ft_leader_rows_free (FtLeaderRows *rows);
 
--- a/src/net/leader_watch.h
+++ b/src/net/leader_watch.h
@@ -16,14 +16,17 @@
 
 /**
  * ft_leader_watch_free:
- * @watch: (nullable) (transfer full): no answer to its poll may arrive any more
+ * @watch: (nullable) (transfer full): the watch
+ *
+ * Must be called only when no answer to its poll can arrive any more.
  */
 void ft_leader_watch_free (FtLeaderWatch *watch);
 
 /**
  * ft_leader_watch_end:
  *
- * Resets the watch at the end of a term. The answer to a poll in flight will be dropped.
+ * Called at the end of a term. Resets the state of the watch; the answer to a poll in flight will be
+ * dropped.
  */
 void ft_leader_watch_end (FtLeaderWatch *watch);
 
@@ -31,8 +34,8 @@
  * ft_leader_watch_tick:
  * @now: monotonic time in microseconds
  *
- * Starts the next poll if none is in flight, it is due and the scheduler is loaded. It must only be
- * called while this controller leads.
+ * Starts the next poll if none is in flight, the next one is due and the recovery has loaded the scheduler.
+ * It must only be called while this controller leads.
  */
 void ft_leader_watch_tick (FtLeaderWatch *watch, gint64 now);
 
@@ -40,7 +43,7 @@
  * ft_leader_watch_resume:
  * @watch: the FtLeaderWatch
  *
- * Makes the next poll due at once, because the recovery has read the rows. It is the
- * FtLeaderRecovered callback of the leader's recoveries.
+ * Makes the next poll due at once. It is the FtLeaderRecovered callback of all recoveries: when a recovery
+ * has read the rows, the watch continues after the revision at which they were read.
  */
 void ft_leader_watch_resume (gpointer watch);
--- a/src/net/leadership.c
+++ b/src/net/leadership.c
@@ -163,7 +163,7 @@
     ft_lease_renew_failed (lease, g_get_monotonic_time ());
 }
 
-/* Ignores the answer: if the release is lost, the lease expires by itself. */
+/* Ignores the answer to a release: if the release is lost, the lease expires by itself. */
 static void
 on_released (G_GNUC_UNUSED FtStoreResult result, G_GNUC_UNUSED const json_t *body, gpointer data)
 {
@@ -196,20 +196,22 @@
 
 /* ---- resigning and yielding ---- */
 
-/* Whether no worker heartbeat has arrived for longer than the longest ordinary gap, although the workers
- * had time to send theirs to this leader. Another controller may still receive them. */
+/* Whether this leader seems to be cut off from the workers: no worker heartbeat has arrived for longer than
+ * the longest regular gap between two heartbeats of a worker, although the workers had time to send theirs
+ * to this leader. Another controller may still receive them. */
 static gboolean
 is_cut_off (const FtLeadership *leadership, gint64 now)
 {
   const FtNode *node = leadership->node;
   gint64 longest_gap = seconds (node->config->core.heartbeat_s * FT_HEARTBEAT_GAP_INTERVALS + FT_CUT_OFF_MARGIN_S);
-  /* While this controller may not answer heartbeats, workers send them to other controllers. Without
-   * this grace period a leader that had just renewed its lease after an outage of the store released
-   * the lease, and no controller led until the next failover was over. */
+  /* While this controller may not answer heartbeats, workers send them to other controllers, and need
+   * FT_CUT_OFF_GRACE_S to return. Without this grace period a leader that had just renewed its lease after
+   * an outage of the store released the lease, and no controller led until the next failover was over. */
   gint64 answering_since = MAX (ft_leader_term_began_at (node->leader), leadership->answering_since);
   if (now - answering_since < seconds (FT_CUT_OFF_GRACE_S))
     return FALSE;
-  /* Heartbeats that did not arrive while this process was stalled prove nothing. */
+  /* The time before the end of the last stall does not count: this process receives no heartbeats while it is
+   * stalled, so their absence in that time does not show that the leader is cut off. */
   gint64 receiving_since = MAX (answering_since, leadership->on_time_since);
   const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   gint64 last_heartbeat_at = MAX (receiving_since, ft_scheduler_last_heartbeat_at (scheduler));
@@ -217,11 +219,11 @@
          && ft_scheduler_count_expected_machines (scheduler) >= FT_CUT_OFF_MACHINES;
 }
 
-/* Whether worker heartbeats have waited too long for FT_OVERRUN_S. A controller that has become slow cannot
- * keep up with the heartbeats, and another controller may. If no controller can keep up, the controllers
- * must not replace each other for that reason alone; hence the leader must have led for
- * FT_OVERRUN_LEADERSHIP_MIN_S. A peer must reach the store, because otherwise no controller could succeed
- * this one. */
+/* Whether worker heartbeats have waited too long at all times in the last FT_OVERRUN_S. A controller that has
+ * become slow cannot keep up with the heartbeats, but another controller may be able to. If no controller can
+ * keep up, the controllers must not replace each other for that reason alone; hence the leader must have led
+ * for FT_OVERRUN_LEADERSHIP_MIN_S. The store must serve a peer, because otherwise no controller could succeed
+ * this one as the leader. */
 static gboolean
 is_overrun (const FtLeadership *leadership, gint64 now)
 {
@@ -263,8 +265,9 @@
          && ft_leadership_store_unreachable_only_here (leadership, now);
 }
 
-/* Makes the next heartbeat to the peers due at once, and makes heartbeats say that this controller yields.
- * The peers then read the lease's rows. Like all content of these heartbeats this is advisory. */
+/* Makes the next heartbeats to the peers due at once, and makes this controller's heartbeats say that it
+ * yields. The peers then read the lease's rows. This is advisory, like everything that heartbeats to peers
+ * contain: the rows alone decide which controller leads. */
 static void
 advertise_yield (FtLeadership *leadership, gint64 now)
 {
@@ -272,9 +275,10 @@
   ft_peers_schedule_heartbeat (leadership->node->peers, now);
 }
 
-/* The leader keeps its state, and extends the workers' leases within the answer grace period. The store may
- * fail for all controllers a second later. Then no controller could succeed this leader, and if it had
- * resigned, none would stop cancelled tasks or terminate machines whose tasks hang. */
+/* The leader keeps its state, and extends the workers' leases until its answer grace period is over. It does
+ * not resign, because the store may fail for all controllers a second later. Then no controller could
+ * succeed this leader, and if it had resigned, none would stop cancelled tasks or terminate machines whose
+ * tasks hang. */
 static void
 yield_leadership (FtLeadership *leadership, gint64 now)
 {
--- a/src/net/leadership.h
+++ b/src/net/leadership.h
@@ -37,8 +37,8 @@
  * ft_leadership_tick:
  * @now: monotonic time
  *
- * Sends the requests that are due for the lease, and checks whether this controller should go on
- * leading.
+ * Sends the requests for the lease that are due. If this controller leads, checks whether it should resign
+ * or yield.
  */
 void ft_leadership_tick (FtLeadership *leadership, gint64 now);
 
@@ -46,7 +46,7 @@
  * ft_leadership_note_stall:
  * @now: monotonic time at which the process runs again
  *
- * Records that this process did not run until @now. That it received no messages in that time says
+ * Records that this process did not run for some time until @now. The absence of messages in that time says
  * nothing about the workers or the key-value store.
  */
 void ft_leadership_note_stall (FtLeadership *leadership, gint64 now);
