--- a/src/net/leader_batches.c
+++ b/src/net/leader_batches.c
@@ -19,8 +19,8 @@
   FtBatchState state;
   guint64 journal_revision; /* revision of the journal row, on which the next batch is conditional */
   guint64 last_number;      /* number of the last batch that was sent in this term */
-  guint max_operations; /* limit for a batch, including that on the journal row; lowered when the store refuses a batch */
-  gint64 not_before;    /* the next batch is not sent before this time; monotonic, microseconds */
+  guint max_operations;     /* of a batch, including the journal row's; lowered when the store refuses a batch */
+  gint64 not_before;        /* the next batch is not sent before this time; monotonic, microseconds */
 };
 
 /* The request for a batch, or for the journal row that shows whether the batch was applied. */
