--- a/src/config.c
+++ b/src/config.c
@@ -208,7 +208,7 @@
   const char *where = "settings.resources";
   return read_amount (resources, where, "cpu_share", CPU_SHARE_MIN, &config->cpu_share, error)
          && read_amount (resources, where, "ram_mb", MEMORY_MB_MIN, &config->memory_mb, error)
-         && read_whole (resources, where, "fd_limit", CONNECTIONS_MIN, &config->max_connections, error);
+         && read_whole (resources, where, "fd_limit", CONNECTIONS_MIN, &config->max_file_descriptors, error);
 }
 
 static gboolean
@@ -221,7 +221,7 @@
   const json_t *cloud = state ? find_map (params, "settings", "cloud", error) : NULL;
   const json_t *resources = cloud ? find_map (params, "settings", "resources", error) : NULL;
   return resources != NULL && read_whole (params, "settings", "size", 1, &settings->size, error)
-         && read_amount (params, "settings", "skew_ms", 0, &config->clock_off_ms, error)
+         && read_amount (params, "settings", "skew_ms", 0, &config->clock_skew_ms, error)
          && read_workers (workers, settings, error) && read_store_limits (state, settings, error)
          && read_cloud (cloud, settings, error) && read_resources (resources, config, error)
          && read_teams (params, config, error);
--- a/src/config.h
+++ b/src/config.h
@@ -61,8 +61,8 @@
  * @core: what the scheduler needs; its member is that of this structure
  * @cpu_share: share of a CPU that this process may use; checked, but nothing depends on it
  * @memory_mb: memory that this process may use; checked, but nothing depends on it
- * @clock_off_ms: most that wall clocks differ; checked, but nothing depends on it
- * @max_connections: most file descriptors that this process may have open
+ * @clock_skew_ms: most that wall clocks differ; checked, but nothing depends on it
+ * @max_file_descriptors: most file descriptors that this process may have open
  *
  * The whole file. Owns all that it points to.
  */
@@ -72,8 +72,8 @@
   char *cloud_addr, *store_addr;
   GArray *peers;
   FtSettings core;
-  double cpu_share, memory_mb, clock_off_ms;
-  guint max_connections;
+  double cpu_share, memory_mb, clock_skew_ms;
+  guint max_file_descriptors;
 } FtConfig;
 
 /**
--- a/src/net/controller.c
+++ b/src/net/controller.c
@@ -115,7 +115,7 @@
 {
   node->store = ft_store_client_new (node->config);
   node->worker_client
-      = ft_http_client_new (CONNECTIONS_PER_WORKER, node->config->max_connections / WORKER_CONNECTIONS_DIVISOR);
+      = ft_http_client_new (CONNECTIONS_PER_WORKER, node->config->max_file_descriptors / WORKER_CONNECTIONS_DIVISOR);
   node->cloud_client = ft_http_client_new (CLOUD_CONNECTIONS, CLOUD_CONNECTIONS);
 }
 
@@ -136,7 +136,7 @@
 start_listening (FtNode *node, GError **error)
 {
   const FtConfig *config = node->config;
-  guint most = (guint) (config->max_connections * FT_SOCKET_SHARE) - FT_CONNECTIONS_PER_HOST;
+  guint most = (guint) (config->max_file_descriptors * FT_SOCKET_SHARE) - FT_CONNECTIONS_PER_HOST;
   node->front = ft_http_server_new (config->listen, FT_BODY_CBOR, most, ft_front_handle, node, error);
   if (node->front == NULL)
     return FALSE;
--- a/src/net/leader_commands.c
+++ b/src/net/leader_commands.c
@@ -34,7 +34,7 @@
   FtLeaderCommands *commands = request->owner;
   const FtNode *node = request->term->node;
   gboolean has_heartbeat = status == FT_HTTP_OK || status == FT_HTTP_CONFLICT;
-  g_autoptr (FtWorkerHeartbeat) heartbeat = has_heartbeat ? ft_message_worker_heartbeat_read (body, size) : NULL;
+  g_autoptr (FtWorkerHeartbeat) heartbeat = has_heartbeat ? ft_message_worker_heartbeat_from_cbor (body, size) : NULL;
   FtDirectResult result = command_result (status, heartbeat);
   commands->in_flight--;
   if (has_heartbeat && heartbeat == NULL)
--- a/src/net/leader_rows.c
+++ b/src/net/leader_rows.c
@@ -66,7 +66,7 @@
 {
   g_autoptr (GError) error = NULL;
   gint64 now = g_get_monotonic_time ();
-  if (!ft_row_take_open (rows->term->scheduler, row, accepted_since, now, wall_ms (), &error))
+  if (!ft_row_apply_open (rows->term->scheduler, row, accepted_since, now, wall_ms (), &error))
     warn_unreadable (rows, error);
 }
 
@@ -76,7 +76,7 @@
   g_autoptr (GError) error = NULL;
   gint64 now = g_get_monotonic_time ();
   /* When a watch fell behind, the rows are read again: only jobs accepted meanwhile are new. */
-  if (!ft_row_take (rows->term->scheduler, row, now, wall_ms (), &error))
+  if (!ft_row_apply (rows->term->scheduler, row, now, wall_ms (), &error))
     warn_unreadable (rows, error);
 }
 
--- a/src/net/worker_endpoint.c
+++ b/src/net/worker_endpoint.c
@@ -44,7 +44,7 @@
   }
   gsize size;
   const guint8 *body = ft_http_raw_body (request, &size);
-  g_autoptr (FtWorkerHeartbeat) heartbeat = body != NULL ? ft_message_worker_heartbeat_read (body, size) : NULL;
+  g_autoptr (FtWorkerHeartbeat) heartbeat = body != NULL ? ft_message_worker_heartbeat_from_cbor (body, size) : NULL;
   if (heartbeat == NULL) {
     ft_malformed_log_add (node->malformed, FT_COUNT_MALFORMED_WORKERS, "worker heartbeat");
     ft_http_respond (request, FT_HTTP_BAD_REQUEST, NULL);
--- a/src/wire/job_rows.c
+++ b/src/wire/job_rows.c
@@ -171,7 +171,7 @@
 }
 
 guint64
-ft_row_open_revision (const FtRow *row)
+ft_row_open_state_revision (const FtRow *row)
 {
   guint64 revision;
   return ft_field_count (row->value, FIELD_STATE_REVISION, 1, G_MAXINT64, &revision) ? revision : row->revision;
--- a/src/wire/job_rows.h
+++ b/src/wire/job_rows.h
@@ -103,13 +103,13 @@
 gsize ft_row_open_size (const FtJobSpec *spec);
 
 /**
- * ft_row_open_revision:
+ * ft_row_open_state_revision:
  * @row: an open job's row
  *
  * Returns: the revision of the job's state row, on which its end is conditional. Both rows are
  * written together; after that the open job's row is written whenever its dispatch watermark is raised.
  */
-guint64 ft_row_open_revision (const FtRow *row);
+guint64 ft_row_open_state_revision (const FtRow *row);
 
 /**
  * ft_row_open_parse_full:
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -79,7 +79,7 @@
 FtWorkerHeartbeat *ft_message_worker_heartbeat (const json_t *body);
 
 /**
- * ft_message_worker_heartbeat_read:
+ * ft_message_worker_heartbeat_from_cbor:
  * @data: CBOR
  * @size: its length
  *
@@ -88,7 +88,7 @@
  * Returns: (transfer full) (nullable): what decoding the tree and ft_message_worker_heartbeat()
  * would return.
  */
-FtWorkerHeartbeat *ft_message_worker_heartbeat_read (const guint8 *data, gsize size);
+FtWorkerHeartbeat *ft_message_worker_heartbeat_from_cbor (const guint8 *data, gsize size);
 
 /**
  * ft_message_answer:
--- a/src/wire/scheduler_rows.c
+++ b/src/wire/scheduler_rows.c
@@ -14,8 +14,8 @@
 }
 
 gboolean
-ft_row_take_open (FtScheduler *scheduler, const FtRow *row, gboolean accepted_since, gint64 now, gint64 wall_ms,
-                  GError **error)
+ft_row_apply_open (FtScheduler *scheduler, const FtRow *row, gboolean accepted_since, gint64 now, gint64 wall_ms,
+                   GError **error)
 {
   gboolean cancelled;
   g_autofree char *ref = ft_key_open_ref (row->key, &cancelled);
@@ -31,9 +31,9 @@
     return FALSE;
   }
   if (accepted_since)
-    ft_scheduler_job_added (scheduler, spec, ft_row_open_revision (row), now, wall_ms);
+    ft_scheduler_job_added (scheduler, spec, ft_row_open_state_revision (row), now, wall_ms);
   else
-    ft_scheduler_load_job (scheduler, spec, ft_row_open_revision (row), now, wall_ms);
+    ft_scheduler_load_job (scheduler, spec, ft_row_open_state_revision (row), now, wall_ms);
   return TRUE;
 }
 
@@ -47,12 +47,12 @@
 }
 
 gboolean
-ft_row_take (FtScheduler *scheduler, const FtRow *row, gint64 now, gint64 wall_ms, GError **error)
+ft_row_apply (FtScheduler *scheduler, const FtRow *row, gint64 now, gint64 wall_ms, GError **error)
 {
   g_autofree char *ref = NULL;
   guint chunk;
   if (g_str_has_prefix (row->key, FT_PREFIX_OPEN))
-    return ft_row_take_open (scheduler, row, ft_scheduler_is_loaded (scheduler), now, wall_ms, error);
+    return ft_row_apply_open (scheduler, row, ft_scheduler_is_loaded (scheduler), now, wall_ms, error);
   if (ft_key_drained_name (row->key) != NULL)
     ft_scheduler_drain (scheduler, ft_key_drained_name (row->key), TRUE);
   else if (g_str_has_prefix (row->key, FT_PREFIX_REGISTRY))
--- a/src/wire/scheduler_rows.h
+++ b/src/wire/scheduler_rows.h
@@ -12,7 +12,7 @@
 #include "wire/store_messages.h"
 
 /**
- * ft_row_take_open:
+ * ft_row_apply_open:
  * @scheduler: the leader's scheduler
  * @row: a row below %FT_PREFIX_OPEN, an open job's or a cancellation's; that of a deletion is
  *   ignored, and so is any other
@@ -25,11 +25,11 @@
  *
  * Returns: %FALSE if the job's row is malformed: the job is not scheduled then.
  */
-gboolean ft_row_take_open (FtScheduler *scheduler, const FtRow *row, gboolean accepted_since, gint64 now,
-                           gint64 wall_ms, GError **error);
+gboolean ft_row_apply_open (FtScheduler *scheduler, const FtRow *row, gboolean accepted_since, gint64 now,
+                            gint64 wall_ms, GError **error);
 
 /**
- * ft_row_take:
+ * ft_row_apply:
  * @scheduler: the leader's scheduler
  * @row: a row below any prefix that a new leader reads: an open job's, a cancellation's, a chunk
  *   of finished tasks, of the machine registry or a drained machine's; any other is ignored
@@ -43,4 +43,4 @@
  * Returns: %FALSE if the row is that of a job or of machines and malformed. The machines of it
  * that could be read have been taken all the same.
  */
-gboolean ft_row_take (FtScheduler *scheduler, const FtRow *row, gint64 now, gint64 wall_ms, GError **error);
+gboolean ft_row_apply (FtScheduler *scheduler, const FtRow *row, gint64 now, gint64 wall_ms, GError **error);
--- a/src/wire/worker_heartbeat.c
+++ b/src/wire/worker_heartbeat.c
@@ -353,7 +353,7 @@
 }
 
 FtWorkerHeartbeat *
-ft_message_worker_heartbeat_read (const guint8 *data, gsize size)
+ft_message_worker_heartbeat_from_cbor (const guint8 *data, gsize size)
 {
   FtWorkerHeartbeat *heartbeat = read_plain (data, size);
   if (heartbeat != NULL)
--- a/tests/capture/names_8fb6b9e.hpp
+++ b/tests/capture/names_8fb6b9e.hpp
@@ -29,14 +29,14 @@
 #define ft_cloud_scale_out_body ft_cloud_rent_body
 #define ft_key_cancellation ft_key_withdrawn
 #define ft_message_worker_heartbeat ft_message_report
-#define ft_message_worker_heartbeat_read ft_message_report_read
+#define ft_message_worker_heartbeat_from_cbor ft_message_report_read
 #define ft_peer_heartbeat_add_job ft_heartbeat_add_job
 #define ft_peer_heartbeat_body ft_heartbeat_body
 #define ft_peer_heartbeat_new ft_heartbeat_new
 #define ft_peer_heartbeat_parse ft_heartbeat_parse
 #define ft_row_cancellation ft_row_withdrawn
 #define ft_row_cancellation_time ft_row_withdrawn_at
-#define ft_row_open_revision ft_row_open_stamp
+#define ft_row_open_state_revision ft_row_open_stamp
 #define has_dependencies has_needs
 #define revision stamp
 #define supports_dependencies knows_needs
--- a/tests/capture/wire_capture_read.hpp
+++ b/tests/capture/wire_capture_read.hpp
@@ -224,7 +224,7 @@
     json_array_append_new (list, json_pack ("{s:s, s:o, s:o, s:o, s:s?, s:I}", "key", key, "of", describe_key (key),
                                             "spec", describe (spec), "state", describe_job_row (row.value), "bits",
                                             ft_row_chunk_bits (row.value), "revision",
-                                            (json_int_t) ft_row_open_revision (&row)));
+                                            (json_int_t) ft_row_open_state_revision (&row)));
   }
   json_object_set_new (out, "batch", list);
   json_decref (batch);
@@ -238,7 +238,7 @@
   auto data = (const guint8 *) g_bytes_get_data (bytes, &size);
   json_t *tree = ft_cbor_decode (data, size);
   g_autoptr (FtWorkerHeartbeat) slow = ft_message_worker_heartbeat (tree),
-                                quick = ft_message_worker_heartbeat_read (data, size);
+                                quick = ft_message_worker_heartbeat_from_cbor (data, size);
   json_object_set_new (out, (name + "/tree").c_str (), describe (slow));
   json_object_set_new (out, (name + "/stream").c_str (), describe (quick));
   json_decref (tree);
--- a/tests/sim/node_load.cpp
+++ b/tests/sim/node_load.cpp
@@ -59,7 +59,7 @@
 Node::take_row (const FtRow *row)
 {
   g_autoptr (GError) error = nullptr;
-  if (!ft_row_take (scheduler_.get (), row, clock (), world_.now / 1000, &error))
+  if (!ft_row_apply (scheduler_.get (), row, clock (), world_.now / 1000, &error))
     ADD_FAILURE () << error->message;
 }
 
--- a/tests/test_fuzz.cpp
+++ b/tests/test_fuzz.cpp
@@ -250,7 +250,7 @@
 {
   json_t *tree = ft_cbor_decode (data, size);
   g_autoptr (FtWorkerHeartbeat) slow = ft_message_worker_heartbeat (tree),
-                                quick = ft_message_worker_heartbeat_read (data, size);
+                                quick = ft_message_worker_heartbeat_from_cbor (data, size);
   EXPECT_EQ (text_of (quick), text_of (slow));
   *taken += quick != nullptr;
   json_decref (tree);
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -68,8 +68,8 @@
     guint chunk;
     g_autofree char *ref = nullptr, *open = ft_key_open_ref (key, &cancelled);
     if (open != nullptr && !cancelled)
-      ft_scheduler_load_job (harness.scheduler, ft_row_open_parse (open, value), ft_row_open_revision (&row), 100 * kS,
-                             0);
+      ft_scheduler_load_job (harness.scheduler, ft_row_open_parse (open, value), ft_row_open_state_revision (&row),
+                             100 * kS, 0);
     else if (open != nullptr)
       ft_scheduler_job_cancelled (harness.scheduler, open, 0, 100 * kS);
     else if (ft_key_chunk_parse (key, &ref, &chunk))
--- a/tests/test_store_transactions.cpp
+++ b/tests/test_store_transactions.cpp
@@ -197,7 +197,7 @@
   {
     Json owned (value);
     FtRow row = { key, value, 40 };
-    return ft_row_take (harness.scheduler, &row, kNow, kWallMs, error);
+    return ft_row_apply (harness.scheduler, &row, kNow, kWallMs, error);
   }
   gboolean
   take_open (const char *ref, guint tasks)
