--- a/src/wire/cbor.c
+++ b/src/wire/cbor.c
@@ -5,36 +5,39 @@
 
 #include "core/constants.h"
 
-/* The streaming decoder is used, not cbor_load(): the latter reserves memory
- * for the length that a header announces, whatever follows it. */
+/* This module uses libcbor's streaming decoder. cbor_load() would allocate memory for the length
+ * that a header announces, even if the input is shorter. */
 
-/* Items still to come of a container that ends with a break. */
+/* Value of Frame.items_left for a container of indefinite length, which a break ends. */
 #define INDEFINITE G_MAXUINT64
-/* Longest head of an item: its type and eight bytes of length or value. */
+/* Longest head of an item in bytes: one byte for its type, eight for its length or value. */
 #define HEAD_MAX 9
 
+/* An array or map whose items are still being decoded. */
 typedef struct {
-  json_t *node; /* array or map being filled, owned by its parent */
-  guint64 left; /* items still to come, or INDEFINITE */
-  char *key;    /* key waiting for its value */
+  json_t *node;       /* the array or map, owned by its parent */
+  guint64 items_left; /* number of items that are not decoded yet, or INDEFINITE */
+  char *key;          /* the decoded key of a map entry whose value is not decoded yet; NULL: none */
 } Frame;
 
+/* The value tree that is being built from the decoded items. */
 typedef struct {
-  json_t *root;
+  json_t *root; /* NULL until the first item is decoded */
   Frame stack[FT_NESTING_MAX];
-  int depth;
-  GString *text; /* chunked text being joined */
-  gboolean failed;
+  int depth;       /* number of frames in use */
+  GString *text;   /* the joined chunks of a text of indefinite length; NULL: no such text is open */
+  gboolean failed; /* the input is not valid */
 } Builder;
 
+/* Closes the innermost containers that have all of their items. */
 static void
 builder_close_full (Builder *builder)
 {
-  while (builder->depth > 0 && builder->stack[builder->depth - 1].left == 0)
+  while (builder->depth > 0 && builder->stack[builder->depth - 1].items_left == 0)
     builder->depth--;
 }
 
-/* A key must be a text without a zero byte. */
+/* Stores the key of a map entry, which must be a text without a zero byte. Takes the reference to `key`. */
 static void
 frame_set_key (Builder *builder, Frame *frame, json_t *key)
 {
@@ -46,6 +49,7 @@
   json_decref (key);
 }
 
+/* Appends an item to an array, or sets the value of the current key of a map. Takes the reference to `value`. */
 static void
 frame_put (Frame *frame, json_t *value)
 {
@@ -55,12 +59,12 @@
     json_object_set_new (frame->node, frame->key, value);
     g_clear_pointer (&frame->key, g_free);
   }
-  if (frame->left != INDEFINITE)
-    frame->left--;
+  if (frame->items_left != INDEFINITE)
+    frame->items_left--;
 }
 
-/* Puts a value into the innermost open container, which stays open even if it
- * is full now: a full one still counts as nesting while its last item is open. */
+/* Puts a value into the innermost open container and takes the reference to `value`. The container stays open even
+ * if it is full now: if the value is itself a container, both count for the nesting depth. */
 static void
 builder_put (Builder *builder, json_t *value)
 {
@@ -80,6 +84,7 @@
     frame_put (frame, value);
 }
 
+/* Adds a value that is complete. */
 static void
 builder_add (Builder *builder, json_t *value)
 {
@@ -87,6 +92,7 @@
   builder_close_full (builder);
 }
 
+/* Adds an array or a map whose items follow in the input. */
 static void
 builder_open (Builder *builder, json_t *node, guint64 items)
 {
@@ -98,7 +104,7 @@
   builder_put (builder, node);
   if (builder->failed)
     return;
-  builder->stack[builder->depth++] = (Frame){ .node = node, .left = items };
+  builder->stack[builder->depth++] = (Frame){ .node = node, .items_left = items };
   builder_close_full (builder);
 }
 
@@ -107,7 +113,7 @@
 {
   json_t *text = json_stringn ((const char *) data, size);
   if (text == NULL)
-    builder->failed = TRUE; /* not UTF-8 */
+    builder->failed = TRUE; /* the text is not valid UTF-8 */
   else
     builder_add (builder, text);
 }
@@ -137,7 +143,7 @@
   ((Builder *) builder)->failed = TRUE;
 }
 
-/* Callbacks of libcbor, one for each encoding of an item. */
+/* The callbacks for libcbor's decoder: one for each encoding of an item. */
 /* clang-format off */
 static void on_u8 (void *builder, uint8_t value) { builder_integer (builder, value, FALSE); }
 static void on_u16 (void *builder, uint16_t value) { builder_integer (builder, value, FALSE); }
@@ -186,7 +192,7 @@
   if (builder->text != NULL) {
     g_autoptr (GString) text = g_steal_pointer (&builder->text);
     builder_text (builder, (const guint8 *) text->str, text->len);
-  } else if (builder->depth == 0 || builder->stack[builder->depth - 1].left != INDEFINITE
+  } else if (builder->depth == 0 || builder->stack[builder->depth - 1].items_left != INDEFINITE
              || builder->stack[builder->depth - 1].key != NULL) {
     builder->failed = TRUE;
   } else {
@@ -222,7 +228,7 @@
   .indef_break = on_break,
 };
 
-/* Frees what is left of an input that ended in the midst of an item. */
+/* Frees the keys and the text that remain if the input ends within an item. */
 static void
 builder_clear (Builder *builder)
 {
@@ -250,6 +256,7 @@
   return builder.root;
 }
 
+/* A function of libcbor that encodes the head of a text, an array or a map of the given length. */
 typedef size_t (*HeadWriter) (size_t, unsigned char *, size_t);
 
 static void
--- a/src/wire/cbor.h
+++ b/src/wire/cbor.h
@@ -2,9 +2,9 @@
  * SECTION: cbor
  * @title: CBOR
  *
- * The protocol's bodies are CBOR of the JSON data model. Both are converted to and from jansson's
- * value tree, on which all decoders and encoders of src/wire work. Called by the HTTP code of
- * src/net for each body.
+ * Converts message bodies between CBOR and the value trees of the jansson library. The protocol's
+ * CBOR is limited to the JSON data model. Decoders and encoders of src/wire work on value trees; the
+ * HTTP code of src/net and worker_heartbeat.c call this module.
  */
 #pragma once
 #include <glib.h>
@@ -12,14 +12,14 @@
 
 /**
  * ft_cbor_decode:
- * @data: bytes that anybody may have sent
- * @size: their number
+ * @data: a message body from an untrusted sender
+ * @size: length of @data in bytes
  *
- * Memory is used for what is there, not for lengths that are merely announced.
+ * Allocates memory only for items that @data contains, never for a length that a header announces.
  *
- * Returns: (transfer full) (nullable): the value, or %NULL if @data is not exactly one well-formed
- * item, has a part outside of the JSON model (byte strings, tags, numbers that are not finite, keys
- * that are not texts) or is nested deeper than %FT_NESTING_MAX.
+ * Returns: (transfer full) (nullable): the value tree, or %NULL if @data is not exactly one
+ * well-formed item, contains something outside of the JSON data model (byte strings, tags, numbers
+ * that are not finite, keys that are not texts) or is nested deeper than %FT_NESTING_MAX.
  */
 json_t *ft_cbor_decode (const guint8 *data, gsize size);
 
@@ -27,6 +27,7 @@
  * ft_cbor_encode:
  * @value: a value tree
  *
- * Returns: (transfer full): its encoding, maps in the order of their fields; never %NULL.
+ * Returns: (transfer full): the CBOR encoding of @value, never %NULL. The fields of a map keep
+ * their order.
  */
 GBytes *ft_cbor_encode (const json_t *value);
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -4,11 +4,12 @@
 #include "wire/fields.h"
 #include "wire/protocol.h"
 
-/* The cloud's words for states of a machine; any other is one that runs. */
+/* The cloud's name of the state of a machine whose launch has failed. */
 #define STATE_FAILED "failed"
+/* The cloud's name of the state of a machine that is booting. All other state names stand for a running machine. */
 #define STATE_BOOTING "starting"
 
-/* Where the catalog does not say. */
+/* Rate in GB/s at which a machine fetches images if the catalog does not contain it. */
 #define DEFAULT_FETCH_GB_PER_S 1.0
 
 static FtMachineType *
--- a/src/wire/fields.c
+++ b/src/wire/fields.c
@@ -22,7 +22,8 @@
   return item == NULL || json_is_null (item);
 }
 
-/* New, or NULL if it is not a text of 1 to `max_bytes` bytes without a zero among them. */
+/* Returns a copy of the text, which the caller frees; NULL if `item` is not a text of 1 to `max_bytes` bytes without a
+ * zero byte. */
 static char *
 copy_text (const json_t *item, gsize max_bytes)
 {
--- a/src/wire/job_rows.c
+++ b/src/wire/job_rows.c
@@ -6,22 +6,24 @@
 #include "wire/fields.h"
 #include "wire/messages.h"
 
-/* Fields of a job's state. */
+/* Fields of a state row; the open row has FIELD_TASKS too. */
 #define FIELD_STATE "state"
 #define FIELD_TASKS "tasks"
-#define FIELD_HAS_DEPENDENCIES "needs"
-#define FIELD_ENDED "ended_ms"
+#define FIELD_HAS_DEPENDENCIES "needs" /* whether the job was submitted with dependencies */
+#define FIELD_ENDED "ended_ms"         /* wall time of the job's end, in milliseconds since 1970 */
+
+/* Values of FIELD_STATE. */
 #define STATE_OPEN "open"
 #define STATE_DONE "done"
 #define STATE_CANCELLED "cancelled"
 
-/* Field of a cancellation. */
+/* Field of a cancellation row: the wall time of the cancellation, in milliseconds since 1970. */
 #define FIELD_CANCELLED_AT "at_ms"
 
-/* Field of a chunk of finished tasks. */
+/* Field of a chunk row: a chunk of the bitmap of finished tasks, in base64. */
 #define FIELD_BITS "bits"
 
-/* Fields of an open job, beside the number of its tasks. */
+/* Fields of an open row, in addition to FIELD_TASKS. */
 #define FIELD_CLASS "class"
 #define FIELD_TEAM "team"
 #define FIELD_KIND "kind"
@@ -40,12 +42,12 @@
 #define FIELD_CHECKPOINT_INTERVAL "checkpoint_s"
 #define FIELD_CHECKPOINT_DURATION "save_s"
 #define FIELD_DEADLINE "deadline_s"
-#define FIELD_SUBMITTED "submitted_ms"
-#define FIELD_DISPATCH_WATERMARK "sent"
-#define FIELD_DEPENDENCIES "awaits"
-#define FIELD_STATE_REVISION "stamp"
+#define FIELD_SUBMITTED "submitted_ms"  /* wall time of the acceptance, in milliseconds since 1970 */
+#define FIELD_DISPATCH_WATERMARK "sent" /* task indexes from this one on were never sent to a machine */
+#define FIELD_DEPENDENCIES "awaits"     /* refs of the jobs that must be done first, as pack_refs() joins them */
+#define FIELD_STATE_REVISION "stamp"    /* revision of the job's state row; missing: the same as that of the open row */
 
-/* ---- cancellations, states and chunks ---- */
+/* ---- cancellation rows and state rows ---- */
 
 json_t *
 ft_row_cancellation (gint64 wall_ms)
@@ -93,7 +95,7 @@
   return out->open || out->end == FT_JOB_END_DONE || strcmp (state, STATE_CANCELLED) == 0;
 }
 
-/* ---- open jobs ---- */
+/* ---- open rows ---- */
 
 static json_t *
 text_list (GStrv texts)
@@ -106,7 +108,8 @@
   return list;
 }
 
-/* Refs as one text, without their common prefix, so that a row can hold hundreds of them. */
+/* Joins refs to one text without their common prefix, so that a row can hold hundreds of refs. The caller frees the
+ * text. */
 static char *
 pack_refs (GStrv refs)
 {
@@ -230,7 +233,7 @@
 static gboolean
 read_open_counts (const json_t *value, FtJobSpec *spec, GError **error)
 {
-  /* Rows of versions before there were kinds have none. */
+  /* Older versions wrote no kind: their jobs are arrays. */
   guint64 kind = FT_KIND_ARRAY, priority, tasks, submitted;
   if (!ft_field_is_null (value, FIELD_KIND) && !ft_field_count (value, FIELD_KIND, 0, FT_KIND_SERVICE, &kind))
     return ft_field_fail (value, FIELD_KIND, error);
@@ -247,7 +250,7 @@
   return TRUE;
 }
 
-/* Rows of versions before there was a dispatch watermark have none: each task may have been sent. */
+/* Older versions wrote no dispatch watermark. In their rows any task may have been sent to a machine. */
 static gboolean
 read_watermark (const json_t *value, FtJobSpec *spec, GError **error)
 {
@@ -259,7 +262,8 @@
   return TRUE;
 }
 
-/* If its dependencies cannot be read the whole job cannot: it must not start before them. */
+/* Malformed dependencies make the whole row malformed, because the job must not start before its dependencies are
+ * done. */
 static gboolean
 read_dependencies (const json_t *value, FtJobSpec *spec, GError **error)
 {
--- a/src/wire/job_rows.h
+++ b/src/wire/job_rows.h
@@ -2,10 +2,17 @@
  * SECTION: job_rows
  * @title: Rows of jobs
  *
- * The values of a job's rows: its state (kept for ever, so that a ref is never accepted twice),
- * its specification while it is open, its cancellation, and the bitmap of its finished tasks in
- * chunks. Written by src/net/user_api.c when a job is accepted or cancelled and by write_batch.c
- * for the leader; read by src/net/leader.c during recovery and from the watch.
+ * Encodes and decodes the values of a job's rows in the key-value store:
+ *
+ * - The state row says whether the job is open, done or cancelled. It is never deleted, so that a
+ *   ref cannot be accepted twice.
+ * - The open row holds the job's specification. It exists while the job is open, and after a
+ *   cancellation until all tasks of the job have stopped.
+ * - The cancellation row exists from the cancellation of the job until all of its tasks have stopped.
+ * - The chunk rows hold the bitmap of the job's finished tasks, in chunks.
+ *
+ * The rows are written by the transactions of job_transactions.h when a job is accepted or cancelled,
+ * and by write_batch.h for the leader. The leader reads them during recovery and from its watch.
  */
 #pragma once
 #include <glib.h>
@@ -17,13 +24,13 @@
 /**
  * FtJobRow:
  * @open: the job is neither done nor cancelled
- * @has_dependencies: it is open and was submitted with dependencies
- * @end: how it ended; undefined while it is open
- * @tasks: number of its tasks
- * @ended_wall_ms: when it ended, in milliseconds since 1970; 0 if it is open or its row was
- *   written by a version that did not keep the time
+ * @has_dependencies: the job is open and was submitted with dependencies
+ * @end: how the job ended; undefined while the job is open
+ * @tasks: number of the job's tasks
+ * @ended_wall_ms: wall time of the job's end, in milliseconds since 1970; 0 if the job is open or
+ *   an older version, which did not store the time, wrote the row
  *
- * A job's state as its row holds it.
+ * The content of a job's state row.
  */
 typedef struct {
   gboolean open, has_dependencies;
@@ -36,42 +43,43 @@
  * ft_row_job_open:
  * @spec: a job that is being accepted
  *
- * Returns: (transfer full): the value of its state row.
+ * Returns: (transfer full): the value of the open job's state row.
  */
 json_t *ft_row_job_open (const FtJobSpec *spec);
 
 /**
  * ft_row_job_ended:
  * @end: how the job ends
- * @tasks: number of its tasks
- * @wall_ms: time of its end, in milliseconds since 1970
+ * @tasks: number of the job's tasks
+ * @wall_ms: wall time of the job's end, in milliseconds since 1970
  *
- * Returns: (transfer full): the value of its state row.
+ * Returns: (transfer full): the value of the ended job's state row.
  */
 json_t *ft_row_job_ended (FtJobEnd end, guint tasks, gint64 wall_ms);
 
 /**
  * ft_row_job_parse:
  * @value: (nullable): the value of a state row
- * @out: (out): the state; undefined on failure
+ * @out: (out): the content of the row; undefined on failure
  *
- * Returns: %FALSE if the value is malformed.
+ * Returns: %TRUE on success, %FALSE if the value is malformed.
  */
 gboolean ft_row_job_parse (const json_t *value, FtJobRow *out);
 
 /**
  * ft_row_cancellation:
- * @wall_ms: time at which the cancellation is sent, in milliseconds since 1970
+ * @wall_ms: wall time at which the cancellation is sent to the store, in milliseconds since 1970
  *
- * Returns: (transfer full): the value of the cancellation's row.
+ * Returns: (transfer full): the value of the cancellation row.
  */
 json_t *ft_row_cancellation (gint64 wall_ms);
 
 /**
  * ft_row_cancellation_time:
- * @value: the value of a cancellation's row
+ * @value: the value of a cancellation row
  *
- * Returns: its time in milliseconds since 1970; 0 if the row does not say.
+ * Returns: the wall time of the cancellation, in milliseconds since 1970; 0 if the row contains no
+ * valid time.
  */
 gint64 ft_row_cancellation_time (const json_t *value);
 
@@ -79,18 +87,20 @@
  * ft_row_open:
  * @spec: a job that is being accepted
  *
- * Returns: (transfer full): the value of its row among the open jobs.
+ * Returns: (transfer full): the value of the job's open row.
  */
 json_t *ft_row_open (const FtJobSpec *spec);
 
 /**
  * ft_row_open_with_watermark:
  * @spec: an open job
- * @watermark: its raised dispatch watermark
- * @revision: revision of its state row
+ * @watermark: the job's raised dispatch watermark
+ * @revision: revision of the job's state row
+ *
+ * The write that raises the watermark gives the open row a later revision than the state row has.
+ * The value therefore also contains the revision of the state row.
  *
- * Returns: (transfer full): the value of its row among the open jobs once the watermark has been
- * raised. The row then has a later revision than the state row, and so states the latter's.
+ * Returns: (transfer full): the value of the job's open row with the raised watermark.
  */
 json_t *ft_row_open_with_watermark (const FtJobSpec *spec, guint watermark, guint64 revision);
 
@@ -98,51 +108,57 @@
  * ft_row_open_size:
  * @spec: a job that is about to be accepted
  *
- * Returns: the most bytes of JSON that its row among the open jobs ever takes.
+ * Returns: the greatest size, in bytes of JSON, that the value of the job's open row can reach.
  */
 gsize ft_row_open_size (const FtJobSpec *spec);
 
 /**
  * ft_row_open_state_revision:
- * @row: an open job's row
+ * @row: the open row of a job
  *
- * Returns: the revision of the job's state row, on which its end is conditional. Both rows are
- * written together; after that the open job's row is written whenever its dispatch watermark is raised.
+ * The store gives the state row and the open row the same revision when the job is accepted. Later
+ * writes of the open row, which raise the dispatch watermark, store the revision of the state row in
+ * the value.
+ *
+ * Returns: the revision of the job's state row. The write that ends the job is conditional on it.
  */
 guint64 ft_row_open_state_revision (const FtRow *row);
 
 /**
  * ft_row_open_parse_full:
- * @ref: the job's ref, from the key
- * @value: (nullable): the value of its row among the open jobs
- * @error: (nullable): set on failure to an %FT_WIRE_ERROR that names the field
+ * @ref: the job's ref, from the key of the row
+ * @value: (nullable): the value of the job's open row
+ * @error: (nullable): set on failure to an %FT_WIRE_ERROR whose message names the field
  *
- * Returns: (transfer full) (nullable): the job, or %NULL if any field is malformed: a job is never
- * run with a part of what was submitted.
+ * Returns: (transfer full) (nullable): the job, or %NULL if any field is malformed. A job must never
+ * run with an incomplete specification.
  */
 FtJobSpec *ft_row_open_parse_full (const char *ref, const json_t *value, GError **error);
 
 /**
  * ft_row_open_parse:
- * @ref: the job's ref, from the key
- * @value: (nullable): the value of its row among the open jobs
+ * @ref: the job's ref, from the key of the row
+ * @value: (nullable): the value of the job's open row
+ *
+ * Does the same as ft_row_open_parse_full(), for callers that do not need the error.
  *
- * Returns: (transfer full) (nullable): as ft_row_open_parse_full(), for callers that do not log.
+ * Returns: (transfer full) (nullable): the job, or %NULL if any field is malformed.
  */
 FtJobSpec *ft_row_open_parse (const char *ref, const json_t *value);
 
 /**
  * ft_row_chunk:
- * @bits: base64 text of a chunk of the bitmap of finished tasks
+ * @bits: a chunk of the bitmap of finished tasks, in base64
  *
- * Returns: (transfer full): the value of the chunk's row.
+ * Returns: (transfer full): the value of the chunk row.
  */
 json_t *ft_row_chunk (const char *bits);
 
 /**
  * ft_row_chunk_bits:
- * @value: (nullable): the value of a chunk's row
+ * @value: (nullable): the value of a chunk row
  *
- * Returns: (transfer none) (nullable): its base64 text, or %NULL if the value is malformed.
+ * Returns: (transfer none) (nullable): the chunk of the bitmap in base64, borrowed from @value;
+ * %NULL if the value is malformed.
  */
 const char *ft_row_chunk_bits (const json_t *value);
--- a/src/wire/job_transactions.h
+++ b/src/wire/job_transactions.h
@@ -2,9 +2,9 @@
  * SECTION: job_transactions
  * @title: Transactions on jobs
  *
- * The transactions by which a controller accepts a job and cancels one, whether it leads or not.
- * Used by src/net/submission.c and src/net/cancellation.c. A job's end and the rest of what the
- * leader writes about it are in write_batch.h.
+ * The transactions by which a controller, as leader or as follower, accepts or cancels a job. Used by
+ * src/net/submission.c and src/net/cancellation.c. Only the leader writes anything else about a job;
+ * see write_batch.h.
  */
 #pragma once
 #include <glib.h>
@@ -16,7 +16,8 @@
  * ft_txn_submit:
  * @spec: a job that is being accepted
  *
- * The acceptance of a job, as open. It is refused if its ref has ever been accepted.
+ * Accepts a job as open. The store refuses the transaction if a job with the same ref was accepted
+ * at any earlier time.
  *
  * Returns: (transfer full): the transaction.
  */
@@ -24,11 +25,12 @@
 
 /**
  * ft_txn_submit_cancelled:
- * @spec: a job that is being accepted when one of its ancestors is cancelled
- * @wall_ms: wall time of its end, in milliseconds since 1970
+ * @spec: a job that is being accepted after one of its ancestors was cancelled
+ * @wall_ms: wall time of the job's end, in milliseconds since 1970
  *
- * The acceptance of a job that has ended with it: no leader needs to know of the job, so that it
- * gets no row among the open jobs. It is refused if its ref has ever been accepted.
+ * Accepts a job as cancelled, which ends it at once. The job gets no open row, because the leader has
+ * nothing to schedule for it. The store refuses the transaction if a job with the same ref was
+ * accepted at any earlier time.
  *
  * Returns: (transfer full): the transaction.
  */
@@ -37,12 +39,13 @@
 /**
  * ft_txn_cancel:
  * @ref: an open job's ref
- * @revision: revision of its state row
- * @tasks: number of its tasks
+ * @revision: revision of the job's state row
+ * @tasks: number of the job's tasks
  * @wall_ms: wall time of the cancellation, in milliseconds since 1970
  *
- * The cancellation of a job: it ends, and a row tells the leader to stop its tasks. It is refused
- * if the state row has changed, that is, if the job has ended.
+ * Cancels a job. The transaction ends the job in its state row and writes its cancellation row, on
+ * which the leader stops the job's tasks. The store refuses the transaction if the state row has
+ * changed, which means that the job has ended.
  *
  * Returns: (transfer full): the transaction.
  */
--- a/src/wire/lease_rows.c
+++ b/src/wire/lease_rows.c
@@ -55,7 +55,7 @@
 static void
 read_renewal (const FtRow *row, FtLeaseRows *out)
 {
-  /* Rows of versions that did not write the lease time have none: it stays 0, unknown. */
+  /* Older versions wrote no lease time. It stays 0, which means unknown. */
   guint64 lease_ms = 0;
   ft_field_count (row->value, FIELD_LEASE_MS, 0, G_MAXINT32, &lease_ms);
   out->renewal_revision = row->revision;
--- a/src/wire/lease_rows.h
+++ b/src/wire/lease_rows.h
@@ -2,10 +2,11 @@
  * SECTION: lease_rows
  * @title: Rows of leadership
  *
- * The values of the fence, the renewal and the journal row, by which controllers elect a leader
- * (core/lease.h) and by which a former leader's delayed writes are refused, and the transactions
- * that acquire and renew the lease. Used by src/net/leadership.c; write_batch.c writes the journal
- * row.
+ * Encodes and decodes the fence row, the renewal row and the journal row, and builds the transactions
+ * that acquire and renew the lease. Controllers elect a leader with the fence row and the renewal row
+ * (see core/lease.h). The store refuses the delayed writes of a former leader because these writes
+ * are conditional on the fence row and the journal row. Used by src/net/leadership.c and, for the
+ * journal row, by write_batch.c.
  */
 #pragma once
 #include <glib.h>
@@ -26,9 +27,9 @@
 /**
  * ft_row_renewal:
  * @token: the holder's fencing token
- * @lease_us: lease time that the holder counts with from now on, in microseconds; written in
+ * @lease_us: lease time that the holder uses from this renewal on, in microseconds; it is stored in
  *   whole milliseconds
- * @released: whether the holder gives the lease up with this write
+ * @released: whether the holder releases the lease with this write
  *
  * Returns: (transfer full): the value of the renewal row.
  */
@@ -37,7 +38,7 @@
 /**
  * ft_row_journal:
  * @token: the leader's fencing token
- * @batch: number of the batch within its leadership
+ * @batch: number of the batch of writes within this leadership
  *
  * Returns: (transfer full): the value of the journal row.
  */
@@ -46,18 +47,19 @@
 /**
  * ft_row_journal_parse:
  * @value: the value of the journal row
- * @token: (out): fencing token of the leader that wrote it; 0 if it is malformed
- * @batch: (out): number of its last batch; 0 if it is malformed
+ * @token: (out): fencing token of the leader that wrote the row; 0 if this field is malformed
+ * @batch: (out): number of that leader's last batch; 0 if this field is malformed
  */
 void ft_row_journal_parse (const json_t *value, guint64 *token, guint64 *batch);
 
 /**
  * ft_row_lease_parse:
- * @rows: (element-type FtRow): the rows below %FT_PREFIX_LEASE; others are skipped
- * @out: cleared by the caller; filled from the rows that are there. It owns the holder's name
- *   also on failure: ft_lease_rows_clear() frees it
+ * @rows: (element-type FtRow): the rows below %FT_PREFIX_LEASE; all but the fence row and the renewal
+ *   row are ignored
+ * @out: filled from the rows that exist; the caller sets all fields to zero before the call, and
+ *   frees the contents with ft_lease_rows_clear() after it, also on failure
  *
- * Returns: %FALSE if the fence row is malformed.
+ * Returns: %TRUE on success, %FALSE if the fence row is malformed.
  */
 gboolean ft_row_lease_parse (const GArray *rows, FtLeaseRows *out);
 
@@ -66,10 +68,11 @@
  * @claim: the acquisition that ft_lease_claim() has started
  * @member: name of the controller that acquires the lease
  * @incarnation: random number of that controller's process
- * @lease_us: lease time that it counts with, in microseconds
+ * @lease_us: lease time that this controller uses, in microseconds
  *
- * The acquisition of the lease. It is refused if another controller has acquired the lease since
- * its rows were read or, while the holder may be alive, if that has renewed it.
+ * Acquires the lease. The store refuses the transaction if another controller has acquired the lease
+ * since this controller read the rows. If the previous holder may still be alive
+ * (@claim->check_renewal), the store also refuses it if that holder has renewed the lease since.
  *
  * Returns: (transfer full): the transaction.
  */
@@ -79,10 +82,11 @@
  * ft_txn_renew:
  * @fence_revision: revision at which the holder wrote the fence row
  * @token: the holder's fencing token
- * @lease_us: lease time that the holder counts with from now on, in microseconds
- * @release: whether the holder gives the lease up
+ * @lease_us: lease time that the holder uses from this renewal on, in microseconds
+ * @release: whether the holder releases the lease instead of renewing it
  *
- * The renewal or the release of the lease. It is refused once another controller has acquired it.
+ * Renews or releases the lease. The store refuses the transaction once another controller has
+ * acquired the lease.
  *
  * Returns: (transfer full): the transaction.
  */
--- a/src/wire/machine_rows.c
+++ b/src/wire/machine_rows.c
@@ -48,7 +48,7 @@
     return FALSE;
   const char *row_name = row->key + strlen (FT_PREFIX_REGISTRY);
   const json_t *list = json_object_get (row->value, FIELD_MACHINES);
-  /* Rows of versions before there was a list hold one machine, named by the key. */
+  /* Older versions wrote one machine to a row, without a list; the key contains the machine's name. */
   if (list == NULL)
     return load_machine (scheduler, row_name, row_name, row->value);
   gboolean all = json_is_array (list);
--- a/src/wire/machine_rows.h
+++ b/src/wire/machine_rows.h
@@ -2,10 +2,13 @@
  * SECTION: machine_rows
  * @title: Rows of machines
  *
- * The machine registry's rows: machines that may have been sent commands, so that a new leader
- * waits for them before it starts their tasks elsewhere. Each row holds several machines, so that
- * one write covers them. Read by src/net/leader.c during recovery, written by write_batch.c.
- * A drained machine's row has an empty value; its key (store_keys.h) says all.
+ * Encodes and decodes the rows of the machine registry. The registry lists each machine that may have
+ * been sent commands. A new leader waits for these machines before it starts their tasks on other
+ * machines. A row holds several machines, so that one write stores them all. The leader reads the
+ * rows during recovery; write_batch.c writes them.
+ *
+ * The row of a drained machine has an empty value, because its key (see store_keys.h) contains the
+ * machine's name.
  */
 #pragma once
 #include <glib.h>
@@ -16,8 +19,8 @@
 
 /**
  * ft_row_machines:
- * @machines: (element-type FtListedMachine): the machines of one row; name, address, type, zone
- *   and spot are written
+ * @machines: (element-type FtListedMachine): the machines of one row; their state and age are not
+ *   written
  *
  * Returns: (transfer full): the value of the registry row.
  */
@@ -25,10 +28,12 @@
 
 /**
  * ft_row_machine_parse:
- * @scheduler: where each machine that could be read is loaded
- * @row: a registry row
+ * @scheduler: the leader's scheduler; receives each machine that can be decoded
+ * @row: a row of the machine registry
+ *
+ * Decodes a registry row and loads its machines into the scheduler.
  *
- * Returns: %FALSE if the key is not that of a registry row, or if any of its machines could not
- * be read; the others have been loaded all the same.
+ * Returns: %TRUE on success; %FALSE if the key is not that of a registry row or any machine of the
+ * row is malformed. The valid machines of a partly malformed row are loaded.
  */
 gboolean ft_row_machine_parse (FtScheduler *scheduler, const FtRow *row);
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -19,24 +19,27 @@
   return TRUE;
 }
 
-/* The protocol's words for values; each table is indexed by its enumeration. */
+/* The protocol's names of priorities, indexed by FtPriority. */
 static const char *const priority_words[] = {
   [FT_PRIORITY_LOW] = "best_effort",
   [FT_PRIORITY_NORMAL] = "normal",
   [FT_PRIORITY_HIGH] = "high",
   [FT_PRIORITY_PRODUCTION] = "prod",
 };
+/* The protocol's names of job kinds, indexed by FtJobKind. */
 static const char *const kind_words[] = {
   [FT_KIND_ARRAY] = "array",
   [FT_KIND_GANG] = "group",
   [FT_KIND_SERVICE] = "service",
 };
+/* The protocol's names of task states, indexed by FtTaskPhase. */
 static const char *const task_state_words[] = {
   [FT_TASK_PHASE_FETCHING] = "fetching",      [FT_TASK_PHASE_WAITING] = "waiting", [FT_TASK_PHASE_RUNNING] = "running",
   [FT_TASK_PHASE_CHECKPOINTING] = "flushing", [FT_TASK_PHASE_EXITED] = "exited",
 };
+/* The protocol's names of exit reasons, indexed by FtExitReason. */
 static const char *const exit_reason_words[] = {
-  [FT_EXIT_NONE] = "", /* of a task that has not exited; no message has it */
+  [FT_EXIT_NONE] = "", /* the task has not exited; the protocol has no name for this case */
   [FT_EXIT_DONE] = "done",
   [FT_EXIT_STOPPED] = "halted",
   [FT_EXIT_ERROR] = "error",
@@ -46,18 +49,20 @@
   [FT_EXIT_GANG_TASK_ENDED] = "peers",
   [FT_EXIT_GANG_INCOMPLETE] = "incomplete",
 };
+/* The protocol's names of command operations, indexed by FtCommandOp. */
 static const char *const command_words[] = {
   [FT_COMMAND_START] = "start",
   [FT_COMMAND_STOP] = "stop",
   [FT_COMMAND_FORGET] = "clear",
 };
 
-/* A job that the core calls cancelled. */
+/* The core's name of the state of a cancelled job. */
 #define CORE_CANCELLED "cancelled"
+/* The protocol's name of the state of a cancelled job. */
 #define WORD_CANCELLED "withdrawn"
 
-/* Position among the words of a text that need not end in a zero byte; `count`, the number of
- * words, if it is none of them or there is no text. */
+/* Returns the position of `text` in `words`; `count`, which is the number of words, if `words` does not contain the
+ * text or `text` is NULL. `size` is the length of `text`, which need not end in a zero byte. */
 static guint
 find_word (const char *text, gsize size, const char *const *words, guint count)
 {
@@ -69,6 +74,7 @@
   return i;
 }
 
+/* Returns the position of the field's text in `words`; `count` if `words` does not contain it. */
 static guint
 read_word (const json_t *body, const char *name, const char *const *words, guint count)
 {
@@ -122,7 +128,7 @@
              || ft_field_amount (body, FT_WIRE_DEADLINE, 0, FT_AMOUNT_MAX, &spec->deadline_s));
 }
 
-/* Each dependency once; an empty list is the same as none. */
+/* Reads the optional dependencies and removes duplicates. An empty list means that the job has no dependencies. */
 static gboolean
 read_dependencies (const json_t *body, FtJobSpec *spec)
 {
@@ -196,7 +202,7 @@
   task->state = (FtTaskPhase) phase;
   if (task->state != FT_TASK_PHASE_EXITED)
     return TRUE;
-  /* An exit reason that is not known here is a failure like any other. */
+  /* An unknown exit reason counts as an ordinary failure. */
   guint reason = find_word (cause, cause_size, exit_reason_words, G_N_ELEMENTS (exit_reason_words));
   gboolean known = reason != FT_EXIT_NONE && reason < G_N_ELEMENTS (exit_reason_words);
   task->exit_reason = known ? (FtExitReason) reason : FT_EXIT_ERROR;
--- a/src/wire/peer_heartbeat.c
+++ b/src/wire/peer_heartbeat.c
@@ -4,13 +4,13 @@
 #include "wire/fields.h"
 #include "wire/messages.h"
 
-#define FIELD_MEMBER "member"                     /* name of the sender */
-#define FIELD_SUPPORTS_DEPENDENCIES "knows_needs" /* its version knows of job dependencies */
-#define FIELD_STORE_ANSWERED "served_ms_ago"      /* milliseconds since the key-value store answered it */
-#define FIELD_YIELDS "yields"                     /* it has yielded leadership */
-#define FIELD_CANCELLATIONS "withdrawn"           /* refs of jobs whose cancellation it has just committed */
-#define FIELD_FENCING_TOKEN "token"               /* a leader's fencing token */
-#define FIELD_JOBS "jobs"                         /* a leader's progress of jobs: ref to [done, running] */
+#define FIELD_MEMBER "member"                     /* name of the controller that sends the heartbeat */
+#define FIELD_SUPPORTS_DEPENDENCIES "knows_needs" /* whether the sender's version supports job dependencies */
+#define FIELD_STORE_ANSWERED "served_ms_ago"      /* milliseconds since the store last answered the sender */
+#define FIELD_YIELDS "yields"                     /* whether the sender has yielded leadership */
+#define FIELD_CANCELLATIONS "withdrawn" /* refs of jobs whose cancellation the sender has committed recently */
+#define FIELD_FENCING_TOKEN "token"     /* the sender's fencing token; missing: the sender does not lead */
+#define FIELD_JOBS "jobs"               /* progress of the leader's jobs: a map from ref to [done, running] */
 
 static void
 job_clear (gpointer data)
@@ -127,7 +127,7 @@
   return TRUE;
 }
 
-/* An optional field; FALSE if it is there but not valid. */
+/* Reads an optional number of at least `min`. Returns FALSE if the field is present but not valid. */
 static gboolean
 parse_count (const json_t *body, const char *name, guint64 min, gboolean *present, guint64 *out)
 {
@@ -135,6 +135,7 @@
   return !*present || ft_field_count (body, name, min, G_MAXINT32, out);
 }
 
+/* Reads an optional boolean. Returns FALSE if the field is present but not valid. */
 static gboolean
 parse_bool (const json_t *body, const char *name, gboolean *out)
 {
--- a/src/wire/peer_heartbeat.h
+++ b/src/wire/peer_heartbeat.h
@@ -2,11 +2,11 @@
  * SECTION: peer_heartbeat
  * @title: Heartbeats of controllers
  *
- * The heartbeat that controllers send to their peers about once a second, to and from its JSON.
- * What it says is advisory: no decision's safety rests on it. Sent and received by src/net/peers.c.
+ * Encodes and decodes the heartbeat that each controller sends to its peers about once a second. Its
+ * content is advisory: no decision depends on it for its safety. Used by src/net/peers.c.
  *
- * The field names differ from those of workers' messages: this protocol is flintrack's own, and
- * peers of older versions are answered in it too, so no field changes its meaning.
+ * Only flintrack's controllers use this protocol, so its field names differ from those in messages of
+ * workers. Controllers of different versions exchange heartbeats, so no field may change its meaning.
  */
 #pragma once
 #include <glib.h>
@@ -15,10 +15,10 @@
 /**
  * FtPeerHeartbeatJob:
  * @ref: (transfer full): the job's ref
- * @done: number of its tasks that are done
- * @running: number of its tasks that run
+ * @done: number of the job's tasks that are done
+ * @running: number of the job's tasks that are running
  *
- * Progress of a job, for display by followers.
+ * The progress of a job, which followers show to users.
  */
 typedef struct {
   char *ref;
@@ -27,15 +27,20 @@
 
 /**
  * FtPeerHeartbeat:
- * @member: name of the sender, owned
- * @supports_dependencies: its version knows of job dependencies; one that does not would start a
- *   job before those that it depends on
- * @served: the key-value store has answered it at some time
- * @served_ms_ago: milliseconds since that answer, at the time of sending; 0 unless @served
- * @yields: it has yielded leadership
- * @token: fencing token under which it leads; 0: it does not lead
- * @jobs: (element-type FtPeerHeartbeatJob): a leader's jobs, owned
- * @cancellations: (element-type utf8): refs of jobs whose cancellation it has lately committed, owned
+ * @member: name of the controller that sends the heartbeat, owned
+ * @supports_dependencies: the sender's version supports job dependencies; as leader, a version without
+ *   this support would start a job before the jobs that it depends on are done
+ * @served: the key-value store has answered at least one request of the sender
+ * @served_ms_ago: milliseconds between the store's last answer and the sending of the heartbeat; 0
+ *   unless @served
+ * @yields: the sender has yielded leadership
+ * @token: the sender's fencing token; 0 if the sender is not the leader
+ * @jobs: (element-type FtPeerHeartbeatJob): progress of the leader's jobs, owned; empty if the sender
+ *   is not the leader
+ * @cancellations: (element-type utf8): refs of the jobs whose cancellation the sender has committed
+ *   recently, owned
+ *
+ * The content of a heartbeat between controllers.
  */
 typedef struct {
   char *member;
@@ -50,15 +55,17 @@
 
 /**
  * ft_peer_heartbeat_new:
- * @member: (nullable): name of the sender
+ * @member: (nullable): name of the controller that sends the heartbeat, copied
  *
- * Returns: (transfer full): a heartbeat that says nothing else.
+ * Returns: (transfer full): a heartbeat whose other fields are zero or empty.
  */
 FtPeerHeartbeat *ft_peer_heartbeat_new (const char *member);
 
 /**
  * ft_peer_heartbeat_free:
  * @heartbeat: (nullable) (transfer full): a heartbeat
+ *
+ * Frees a heartbeat with everything that it owns.
  */
 void ft_peer_heartbeat_free (FtPeerHeartbeat *heartbeat);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtPeerHeartbeat, ft_peer_heartbeat_free)
@@ -67,8 +74,10 @@
  * ft_peer_heartbeat_add_job:
  * @heartbeat: a leader's heartbeat
  * @ref: a job's ref, copied
- * @done: number of its tasks that are done
- * @running: number of its tasks that run
+ * @done: number of the job's tasks that are done
+ * @running: number of the job's tasks that are running
+ *
+ * Adds the progress of a job to a heartbeat.
  */
 void ft_peer_heartbeat_add_job (FtPeerHeartbeat *heartbeat, const char *ref, guint done, guint running);
 
@@ -76,15 +85,16 @@
  * ft_peer_heartbeat_body:
  * @heartbeat: a heartbeat
  *
- * Returns: (transfer full): its message; the jobs are left out unless the sender leads.
+ * Returns: (transfer full): the message of the heartbeat. It contains the jobs only if the sender is
+ * the leader.
  */
 json_t *ft_peer_heartbeat_body (const FtPeerHeartbeat *heartbeat);
 
 /**
  * ft_peer_heartbeat_parse:
- * @body: (nullable): a message
+ * @body: (nullable): the message of a heartbeat
  *
- * Returns: (transfer full) (nullable): the heartbeat, or %NULL if any field is not valid; unknown
- * fields, as of a newer version, are ignored.
+ * Returns: (transfer full) (nullable): the heartbeat, or %NULL if any field is not valid. Unknown
+ * fields, which a newer version may send, are ignored.
  */
 FtPeerHeartbeat *ft_peer_heartbeat_parse (const json_t *body);
--- a/src/wire/scheduler_rows.c
+++ b/src/wire/scheduler_rows.c
@@ -7,7 +7,7 @@
 #include "wire/store_keys.h"
 
 static void
-take_cancellation (FtScheduler *scheduler, const char *ref, const json_t *value, gint64 now, gint64 wall_ms)
+apply_cancellation (FtScheduler *scheduler, const char *ref, const json_t *value, gint64 now, gint64 wall_ms)
 {
   gint64 age_us = MAX (0, wall_ms - ft_row_cancellation_time (value)) * FT_MILLISECOND;
   ft_scheduler_job_cancelled (scheduler, ref, age_us, now);
@@ -22,7 +22,7 @@
   if (ref == NULL || row->value == NULL)
     return TRUE;
   if (cancelled) {
-    take_cancellation (scheduler, ref, row->value, now, wall_ms);
+    apply_cancellation (scheduler, ref, row->value, now, wall_ms);
     return TRUE;
   }
   FtJobSpec *spec = ft_row_open_parse_full (ref, row->value, error);
@@ -38,7 +38,7 @@
 }
 
 static gboolean
-take_registry_row (FtScheduler *scheduler, const FtRow *row, GError **error)
+apply_registry_row (FtScheduler *scheduler, const FtRow *row, GError **error)
 {
   if (ft_row_machine_parse (scheduler, row))
     return TRUE;
@@ -56,7 +56,7 @@
   if (ft_key_drained_name (row->key) != NULL)
     ft_scheduler_drain (scheduler, ft_key_drained_name (row->key), TRUE);
   else if (g_str_has_prefix (row->key, FT_PREFIX_REGISTRY))
-    return take_registry_row (scheduler, row, error);
+    return apply_registry_row (scheduler, row, error);
   else if (ft_key_chunk_parse (row->key, &ref, &chunk) && ft_row_chunk_bits (row->value) != NULL)
     ft_scheduler_load_done (scheduler, ref, chunk, ft_row_chunk_bits (row->value));
   return TRUE;
--- a/src/wire/scheduler_rows.h
+++ b/src/wire/scheduler_rows.h
@@ -1,9 +1,10 @@
 /**
  * SECTION: scheduler_rows
- * @title: Rows into the scheduler
+ * @title: Rows for the scheduler
  *
- * Takes rows that were read from the key-value store into the leader's scheduler: those that it
- * reads before it serves and those that the watch brings afterwards. Used by src/net/leader_rows.c.
+ * Decodes rows of the key-value store and passes their contents to the leader's scheduler: the rows
+ * that the leader reads during recovery, and the changed rows that its watch returns afterwards. Used
+ * by src/net/leader_rows.c.
  */
 #pragma once
 #include <glib.h>
@@ -14,16 +15,20 @@
 /**
  * ft_row_apply_open:
  * @scheduler: the leader's scheduler
- * @row: a row below %FT_PREFIX_OPEN, an open job's or a cancellation's; that of a deletion is
- *   ignored, and so is any other
- * @accepted_since: whether the job was accepted while this controller leads, so that nothing of
- *   it can have run
- * @now: monotonic time, in microseconds
- * @wall_ms: wall time, in milliseconds since 1970; tells how long ago a cancellation was
+ * @row: the open row or the cancellation row of a job; a deleted row and a row with another key are
+ *   ignored
+ * @accepted_since: whether the job was accepted during this leadership, so that none of its tasks can
+ *   have run under an earlier leader
+ * @now: current monotonic time, in microseconds
+ * @wall_ms: current wall time, in milliseconds since 1970; the age of a cancellation is computed
+ *   from it
  * @error: (nullable): set on failure to an %FT_WIRE_ERROR whose message names the job and the
  *   field
  *
- * Returns: %FALSE if the job's row is malformed: the job is not scheduled then.
+ * Passes an open job, or the cancellation of a job, to the scheduler.
+ *
+ * Returns: %TRUE on success; %FALSE if the open row is malformed, in which case the job is not
+ * scheduled.
  */
 gboolean ft_row_apply_open (FtScheduler *scheduler, const FtRow *row, gboolean accepted_since, gint64 now,
                             gint64 wall_ms, GError **error);
@@ -31,16 +36,17 @@
 /**
  * ft_row_apply:
  * @scheduler: the leader's scheduler
- * @row: a row below any prefix that a new leader reads: an open job's, a cancellation's, a chunk
- *   of finished tasks, of the machine registry or a drained machine's; any other is ignored
- * @now: monotonic time, in microseconds
- * @wall_ms: wall time, in milliseconds since 1970
+ * @row: a row that a new leader reads: the open row of a job, a cancellation row, a chunk row, a row
+ *   of the machine registry or the row of a drained machine; any other row is ignored
+ * @now: current monotonic time, in microseconds
+ * @wall_ms: current wall time, in milliseconds since 1970
  * @error: (nullable): set on failure to an %FT_WIRE_ERROR whose message names the row
  *
- * As long as the scheduler is being loaded, an open job may have run under an earlier leader; once
- * it is loaded, a job that it does not know was accepted since.
+ * Passes the content of any of these rows to the scheduler. While the scheduler is being loaded, an
+ * open job may have run under an earlier leader. After that, a job that the scheduler does not have
+ * yet was accepted during this leadership.
  *
- * Returns: %FALSE if the row is that of a job or of machines and malformed. The machines of it
- * that could be read have been taken all the same.
+ * Returns: %TRUE on success; %FALSE if the open row of a job or a registry row is malformed. The valid
+ * machines of a partly malformed registry row are loaded.
  */
 gboolean ft_row_apply (FtScheduler *scheduler, const FtRow *row, gint64 now, gint64 wall_ms, GError **error);
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -2,23 +2,26 @@
  * SECTION: store
  * @title: Key-value store
  *
- * Umbrella header of everything flintrack keeps in the key-value store (the "state service" of
- * the protocol) and of the messages by which it is read and changed. It declares nothing itself:
- * code that needs one part only may include that part's header.
+ * Umbrella header for flintrack's rows in the key-value store (the "state service" of the protocol)
+ * and for the store's messages. It declares nothing itself; code that needs only one part may include
+ * the header of that part.
  *
  * Rows, by key (see store_keys.h):
  *
- *   l/fence          fencing token, holder and its incarnation; changed by acquisitions only
- *   l/renewal        changed by every renewal of the lease; says whether it has been released
- *   l/journal        number of the leader's last batch of writes; each batch is conditional on
- *                    it, so that a delayed batch can never be applied
- *   j/REF            a job's state: open, done or cancelled; never deleted
- *   o/REF            an open job as submitted, with its dependencies and its dispatch watermark
- *   o/REF/w          exists once that open job is cancelled
- *   d/REF/CHUNK      a chunk of the bitmap of an open job's finished tasks
- *   m/ROW            a row of the machine registry: machines that may have been sent commands
- *   a/NAME           a machine that an operator has drained
- *   s/settings       the operators' settings; the row's revision is their version
+ *   l/fence          fence row: fencing token, holder and the holder's incarnation; only an
+ *                    acquisition of the lease changes it
+ *   l/renewal        renewal row: lease time, and whether the lease is released; every acquisition,
+ *                    renewal and release changes it
+ *   l/journal        journal row: number of the leader's last batch of writes; each batch is
+ *                    conditional on it, so that a delayed batch cannot be applied
+ *   j/REF            state row of a job: open, done or cancelled; never deleted
+ *   o/REF            open row of a job: the job as submitted, with its dependencies and its dispatch
+ *                    watermark
+ *   o/REF/w          cancellation row of a job; deleted when all tasks of the job have stopped
+ *   d/REF/CHUNK      chunk row: a chunk of the bitmap of a job's finished tasks
+ *   m/ROW            row of the machine registry: machines that may have been sent commands
+ *   a/NAME           row of a machine that an operator has drained
+ *   s/settings       settings row: the operators' settings; its revision is their version
  */
 #pragma once
 #include "wire/job_rows.h"
--- a/src/wire/store_keys.h
+++ b/src/wire/store_keys.h
@@ -2,31 +2,37 @@
  * SECTION: store_keys
  * @title: Keys
  *
- * Names of flintrack's rows in the key-value store. They are shared with every other version
- * that runs on the same store: a key is never given another meaning.
+ * The keys of flintrack's rows in the key-value store. Controllers of several versions may use the
+ * same store, so no key may change its meaning. See store.h for the list of rows.
  */
 #pragma once
 #include <glib.h>
 
-/* Rows of leadership. */
+/* Key of the fence row. */
 #define FT_KEY_FENCE "l/fence"
+/* Key of the renewal row. */
 #define FT_KEY_RENEWAL "l/renewal"
+/* Key of the journal row. */
 #define FT_KEY_JOURNAL "l/journal"
-/* The operators' settings. */
+/* Key of the operators' settings. */
 #define FT_KEY_SETTINGS "s/settings"
 
-/* Prefixes by which groups of rows are listed or watched. */
+/* Prefix of the keys of the fence row, the renewal row and the journal row. */
 #define FT_PREFIX_LEASE "l/"
+/* Prefix of the keys of open rows and cancellation rows. */
 #define FT_PREFIX_OPEN "o/"
+/* Prefix of the keys of chunk rows, which hold the finished tasks of jobs. */
 #define FT_PREFIX_DONE "d/"
+/* Prefix of the keys of the machine registry's rows. */
 #define FT_PREFIX_REGISTRY "m/"
+/* Prefix of the keys of drained machines. */
 #define FT_PREFIX_DRAINED "a/"
 
 /**
  * ft_key_job:
  * @ref: a job's ref
  *
- * Returns: (transfer full): the key of the job's state row, kept for ever.
+ * Returns: (transfer full): the key of the job's state row.
  */
 char *ft_key_job (const char *ref);
 
@@ -34,7 +40,7 @@
  * ft_key_open:
  * @ref: a job's ref
  *
- * Returns: (transfer full): the key of the row that an open job has in the index of open jobs.
+ * Returns: (transfer full): the key of the job's open row.
  */
 char *ft_key_open (const char *ref);
 
@@ -42,8 +48,8 @@
  * ft_key_cancellation:
  * @ref: a job's ref
  *
- * Returns: (transfer full): the key of the row that says that the open job is cancelled. It sorts
- * after the job's own row, so that a list brings the job first.
+ * Returns: (transfer full): the key of the job's cancellation row. This key sorts after the key of the
+ * job's open row, so that a list request returns the job before its cancellation.
  */
 char *ft_key_cancellation (const char *ref);
 
@@ -52,7 +58,7 @@
  * @ref: a job's ref
  * @chunk: number of the chunk, from 0
  *
- * Returns: (transfer full): the key of a chunk of the job's finished tasks.
+ * Returns: (transfer full): the key of the chunk row, which holds a part of the job's finished tasks.
  */
 char *ft_key_chunk (const char *ref, guint chunk);
 
@@ -60,7 +66,7 @@
  * ft_key_registry:
  * @row: name of a row of the machine registry
  *
- * Returns: (transfer full): the key of that row.
+ * Returns: (transfer full): the key of the registry row.
  */
 char *ft_key_registry (const char *row);
 
@@ -68,17 +74,18 @@
  * ft_key_drained:
  * @machine: a machine's name
  *
- * Returns: (transfer full): the key of the row that says that an operator has drained it.
+ * Returns: (transfer full): the key of the row that exists while the machine is drained.
  */
 char *ft_key_drained (const char *machine);
 
 /**
  * ft_key_open_ref:
  * @key: any key
- * @cancelled: (out): whether it is the key of a cancellation; set only if a ref is returned
+ * @cancelled: (out): whether @key is the key of a cancellation row; set only if a ref is returned
  *
- * Returns: (transfer full) (nullable): the job's ref, or %NULL if the key is neither that of an
- * open job nor that of a cancellation.
+ * Decodes the key of an open row or of a cancellation row.
+ *
+ * Returns: (transfer full) (nullable): the job's ref, or %NULL if @key is the key of another row.
  */
 char *ft_key_open_ref (const char *key, gboolean *cancelled);
 
@@ -86,9 +93,12 @@
  * ft_key_chunk_parse:
  * @key: any key
  * @ref: (out) (transfer full): the job's ref
- * @chunk: (out): number of the chunk
+ * @chunk: (out): number of the chunk, from 0
+ *
+ * Decodes the key of a chunk row.
  *
- * Returns: %FALSE, with nothing set, if the key is not that of a chunk.
+ * Returns: %TRUE on success; %FALSE, with @ref and @chunk unchanged, if @key is not the key of a chunk
+ * row.
  */
 gboolean ft_key_chunk_parse (const char *key, char **ref, guint *chunk);
 
@@ -96,7 +106,7 @@
  * ft_key_drained_name:
  * @key: any key
  *
- * Returns: (transfer none) (nullable): the drained machine's name, a part of @key, or %NULL if the
- * key is not that of a drain.
+ * Returns: (transfer none) (nullable): the name of the drained machine, borrowed from @key; %NULL if
+ * @key is not the key of a drained machine.
  */
 const char *ft_key_drained_name (const char *key);
--- a/src/wire/store_messages.c
+++ b/src/wire/store_messages.c
@@ -3,21 +3,22 @@
 #include "wire/fields.h"
 
 /* Fields of a transaction. */
-#define FIELD_CONDITIONS "if"
-#define FIELD_CHANGES "apply"
-/* Fields of a condition, a change, a row and an event. An event names its row in the field
- * that says what was done to it, as a change does. */
-#define FIELD_KEY "key"
-#define FIELD_PUT "write"
-#define FIELD_DELETE "delete"
-#define FIELD_VALUE "data"
-#define FIELD_ROW_REVISION "stamp"
+#define FIELD_CONDITIONS "if" /* list of conditions */
+#define FIELD_CHANGES "apply" /* list of changes */
+
+/* Fields of a condition, a change, a row and an event. */
+#define FIELD_KEY "key"            /* key of the row, in a condition and in a row */
+#define FIELD_PUT "write"          /* key of the row that is written, in a change and in an event */
+#define FIELD_DELETE "delete"      /* key of the row that is deleted, in a change and in an event */
+#define FIELD_VALUE "data"         /* value of the row */
+#define FIELD_ROW_REVISION "stamp" /* revision of the row; in a condition, the expected revision */
+
 /* Fields of answers. */
-#define FIELD_STORE_REVISION "ledger"
-#define FIELD_FAILED_KEYS "failed"
-#define FIELD_ROWS "pairs"
-#define FIELD_EVENTS "events"
-#define FIELD_MORE "more"
+#define FIELD_STORE_REVISION "ledger" /* revision of the whole store */
+#define FIELD_FAILED_KEYS "failed"    /* keys of the rows whose conditions did not hold */
+#define FIELD_ROWS "pairs"            /* list of rows */
+#define FIELD_EVENTS "events"         /* list of changes that a watch returns */
+#define FIELD_MORE "more"             /* whether the list of rows continues on another page */
 
 json_t *
 ft_txn_new (void)
@@ -73,7 +74,7 @@
   return FALSE;
 }
 
-/* Reads all but whether a value has to be there. */
+/* Reads a row or an event. The caller checks whether the value must be present. */
 static gboolean
 read_row (json_t *item, const char *key_field, FtRow *row)
 {
@@ -116,7 +117,7 @@
 ft_store_events (const json_t *body)
 {
   const json_t *list = json_object_get (body, FIELD_EVENTS);
-  /* No field at all: nothing has changed. */
+  /* An answer without the list means that nothing has changed. */
   if (list != NULL && !json_is_array (list))
     return NULL;
   g_autoptr (GArray) rows = g_array_new (FALSE, TRUE, sizeof (FtRow));
--- a/src/wire/worker_heartbeat.c
+++ b/src/wire/worker_heartbeat.c
@@ -1,7 +1,10 @@
-/* Workers' heartbeats, read straight from CBOR. They are by far the most of what a leader reads,
- * with a map for each task that runs or has ended lately: decoding one by way of a value tree took
- * a hundred microseconds. Only the plain form is read here (definite lengths, ASCII texts, no
- * field twice); anything else is left to the tree decoder, which alone decides what is valid. */
+/* Decodes workers' heartbeats directly from CBOR. Most messages that a leader receives are heartbeats, and each
+ * contains a map for every task that is running or has ended recently. Decoding a heartbeat through a value tree takes
+ * about 100 microseconds, so this module builds no value tree.
+ *
+ * This decoder accepts only the plain form of a heartbeat: all lengths are definite, all texts are printable ASCII, and
+ * no required field of the heartbeat occurs twice. For every other form it calls the tree decoder
+ * (ft_message_worker_heartbeat()), which alone decides whether a message is valid. */
 #include <cbor.h>
 #include <string.h>
 
@@ -10,8 +13,9 @@
 #include "wire/messages.h"
 #include "wire/protocol.h"
 
+/* The types of CBOR items that the plain form may contain. */
 typedef enum {
-  ITEM_OTHER, /* of no use here: the message is not plain */
+  ITEM_OTHER, /* any other item, or none: the message is not of the plain form */
   ITEM_UINT,
   ITEM_REAL,
   ITEM_TEXT,
@@ -21,28 +25,29 @@
   ITEM_MAP,
 } ItemKind;
 
-/* One item as the streaming decoder met it; text is borrowed from the input. */
+/* One item from the streaming decoder. The entries of an array or map follow in the input. */
 typedef struct {
   ItemKind kind;
-  guint64 count; /* value of a number or boolean, length of a text, entries of a container */
-  double real;
-  const char *text;
+  guint64 count;    /* value of an integer or boolean, length of a text in bytes, or number of entries */
+  double real;      /* value of a real */
+  const char *text; /* a text without a zero byte at its end, borrowed from the input */
 } Item;
 
+/* The input and the position of the next item. */
 typedef struct {
   const guint8 *data;
-  gsize size;
-  gsize position;
+  gsize size;     /* length of the input in bytes */
+  gsize position; /* offset of the next item in bytes */
 } Reader;
 
-/* What became of a map's field. */
+/* The result of reading a field of a map, after its key. */
 typedef enum {
-  FIELD_READ,
-  FIELD_UNKNOWN,   /* its value is still to be skipped */
-  FIELD_NOT_PLAIN, /* missing, twice, invalid, or of a form that is not read here */
+  FIELD_READ,      /* the value was read and is valid */
+  FIELD_UNKNOWN,   /* the field is unknown, and its value is not read yet */
+  FIELD_NOT_PLAIN, /* the field occurs twice, or its value is invalid or not of the plain form */
 } FieldResult;
 
-/* The fields that a heartbeat must have; each has a bit in the set of those met. */
+/* The required fields of a heartbeat. A field's value is the number of its bit in the set of the fields read. */
 typedef enum {
   HEARTBEAT_MACHINE,
   HEARTBEAT_ADDRESS,
@@ -53,11 +58,13 @@
   HEARTBEAT_TOKEN,
   HEARTBEAT_SPOT,
   HEARTBEAT_TASKS,
-  HEARTBEAT_FIELDS,
+  HEARTBEAT_FIELDS, /* number of required fields */
 } HeartbeatField;
 
+/* The set that contains every required field. */
 #define HEARTBEAT_ALL_FIELDS ((1u << HEARTBEAT_FIELDS) - 1)
 
+/* The protocol's names of the required fields. */
 static const char *const heartbeat_fields[HEARTBEAT_FIELDS] = {
   [HEARTBEAT_MACHINE] = FT_WIRE_MACHINE,
   [HEARTBEAT_ADDRESS] = FT_WIRE_ADDRESS,
@@ -70,11 +77,11 @@
   [HEARTBEAT_TASKS] = FT_WIRE_TASKS,
 };
 
-/* Fields that a task must have: name, attempt and state. */
+/* Number of required fields of a task: name, attempt and state. */
 #define TASK_REQUIRED_FIELDS 3
 
 static void
-set (void *item, ItemKind kind, guint64 count)
+set_item (void *item, ItemKind kind, guint64 count)
 {
   *(Item *) item = (Item){ .kind = kind, .count = count };
 }
@@ -85,19 +92,19 @@
   *(Item *) item = (Item){ .kind = ITEM_REAL, .real = value };
 }
 
-/* Callbacks of libcbor, one for each encoding of an item. */
+/* The callbacks for libcbor's decoder: one for each encoding of an item. */
 /* clang-format off */
-static void on_u8 (void *item, uint8_t value) { set (item, ITEM_UINT, value); }
-static void on_u16 (void *item, uint16_t value) { set (item, ITEM_UINT, value); }
-static void on_u32 (void *item, uint32_t value) { set (item, ITEM_UINT, value); }
-static void on_u64 (void *item, uint64_t value) { set (item, ITEM_UINT, value); }
+static void on_u8 (void *item, uint8_t value) { set_item (item, ITEM_UINT, value); }
+static void on_u16 (void *item, uint16_t value) { set_item (item, ITEM_UINT, value); }
+static void on_u32 (void *item, uint32_t value) { set_item (item, ITEM_UINT, value); }
+static void on_u64 (void *item, uint64_t value) { set_item (item, ITEM_UINT, value); }
 static void on_float (void *item, float value) { set_real (item, value); }
 static void on_double (void *item, double value) { set_real (item, value); }
-static void on_null (void *item) { set (item, ITEM_NULL, 0); }
-static void on_bool (void *item, bool value) { set (item, ITEM_BOOL, value); }
-static void on_array (void *item, size_t count) { set (item, ITEM_ARRAY, count); }
-static void on_map (void *item, size_t count) { set (item, ITEM_MAP, count); }
-static void on_other (void *item) { set (item, ITEM_OTHER, 0); }
+static void on_null (void *item) { set_item (item, ITEM_NULL, 0); }
+static void on_bool (void *item, bool value) { set_item (item, ITEM_BOOL, value); }
+static void on_array (void *item, size_t count) { set_item (item, ITEM_ARRAY, count); }
+static void on_map (void *item, size_t count) { set_item (item, ITEM_MAP, count); }
+static void on_other (void *item) { set_item (item, ITEM_OTHER, 0); }
 static void on_other_8 (void *item, uint8_t value) { (void) value; on_other (item); }
 static void on_other_16 (void *item, uint16_t value) { (void) value; on_other (item); }
 static void on_other_32 (void *item, uint32_t value) { (void) value; on_other (item); }
@@ -138,8 +145,9 @@
   .indef_break = on_other,
 };
 
+/* Reads the next item. Its kind is ITEM_OTHER if the input has ended or is malformed. */
 static Item
-next (Reader *reader)
+next_item (Reader *reader)
 {
   Item item = { 0 };
   struct cbor_decoder_result result
@@ -156,7 +164,8 @@
   return item->count == strlen (text) && memcmp (item->text, text, item->count) == 0;
 }
 
-/* A text of printable ASCII; whether any other is valid is for the tree decoder to say. */
+/* Returns TRUE for a text of 1 to `max_bytes` printable ASCII characters. The tree decoder decides whether any other
+ * text is valid. */
 static gboolean
 is_plain_text (const Item *item, gsize max_bytes)
 {
@@ -171,7 +180,7 @@
 static gboolean
 read_text (Reader *reader, char **out)
 {
-  Item item = next (reader);
+  Item item = next_item (reader);
   if (*out != NULL || !is_plain_text (&item, FT_TEXT_MAX))
     return FALSE;
   *out = g_strndup (item.text, item.count);
@@ -181,7 +190,7 @@
 static gboolean
 read_count (Reader *reader, guint64 *out)
 {
-  Item item = next (reader);
+  Item item = next_item (reader);
   *out = item.count;
   return item.kind == ITEM_UINT && item.count <= G_MAXINT64;
 }
@@ -190,7 +199,7 @@
 read_task_name (Reader *reader, FtTaskStatus *task)
 {
   char name[FT_TEXT_MAX + 1];
-  Item item = next (reader);
+  Item item = next_item (reader);
   if (task->job != NULL || !is_plain_text (&item, FT_TEXT_MAX))
     return FALSE;
   memcpy (name, item.text, item.count);
@@ -198,6 +207,7 @@
   return ft_message_task_name (name, task);
 }
 
+/* Reads the value of a task's field. Sets `state` or `cause` if the field is the task's state or exit reason. */
 static FieldResult
 read_task_field (Reader *reader, const Item *key, FtTaskStatus *task, Item *state, Item *cause)
 {
@@ -205,10 +215,10 @@
   if (text_equals (key, FT_WIRE_ATTEMPT)) {
     valid = read_count (reader, &task->attempt);
   } else if (text_equals (key, FT_WIRE_STATE)) {
-    *state = next (reader);
+    *state = next_item (reader);
     valid = is_plain_text (state, FT_TEXT_MAX);
   } else if (text_equals (key, FT_WIRE_EXIT_REASON)) {
-    *cause = next (reader);
+    *cause = next_item (reader);
     valid = is_plain_text (cause, FT_TEXT_MAX) || cause->kind == ITEM_NULL;
   } else if (text_equals (key, FT_WIRE_TASK)) {
     valid = read_task_name (reader, task);
@@ -218,15 +228,16 @@
   return valid ? FIELD_READ : FIELD_NOT_PLAIN;
 }
 
+/* Skips the value of an unknown field. Returns FALSE if the value is not a plain scalar. */
 static gboolean
 skip_scalar (Reader *reader)
 {
-  Item item = next (reader);
+  Item item = next_item (reader);
   return item.kind == ITEM_UINT || item.kind == ITEM_BOOL || item.kind == ITEM_NULL
          || is_plain_text (&item, FT_BODY_MAX);
 }
 
-/* The rest of a field's outcome: an unknown one's value is skipped. */
+/* Skips the value if the field is unknown. Returns FALSE if the message is not of the plain form. */
 static gboolean
 finish_field (Reader *reader, FieldResult result)
 {
@@ -236,7 +247,7 @@
 static gboolean
 read_task (Reader *reader, GArray *tasks)
 {
-  Item map = next (reader), state = { 0 }, cause = { 0 };
+  Item map = next_item (reader), state = { 0 }, cause = { 0 };
   FtTaskStatus blank = { 0 };
   guint required = 0;
   if (map.kind != ITEM_MAP)
@@ -244,7 +255,7 @@
   g_array_append_val (tasks, blank);
   FtTaskStatus *task = &g_array_index (tasks, FtTaskStatus, tasks->len - 1);
   for (guint64 i = 0; i < map.count; i++) {
-    Item key = next (reader);
+    Item key = next_item (reader);
     if (!is_plain_text (&key, FT_TEXT_MAX))
       return FALSE;
     FieldResult result = read_task_field (reader, &key, task, &state, &cause);
@@ -259,7 +270,7 @@
 static gboolean
 read_tasks (Reader *reader, GArray *tasks)
 {
-  Item list = next (reader);
+  Item list = next_item (reader);
   if (list.kind != ITEM_ARRAY)
     return FALSE;
   for (guint64 i = 0; i < list.count; i++)
@@ -271,7 +282,7 @@
 static gboolean
 read_spot (Reader *reader, FtWorkerHeartbeat *heartbeat)
 {
-  Item item = next (reader);
+  Item item = next_item (reader);
   heartbeat->spot = item.count != 0;
   return item.kind == ITEM_BOOL;
 }
@@ -279,7 +290,7 @@
 static gboolean
 read_notice (Reader *reader, FtWorkerHeartbeat *heartbeat)
 {
-  Item item = next (reader);
+  Item item = next_item (reader);
   if (item.kind == ITEM_NULL)
     return TRUE;
   heartbeat->notice_s = item.kind == ITEM_REAL ? item.real : (double) item.count;
@@ -315,17 +326,18 @@
   return FALSE;
 }
 
-/* `met` has a bit for each required field that has been read. */
+/* Reads the value of a heartbeat's field. `fields_read` is the set of the required fields that have been read; the
+ * function adds the field to it. */
 static FieldResult
-read_field (Reader *reader, const Item *key, FtWorkerHeartbeat *heartbeat, guint *met)
+read_field (Reader *reader, const Item *key, FtWorkerHeartbeat *heartbeat, guint *fields_read)
 {
   guint field = 0;
   while (field < HEARTBEAT_FIELDS && !text_equals (key, heartbeat_fields[field]))
     field++;
   gboolean valid;
   if (field < HEARTBEAT_FIELDS) {
-    valid = (*met & (1u << field)) == 0 && read_required_field (reader, (HeartbeatField) field, heartbeat);
-    *met |= 1u << field;
+    valid = (*fields_read & (1u << field)) == 0 && read_required_field (reader, (HeartbeatField) field, heartbeat);
+    *fields_read |= 1u << field;
   } else if (text_equals (key, FT_WIRE_INTERRUPTION_NOTICE)) {
     valid = read_notice (reader, heartbeat);
   } else {
@@ -334,22 +346,23 @@
   return valid ? FIELD_READ : FIELD_NOT_PLAIN;
 }
 
-/* NULL if the message is not of the plain form. */
+/* Decodes a heartbeat of the plain form; the caller frees it. Returns NULL if the message is not of the plain form. */
 static FtWorkerHeartbeat *
 read_plain (const guint8 *data, gsize size)
 {
   Reader reader = { data, size, 0 };
-  Item map = next (&reader);
+  Item map = next_item (&reader);
   g_autoptr (FtWorkerHeartbeat) heartbeat = ft_worker_heartbeat_new ();
-  guint met = 0;
+  guint fields_read = 0;
   if (map.kind != ITEM_MAP)
     return NULL;
   for (guint64 i = 0; i < map.count; i++) {
-    Item key = next (&reader);
-    if (!is_plain_text (&key, FT_TEXT_MAX) || !finish_field (&reader, read_field (&reader, &key, heartbeat, &met)))
+    Item key = next_item (&reader);
+    if (!is_plain_text (&key, FT_TEXT_MAX)
+        || !finish_field (&reader, read_field (&reader, &key, heartbeat, &fields_read)))
       return NULL;
   }
-  return met == HEARTBEAT_ALL_FIELDS && reader.position == size ? g_steal_pointer (&heartbeat) : NULL;
+  return fields_read == HEARTBEAT_ALL_FIELDS && reader.position == size ? g_steal_pointer (&heartbeat) : NULL;
 }
 
 FtWorkerHeartbeat *
--- a/src/wire/write_batch.c
+++ b/src/wire/write_batch.c
@@ -5,7 +5,7 @@
 #include "wire/machine_rows.h"
 #include "wire/store_keys.h"
 
-/* A job ends only as the row of its state still is: its cancellation by a user may have come first. */
+/* Ends a job on the condition that its state row is unchanged: a user's cancellation may have ended the job first. */
 static void
 add_job_ended (json_t *txn, const FtWrite *write, FtJobEnd end, gint64 wall_ms)
 {
@@ -15,7 +15,7 @@
   ft_txn_delete (txn, open);
 }
 
-/* All tasks of a cancelled job are gone: it leaves the index of open jobs. */
+/* Deletes the open row and the cancellation row of a cancelled job, all of whose tasks have stopped. */
 static void
 add_job_stopped (json_t *txn, const FtWrite *write)
 {
@@ -100,6 +100,7 @@
   return txn;
 }
 
+/* Returns the ref of the first job whose state row is not at the expected revision; NULL: none. */
 static const char *
 conflicted_job (const json_t *body, const GPtrArray *writes)
 {
