--- a/src/ctl/arguments.c
+++ b/src/ctl/arguments.c
@@ -5,11 +5,11 @@
 #include "ctl/error.h"
 
 static const char nodes_variable[] = "FLINTCTL_NODES";
-static const char default_node[] = "127.0.0.1:8081"; /* a controller on this host, on the port of the examples */
+static const char default_node[] = "127.0.0.1:8081"; /* a controller on this host, on the port that the examples use */
 
 enum { PORT_MAX = 65535 };
 
-/* What the options say. Free with parsed_options_clear (). */
+/* The values of the options. Free the contents with parsed_options_clear (). */
 typedef struct {
   GStrv nodes;
   gboolean json;
@@ -23,7 +23,8 @@
 }
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (ParsedOptions, parsed_options_clear)
 
-/* A context with the options that the help lists; what is parsed goes to @options, which must outlive it. */
+/* Returns a context with the options that the help lists. The context stores the values of parsed options in @options,
+ * which must outlive it. */
 static GOptionContext *
 new_context (const char *usage, ParsedOptions *options)
 {
@@ -38,8 +39,8 @@
   return context;
 }
 
-/* Parses the options and removes them from @argv, so that the words are left. --help only sets a flag: which text
- * is shown depends on the command, which may come after it. */
+/* Parses the options and removes them from @argv, so that only the words remain. --help only sets a flag, because the
+ * help text depends on the command, which may follow the option. */
 static gboolean
 parse_options (char ***argv, ParsedOptions *options, GError **error)
 {
@@ -54,7 +55,7 @@
   return g_option_context_parse_strv (context, argv, error);
 }
 
-/* The help of a command, or of the program if @command is NULL. Free it with g_free (). */
+/* Returns the help text of a command, or of the program if @command is NULL. Free it with g_free (). */
 static char *
 help_text (const FtCtlCommand *command)
 {
@@ -76,7 +77,8 @@
          && g_ascii_string_to_unsigned (colon + 1, 10, 1, PORT_MAX, NULL, NULL);
 }
 
-/* The addresses of the environment, or the default one. Empty ones, as after a last comma, are left out. */
+/* Returns the addresses in FLINTCTL_NODES, or the default address if the variable is not set. Skips empty addresses,
+ * for example after a comma at the end. */
 static GStrv
 nodes_from_environment (void)
 {
@@ -89,8 +91,9 @@
   return g_strv_builder_end (nodes);
 }
 
+/* Sets the addresses of the controllers and checks their form. */
 static gboolean
-take_nodes (FtCtlArguments *arguments, ParsedOptions *options, GError **error)
+set_nodes (FtCtlArguments *arguments, ParsedOptions *options, GError **error)
 {
   const char *source = options->nodes != NULL ? "--node" : nodes_variable;
   arguments->nodes = options->nodes != NULL ? g_steal_pointer (&options->nodes) : nodes_from_environment ();
@@ -107,9 +110,10 @@
   return TRUE;
 }
 
-/* The first word names the command, the others are its arguments. */
+/* Sets the command, its arguments and the help text. The first word is the name of the command, the others are its
+ * arguments. */
 static gboolean
-take_words (FtCtlArguments *arguments, char *const *words, gboolean help, GError **error)
+set_command (FtCtlArguments *arguments, char *const *words, gboolean help, GError **error)
 {
   const char *name = words[0];
   arguments->command = name != NULL ? ft_ctl_command_find (name) : NULL;
@@ -142,9 +146,9 @@
   if (!parse_options (&words, &options, error))
     return FALSE;
   arguments->format = options.json ? FT_CTL_FORMAT_JSON : FT_CTL_FORMAT_TEXT;
-  if (!take_words (arguments, words + 1, options.help, error))
+  if (!set_command (arguments, words + 1, options.help, error))
     return FALSE;
-  return arguments->help != NULL || take_nodes (arguments, &options, error);
+  return arguments->help != NULL || set_nodes (arguments, &options, error);
 }
 
 void
--- a/src/ctl/arguments.h
+++ b/src/ctl/arguments.h
@@ -2,8 +2,8 @@
  * SECTION:arguments
  * @title: Command line of flintctl
  *
- * Reads the command line and FLINTCTL_NODES into a #FtCtlArguments, which main () runs. Options may stand before and
- * after the command. Everything that is wrong with them is found here, before anything is sent.
+ * Parses the command line and FLINTCTL_NODES into a #FtCtlArguments, whose command main () runs. Options may precede or
+ * follow the command. This module detects every error in the arguments before flintctl sends a request.
  */
 #pragma once
 #include <glib.h>
@@ -12,13 +12,14 @@
 
 /**
  * FtCtlArguments:
- * @nodes: addresses HOST:PORT in the order in which they are asked; at least one
- * @format: how the answer is printed
+ * @nodes: addresses of controllers, as HOST:PORT, in the order in which requests are sent to them; at least one
+ * @format: format in which the answer is printed
  * @command: (nullable): the command; %NULL only if @help is set
- * @words: the words after the command, which it accepts, %NULL-terminated
- * @help: (nullable): the help text that was asked for; if it is set, nothing else is to be done
+ * @words: the arguments of the command, %NULL-terminated; the command accepts them
+ * @help: (nullable): the help text, if the command line contains --help; flintctl then only prints this text, and
+ *   @nodes and @words are not set
  *
- * Owns everything but @command.
+ * The parsed command line. Owns all fields except @command.
  */
 typedef struct {
   GStrv nodes;
@@ -30,17 +31,18 @@
 
 /**
  * ft_ctl_arguments_parse:
- * @arguments: (out caller-allocates): zeroed; to be cleared by the caller also after an error
+ * @arguments: (out caller-allocates): the parsed command line; the caller sets all fields to zero before the call, and
+ *   calls ft_ctl_arguments_clear () after it, also on failure
  * @argv: the command line with the program's name, %NULL-terminated
- * @error: of %G_OPTION_ERROR, or %FT_CTL_ERROR_USAGE
+ * @error: set on failure to %FT_CTL_ERROR_USAGE or an error of %G_OPTION_ERROR
  *
- * The addresses are those of --node; without it, those of FLINTCTL_NODES, separated by commas; without both, the
- * loopback address with the usual port.
+ * The addresses come from the option --node. Without this option they come from FLINTCTL_NODES, separated by commas. If
+ * neither is given, the only address is 127.0.0.1:8081.
  *
- * Returns: %FALSE with @error set if the command line or FLINTCTL_NODES is wrong.
+ * Returns: %TRUE on success; %FALSE with @error set if the command line or FLINTCTL_NODES is wrong.
  */
 gboolean ft_ctl_arguments_parse (FtCtlArguments *arguments, char **argv, GError **error);
 
-/** ft_ctl_arguments_clear: frees what @arguments owns. */
+/** ft_ctl_arguments_clear: frees the fields that @arguments owns and sets them to %NULL. */
 void ft_ctl_arguments_clear (FtCtlArguments *arguments);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC (FtCtlArguments, ft_ctl_arguments_clear)
--- a/src/ctl/commands.c
+++ b/src/ctl/commands.c
@@ -4,7 +4,7 @@
 
 #include "ctl/error.h"
 
-/* Requests and prints a resource as it is. */
+/* Requests the resource at @path and prints the answer. */
 static gboolean
 show (const FtCtlCall *call, const char *path, const char *list, GError **error)
 {
@@ -15,7 +15,7 @@
   return TRUE;
 }
 
-/* The commands whose name is that of a resource under /admin/. */
+/* Runs a command that prints the resource of the same name below /admin/. */
 static gboolean
 run_show (const FtCtlCommand *command, const FtCtlCall *call, GError **error)
 {
@@ -56,7 +56,7 @@
 
 /* ---- drain, undrain ---- */
 
-/* The command's name is also the last part of the path. */
+/* Runs "drain" or "undrain": the name of the command is also the last part of the path. */
 static gboolean
 run_drain (const FtCtlCommand *command, const FtCtlCall *call, GError **error)
 {
@@ -79,6 +79,7 @@
   return g_str_equal (arguments[0], "get") && arguments[1] == NULL;
 }
 
+/* Returns TRUE if the arguments of "settings" have the form "get" or "set NAME VALUE". */
 static gboolean
 check_settings (char *const *arguments)
 {
@@ -86,7 +87,8 @@
   return is_set || is_settings_get (arguments);
 }
 
-/* JSON null for "default", a number if the text is one, a string otherwise. */
+/* Returns the JSON value for the text of a setting's value: null for "default", a number for the text of a number, a
+ * string otherwise. */
 static json_t *
 parse_setting_value (const char *text)
 {
@@ -98,7 +100,8 @@
   return is_number ? json_real (number) : json_string (text);
 }
 
-/* The change names the version that it was read at: the controller refuses it if another came in between. */
+/* Reads the settings and changes one of them. The request contains the version of the settings that were read, so that
+ * the controller refuses the change if another change was made meanwhile. */
 static gboolean
 set_setting (const FtCtlCall *call, const char *list, GError **error)
 {
@@ -126,7 +129,8 @@
 
 /* ---- metrics ---- */
 
-/* The latencies as rows of a table, with their name as the first column. Returns a new reference. */
+/* Returns the latencies as rows of a table whose first column is the name of the latency. The caller owns the
+ * reference. */
 static json_t *
 latency_rows (const json_t *latencies)
 {
@@ -158,7 +162,7 @@
   return TRUE;
 }
 
-/* ---- table ---- */
+/* ---- table of commands ---- */
 
 static const FtCtlCommand commands[] = {
   { "status", "", "one controller's state and the leader", 0, 0, NULL, run_show, "peers" },
@@ -168,7 +172,7 @@
   { "queue", "", "jobs that wait, and for what", 0, 0, NULL, run_show, "queue" },
   { "machines", "", "machines, and why one is not used", 0, 0, NULL, run_show, "machines" },
   { "drain", "MACHINE", "give a machine no more work", 1, 1, NULL, run_drain, NULL },
-  { "undrain", "MACHINE", "use it again", 1, 1, NULL, run_drain, NULL },
+  { "undrain", "MACHINE", "use a drained machine again", 1, 1, NULL, run_drain, NULL },
   { "settings", "get | set NAME VALUE", "operators' settings; VALUE may be default", 1, 3, check_settings, run_settings,
     "settings" },
   { "metrics", "", "counters and latencies of one controller", 0, 0, NULL, run_metrics, "latency" },
@@ -187,7 +191,7 @@
 ft_ctl_command_accepts (const FtCtlCommand *command, char *const *arguments)
 {
   guint count = g_strv_length ((GStrv) arguments);
-  if (count < command->least || count > command->most)
+  if (count < command->min_arguments || count > command->max_arguments)
     return FALSE;
   return command->check == NULL || command->check (arguments);
 }
--- a/src/ctl/error.h
+++ b/src/ctl/error.h
@@ -2,21 +2,23 @@
  * SECTION:error
  * @title: Errors and exit codes of flintctl
  *
- * Every function of flintctl that can fail reports a #GError: of %FT_CTL_ERROR, or of %G_OPTION_ERROR from the
- * parsing of options. main () prints it as one line and ends the program with the exit code that belongs to it, so
- * no other module writes an error message or chooses an exit code.
+ * Every function of flintctl that can fail reports a #GError of the domain %FT_CTL_ERROR or, from the parsing of
+ * options, %G_OPTION_ERROR. Only main () prints errors and chooses the exit code: it prints the message as one line
+ * and exits with the code that ft_ctl_exit_code () returns.
  */
 #pragma once
 #include <glib.h>
 
-/** FT_CTL_ERROR: the error domain of flintctl. */
+/** FT_CTL_ERROR: the error domain of flintctl; its codes are those of #FtCtlError. */
 #define FT_CTL_ERROR (ft_ctl_error_quark ())
 
 /**
  * FtCtlError:
- * @FT_CTL_ERROR_REFUSED: a controller refused the request, or what was asked for does not exist
- * @FT_CTL_ERROR_USAGE: the command line or FLINTCTL_NODES is wrong; nothing was sent
- * @FT_CTL_ERROR_NO_ANSWER: no controller answered
+ * @FT_CTL_ERROR_REFUSED: a controller refused the request, or the requested job does not exist
+ * @FT_CTL_ERROR_USAGE: the command line or FLINTCTL_NODES is wrong; no request was sent
+ * @FT_CTL_ERROR_NO_ANSWER: no controller answered the request
+ *
+ * The errors of flintctl.
  */
 typedef enum {
   FT_CTL_ERROR_REFUSED,
@@ -25,7 +27,13 @@
 } FtCtlError;
 
 /**
- * FtCtlExit: exit codes. Scripts rely on them, and flintctl(1) documents them: never renumber one.
+ * FtCtlExit:
+ * @FT_CTL_EXIT_DONE: the command has succeeded
+ * @FT_CTL_EXIT_REFUSED: the exit code for %FT_CTL_ERROR_REFUSED
+ * @FT_CTL_EXIT_USAGE: the exit code for %FT_CTL_ERROR_USAGE and for errors of %G_OPTION_ERROR
+ * @FT_CTL_EXIT_NO_ANSWER: the exit code for %FT_CTL_ERROR_NO_ANSWER
+ *
+ * The exit codes of flintctl. Scripts depend on the numbers, and flintctl(1) documents them, so they must not change.
  */
 typedef enum {
   FT_CTL_EXIT_DONE = 0,
@@ -41,6 +49,6 @@
  * ft_ctl_exit_code:
  * @error: an error of %FT_CTL_ERROR or %G_OPTION_ERROR
  *
- * Returns: the exit code that belongs to @error.
+ * Returns: the exit code with which flintctl ends after @error.
  */
 FtCtlExit ft_ctl_exit_code (const GError *error);
--- a/src/ctl/flintctl.c
+++ b/src/ctl/flintctl.c
@@ -1,7 +1,7 @@
 /* flintctl: the operators' client of the administration API; see flintctl(1).
  *
- * arguments.c reads the command line, commands.c has the commands, transport.c sends their requests, output.c prints
- * the answers, error.c has the exit codes. */
+ * arguments.c parses the command line, commands.c implements the commands, transport.c sends requests to the
+ * controllers, output.c prints the answers, and error.c maps errors to exit codes. */
 #include <locale.h>
 #include <stdio.h>
 
@@ -10,7 +10,8 @@
 #include "ctl/error.h"
 #include "ctl/transport.h"
 
-/* Names the controllers that were passed over, unless the error does: an operator may want to look at them. */
+/* Prints a warning for each controller that did not answer, so that the operator can check it. Prints nothing if
+ * `error` is FT_CTL_ERROR_NO_ANSWER, because its message names these controllers. */
 static void
 warn_of_unanswered (const FtCtlTransport *transport, const GError *error)
 {
@@ -43,7 +44,7 @@
   setlocale (LC_ALL, "");
   gboolean done = ft_ctl_arguments_parse (&arguments, argv, &error);
   if (done && arguments.help != NULL)
-    g_print ("%s", arguments.help); /* unlike printf (), in the character set of the terminal */
+    g_print ("%s", arguments.help); /* g_print () converts the text to the locale's character set; printf () does not */
   else if (done)
     done = run (&arguments, &error);
   if (done)
--- a/src/ctl/output.c
+++ b/src/ctl/output.c
@@ -5,7 +5,7 @@
 
 #include <glib.h>
 
-/* The text of one value. Free it with g_free (). */
+/* Returns the text that is printed for one value. Free it with g_free (). */
 static char *
 format_value (const json_t *value)
 {
@@ -20,7 +20,7 @@
   return g_strdup ("-");
 }
 
-/* The width in bytes of the column @name: that of its heading or of its longest value. */
+/* Returns the width of the column @name in bytes: the length of its heading or of its longest value. */
 static int
 column_width (const json_t *rows, const char *name)
 {
@@ -32,7 +32,8 @@
   return width;
 }
 
-/* Prints one row, or the headings if @row is NULL. @widths has one element for each field of @columns. */
+/* Prints one row of a table, or its headings if @row is NULL. The columns are the fields of the object @columns;
+ * @widths has the width in bytes of each column. */
 static void
 print_row (const json_t *columns, const json_t *row, const GArray *widths)
 {
--- a/src/ctl/output.h
+++ b/src/ctl/output.h
@@ -2,17 +2,19 @@
  * SECTION:output
  * @title: Output of flintctl
  *
- * Formats answers of the administration API on standard output, as aligned text for people or as JSON for programs.
- * Scripts parse both: widths, separators and the order of fields (that of the answer) must not change.
- * It knows no command and sends nothing; the commands call it.
+ * Prints answers of the administration API on standard output, as aligned text for people or as JSON for programs.
+ * Scripts parse both formats, so the widths, the separators and the order of fields must not change. Fields are printed
+ * in the order of the answer. The commands (commands.c) call this module.
  */
 #pragma once
 #include <jansson.h>
 
 /**
  * FtCtlFormat:
- * @FT_CTL_FORMAT_TEXT: fields and tables
- * @FT_CTL_FORMAT_JSON: the answer as it came, indented
+ * @FT_CTL_FORMAT_TEXT: one line for each field, and lists as tables
+ * @FT_CTL_FORMAT_JSON: the answer of the controller as indented JSON
+ *
+ * The format in which answers are printed.
  */
 typedef enum {
   FT_CTL_FORMAT_TEXT,
@@ -23,7 +25,7 @@
  * ft_ctl_print_fields:
  * @object: (nullable): a JSON object; %NULL prints nothing
  *
- * Prints one line "name value" for each field of @object that is neither an array nor an object.
+ * Prints a line with name and value for each field of @object. Fields that are arrays or objects are skipped.
  */
 void ft_ctl_print_fields (const json_t *object);
 
@@ -31,7 +33,8 @@
  * ft_ctl_print_table:
  * @rows: (nullable): a JSON array of objects
  *
- * Prints @rows as a table with the fields of the first row, in their order, as columns. Without rows: "none".
+ * Prints @rows as a table. The columns are the fields of the first row, in their order. Prints "none" if there are no
+ * rows.
  */
 void ft_ctl_print_table (const json_t *rows);
 
@@ -39,8 +42,8 @@
  * ft_ctl_print_answer:
  * @format: text or JSON
  * @answer: a JSON object
- * @list: (nullable): the field of @answer that is printed as a table below the others; not used for JSON
+ * @list: (nullable): name of the field of @answer that is printed as a table below the other fields; ignored for JSON
  *
- * Prints a whole answer.
+ * Prints the answer of a controller.
  */
 void ft_ctl_print_answer (FtCtlFormat format, const json_t *answer, const char *list);
--- a/src/ctl/transport.c
+++ b/src/ctl/transport.c
@@ -5,31 +5,35 @@
 #include "net/http.h"
 
 enum {
-  /* Requests are sent one at a time; the rest leaves room for a connection that is still being closed. */
+  /* Connections to one controller: requests are sent one at a time, and an earlier connection may still be closing. */
   CONNECTIONS_PER_HOST = 2,
+  /* Connections to all controllers: those to the current controller and to the one before it. */
   CONNECTIONS_MAX = 4,
+  /* HTTP status of a successful request. */
   STATUS_OK = 200,
-  STATUS_NOT_LEADER = 421, /* the body names the leader's address, if it is known */
+  /* HTTP status of a follower's answer to a request that only the leader can handle. The body contains the leader's
+   * address if the follower knows it. */
+  STATUS_NOT_LEADER = 421,
 };
 
 struct _FtCtlTransport {
   FtHttpClient *client;
   char *const *nodes;
-  GPtrArray *unanswered; /* owned addresses, each once */
+  GPtrArray *unanswered; /* addresses of the controllers that did not answer, owned, without duplicates */
 };
 
-/* The request, as sent to each controller. */
+/* A request, which is sent to the controllers one after the other. */
 typedef struct {
   const char *method;
   const char *path;
   const json_t *body;
 } Request;
 
-/* The answer of one controller; `status` is 0 if there was none. */
+/* The answer of one controller. */
 typedef struct {
-  GMainLoop *loop;
-  guint status;
-  json_t *body; /* owned; NULL if there is none or it is malformed */
+  GMainLoop *loop; /* runs until the answer or the time-out; NULL afterwards */
+  guint status;    /* HTTP status; 0: the controller did not answer */
+  json_t *body;    /* owned; NULL: the answer has no body, or the body is malformed */
 } Answer;
 
 FtCtlTransport *
@@ -74,10 +78,11 @@
   g_main_loop_quit (answer->loop);
 }
 
-/* Asks one controller. FALSE if it does not answer; else `answer` is set, and its body the caller's.
- * A success without a JSON object is no answer: something else than a controller listens there. */
+/* Sends the request to one controller and waits for the answer. Returns TRUE with `answer` set if the controller has
+ * answered; the caller then owns the body. Returns FALSE if it has not. A successful status without a JSON object
+ * counts as no answer, because another program than a controller must listen on that address. */
 static gboolean
-ask_node (FtCtlTransport *transport, const char *address, const Request *request, Answer *answer)
+send_to_node (FtCtlTransport *transport, const char *address, const Request *request, Answer *answer)
 {
   g_autoptr (GMainLoop) loop = g_main_loop_new (NULL, FALSE);
   *answer = (Answer){ .loop = loop };
@@ -92,26 +97,28 @@
   return FALSE;
 }
 
-/* Asks one controller and, if it names the leader instead of answering, the leader. */
+/* Sends the request to one controller. If that controller is a follower and returns the leader's address, sends the
+ * request to the leader. */
 static gboolean
-ask_node_or_leader (FtCtlTransport *transport, const char *address, const Request *request, Answer *answer)
+send_to_node_or_leader (FtCtlTransport *transport, const char *address, const Request *request, Answer *answer)
 {
-  if (!ask_node (transport, address, request, answer))
+  if (!send_to_node (transport, address, request, answer))
     return FALSE;
   const char *leader = json_string_value (json_object_get (answer->body, "addr"));
   if (answer->status != STATUS_NOT_LEADER || leader == NULL)
     return TRUE;
-  json_t *not_leader = answer->body; /* owns `leader` */
-  gboolean answered = ask_node (transport, leader, request, answer);
+  json_t *not_leader = answer->body; /* owns the text of `leader` */
+  gboolean answered = send_to_node (transport, leader, request, answer);
   json_decref (not_leader);
   return answered;
 }
 
+/* Sends the request to one controller after the other until one has answered. */
 static gboolean
-ask_all (FtCtlTransport *transport, const Request *request, Answer *answer)
+send_to_any_node (FtCtlTransport *transport, const Request *request, Answer *answer)
 {
   for (guint i = 0; transport->nodes[i] != NULL; i++)
-    if (ask_node_or_leader (transport, transport->nodes[i], request, answer))
+    if (send_to_node_or_leader (transport, transport->nodes[i], request, answer))
       return TRUE;
   return FALSE;
 }
@@ -132,7 +139,7 @@
 {
   const Request request = { method, path, body };
   Answer answer = { 0 };
-  if (!ask_all (transport, &request, &answer)) {
+  if (!send_to_any_node (transport, &request, &answer)) {
     set_no_answer (transport, error);
     return NULL;
   }
