--- a/src/config.c
+++ b/src/config.c
@@ -8,46 +8,59 @@
 #include "core/constants.h"
 #include "wire/fields.h"
 
-/* No amount in the file comes near this: it only keeps sums of amounts finite. */
+/* Greatest amount that is accepted in the file. It is far above all real amounts and only keeps sums finite. */
 #define AMOUNT_MAX 1e12
+/* Greatest port number of an address. */
 #define PORT_MAX 65535
-/* Least values with which a controller still works; the platform's are far above. */
+
+/* The following minimums are the least values with which a controller still works. The platform's values are far above
+ * them. */
+
+/* Least interval between two heartbeats of a worker, in seconds. */
 #define HEARTBEAT_S_MIN 0.01
+/* Least value of a worker's lease time and of the time in which a cancelled task must end, in seconds. */
 #define WORKER_TIME_S_MIN 0.1
+/* Least limit on requests to the cloud in one second. */
 #define CLOUD_RPS_MIN 0.01
+/* Least share of a CPU that the process may use. */
 #define CPU_SHARE_MIN 0.0001
+/* Least memory that the process may use, in MB. */
 #define MEMORY_MB_MIN 1
-#define CONNECTIONS_MIN 16
+/* Least number of file descriptors that the process may have open. */
+#define FILE_DESCRIPTORS_MIN 16
 
 G_DEFINE_QUARK (ft - config - error - quark, ft_config_error)
 
-/* Names the field, by the path `where` of its map, and what is wrong with it; returns FALSE. */
+/* Sets an error whose message contains the path of the field and `problem`. The path consists of `where`, which is the
+ * path of the field's map, and the field's name. Always returns FALSE. */
 static gboolean
-fail (GError **error, FtConfigError code, const char *where, const char *name, const char *what)
+fail (GError **error, FtConfigError code, const char *where, const char *name, const char *problem)
 {
   g_set_error (error, FT_CONFIG_ERROR, (int) code, "settings: %s%s%s: %s", where, *where != '\0' ? "." : "", name,
-               what);
+               problem);
   return FALSE;
 }
 
-/* Why a field could not be read, of whose type its value is or is not. */
+/* Returns the error code for a field that could not be read. `right_type`: the value has the type of the field. */
 static FtConfigError
-reason (const json_t *map, const char *name, gboolean right_type)
+error_code (const json_t *map, const char *name, gboolean right_type)
 {
   if (ft_field_is_null (map, name))
     return FT_CONFIG_ERROR_MISSING_FIELD;
   return right_type ? FT_CONFIG_ERROR_OUT_OF_RANGE : FT_CONFIG_ERROR_WRONG_TYPE;
 }
 
+/* Reads a text that is not empty. */
 static gboolean
 read_text (const json_t *map, const char *where, const char *name, char **out, GError **error)
 {
   if (ft_field_text (map, name, FT_TEXT_MAX, out))
     return TRUE;
-  FtConfigError code = reason (map, name, json_is_string (json_object_get (map, name)));
+  FtConfigError code = error_code (map, name, json_is_string (json_object_get (map, name)));
   return fail (error, code, where, name, "a text is needed");
 }
 
+/* Reads an address of the form IP:PORT. */
 static gboolean
 read_address (const json_t *map, const char *where, const char *name, char **out, GError **error)
 {
@@ -64,45 +77,50 @@
   return TRUE;
 }
 
+/* Reads a number of at least `min`. */
 static gboolean
 read_amount (const json_t *map, const char *where, const char *name, double min, double *out, GError **error)
 {
   if (ft_field_amount (map, name, min, AMOUNT_MAX, out))
     return TRUE;
-  FtConfigError code = reason (map, name, json_is_number (json_object_get (map, name)));
+  FtConfigError code = error_code (map, name, json_is_number (json_object_get (map, name)));
   return fail (error, code, where, name, "a number is needed, and not below its least value");
 }
 
+/* Reads a whole number of at least `min`. */
 static gboolean
 read_whole (const json_t *map, const char *where, const char *name, guint min, guint *out, GError **error)
 {
   guint64 value;
   if (!ft_field_count (map, name, min, G_MAXINT32, &value)) {
-    FtConfigError code = reason (map, name, json_is_integer (json_object_get (map, name)));
+    FtConfigError code = error_code (map, name, json_is_integer (json_object_get (map, name)));
     return fail (error, code, where, name, "a whole number is needed, and not below its least value");
   }
   *out = (guint) value;
   return TRUE;
 }
 
-/* A map, or a list, within a map; borrowed from it. NULL with an error if it is not there. */
+/* Returns the field of `map` that is a map, borrowed from `map`. Returns NULL with an error if the field is missing or
+ * not a map. */
 static const json_t *
 find_map (const json_t *map, const char *where, const char *name, GError **error)
 {
   const json_t *item = json_object_get (map, name);
   if (json_is_object (item))
     return item;
-  fail (error, reason (map, name, FALSE), where, name, "a map is needed");
+  fail (error, error_code (map, name, FALSE), where, name, "a map is needed");
   return NULL;
 }
 
+/* Returns the field of `map` that is a list, borrowed from `map`. Returns NULL with an error if the field is missing or
+ * not a list. */
 static const json_t *
 find_list (const json_t *map, const char *where, const char *name, GError **error)
 {
   const json_t *item = json_object_get (map, name);
   if (json_is_array (item))
     return item;
-  fail (error, reason (map, name, FALSE), where, name, "a list is needed");
+  fail (error, error_code (map, name, FALSE), where, name, "a list is needed");
   return NULL;
 }
 
@@ -115,8 +133,8 @@
   for (size_t i = 0; i < json_array_size (list); i++) {
     const json_t *item = json_array_get (list, i);
     g_autofree char *where = g_strdup_printf ("others[%zu]", i);
-    FtPeer none = { 0 };
-    g_array_append_val (config->peers, none);
+    FtPeer blank = { 0 };
+    g_array_append_val (config->peers, blank);
     FtPeer *peer = &g_array_index (config->peers, FtPeer, i);
     if (!read_text (item, where, "member", &peer->member, error)
         || !read_address (item, where, "peer_addr", &peer->addr, error))
@@ -147,8 +165,8 @@
   return TRUE;
 }
 
-/* Lowers a limit of the key-value store to the announced next one, if there is one: the change
- * from one to the other is not announced, so requests must fit both. */
+/* Lowers a limit of the key-value store to its value in `next`, if `next` contains a lower one. `next` has the limits
+ * that will apply from an unknown later time on, so requests must satisfy the limits of both. */
 static gboolean
 lower_amount (const json_t *next, const char *name, double min, double *limit, GError **error)
 {
@@ -159,6 +177,7 @@
   return TRUE;
 }
 
+/* Does the same as lower_amount() for a limit that is a whole number. */
 static gboolean
 lower_whole (const json_t *next, const char *name, guint min, guint *limit, GError **error)
 {
@@ -208,7 +227,7 @@
   const char *where = "settings.resources";
   return read_amount (resources, where, "cpu_share", CPU_SHARE_MIN, &config->cpu_share, error)
          && read_amount (resources, where, "ram_mb", MEMORY_MB_MIN, &config->memory_mb, error)
-         && read_whole (resources, where, "fd_limit", CONNECTIONS_MIN, &config->max_file_descriptors, error);
+         && read_whole (resources, where, "fd_limit", FILE_DESCRIPTORS_MIN, &config->max_file_descriptors, error);
 }
 
 static gboolean
@@ -241,10 +260,11 @@
 FtConfig *
 ft_config_parse (const char *content, gsize size, GError **error)
 {
-  json_error_t at;
-  json_t *root = json_loadb (content, size, JSON_REJECT_DUPLICATES, &at);
+  json_error_t parse_error;
+  json_t *root = json_loadb (content, size, JSON_REJECT_DUPLICATES, &parse_error);
   if (root == NULL) {
-    g_set_error (error, FT_CONFIG_ERROR, FT_CONFIG_ERROR_NOT_JSON, "settings: not JSON: line %d: %s", at.line, at.text);
+    g_set_error (error, FT_CONFIG_ERROR, FT_CONFIG_ERROR_NOT_JSON, "settings: not JSON: line %d: %s", parse_error.line,
+                 parse_error.text);
     return NULL;
   }
   g_autoptr (FtConfig) config = g_new0 (FtConfig, 1);
--- a/src/config.h
+++ b/src/config.h
@@ -2,10 +2,11 @@
  * SECTION: config
  * @title: The settings file
  *
- * The JSON file that the platform hands over with --config: this controller's name and addresses,
- * those of its peers and of the services it uses, and the limits that hold for it. It is read once
- * at the start (main.c) and never changes after that; what operators change while a controller
- * runs is in core/tuning.h. Names of numbers end in their unit.
+ * Reads the JSON file that the platform passes with --config. The file contains the name and the
+ * addresses of this controller, the names and addresses of its peers, the addresses of the services
+ * that it uses, and its limits. main.c reads the file once at the start, and the settings do not
+ * change afterwards. core/tuning.h has the settings that operators change while a controller runs.
+ * The name of a field with a number ends in its unit.
  */
 #pragma once
 #include <glib.h>
@@ -15,14 +16,14 @@
 /**
  * FtConfigError:
  * @FT_CONFIG_ERROR_UNREADABLE: the file cannot be read
- * @FT_CONFIG_ERROR_NOT_JSON: its content is not JSON, or a map has a field twice
+ * @FT_CONFIG_ERROR_NOT_JSON: the file is not JSON, or a map contains the same field twice
  * @FT_CONFIG_ERROR_MISSING_FIELD: a field is missing or null
- * @FT_CONFIG_ERROR_WRONG_TYPE: a field has a value of another type
- * @FT_CONFIG_ERROR_OUT_OF_RANGE: a field has a value of the right type that it may not have: a
- *   number too small or great, a text empty or too long, a text that is not an address
+ * @FT_CONFIG_ERROR_WRONG_TYPE: a field has a value of the wrong type
+ * @FT_CONFIG_ERROR_OUT_OF_RANGE: a field has a value of the right type that is not valid: a number
+ *   that is too small or too large, a text that is empty or too long, or a text that is not an address
  *
- * What is wrong with the settings file; codes of the domain %FT_CONFIG_ERROR. The message names
- * the field by its path, as "settings.cloud.rps".
+ * The codes of the error domain %FT_CONFIG_ERROR: what is wrong with the settings file. The error
+ * message contains the path of the field, like "settings.cloud.rps".
  */
 typedef enum {
   FT_CONFIG_ERROR_UNREADABLE,
@@ -37,14 +38,16 @@
 /**
  * ft_config_error_quark:
  *
- * Returns: the error domain; used by way of %FT_CONFIG_ERROR.
+ * Returns: the quark of %FT_CONFIG_ERROR.
  */
 GQuark ft_config_error_quark (void);
 
 /**
  * FtPeer:
  * @member: name of another controller
- * @addr: address at which it takes requests of its peers, as IP:PORT
+ * @addr: address at which that controller accepts requests of its peers, as IP:PORT
+ *
+ * Another controller of the cluster. Owns its texts.
  */
 typedef struct {
   char *member, *addr;
@@ -53,18 +56,18 @@
 /**
  * FtConfig:
  * @member: name of this controller
- * @listen: address on which users and workers are served, as IP:PORT
- * @peer_listen: address on which peers are served
- * @cloud_addr: address of the cloud's service
- * @store_addr: address of the key-value store
+ * @listen: address on which this controller listens for users and workers, as IP:PORT
+ * @peer_listen: address on which this controller listens for its peers and for operators, as IP:PORT
+ * @cloud_addr: address of the cloud's service, as IP:PORT
+ * @store_addr: address of the key-value store, as IP:PORT
  * @peers: (element-type FtPeer): the other controllers
- * @core: what the scheduler needs; its member is that of this structure
- * @cpu_share: share of a CPU that this process may use; checked, but nothing depends on it
- * @memory_mb: memory that this process may use; checked, but nothing depends on it
- * @clock_skew_ms: most that wall clocks differ; checked, but nothing depends on it
- * @max_file_descriptors: most file descriptors that this process may have open
+ * @core: the settings of the scheduler; their member name is borrowed from this structure
+ * @cpu_share: share of a CPU that this process may use; validated but not used
+ * @memory_mb: memory in MB that this process may use; validated but not used
+ * @clock_skew_ms: greatest difference between wall clocks in milliseconds; validated but not used
+ * @max_file_descriptors: greatest number of file descriptors that this process may have open
  *
- * The whole file. Owns all that it points to.
+ * The content of the settings file. Owns everything that it points to.
  */
 typedef struct {
   char *member;
@@ -78,27 +81,33 @@
 
 /**
  * ft_config_load:
- * @path: name of the file
+ * @path: path of the settings file
  * @error: set on failure to an %FT_CONFIG_ERROR
  *
- * Returns: (transfer full) (nullable): the settings, or %NULL if any part is missing or wrong;
- * unknown fields are ignored.
+ * Reads and checks a settings file. Unknown fields are ignored.
+ *
+ * Returns: (transfer full) (nullable): the settings, or %NULL if the file cannot be read or any field
+ * is missing or not valid.
  */
 FtConfig *ft_config_load (const char *path, GError **error);
 
 /**
  * ft_config_parse:
- * @content: text of a settings file; need not end in a zero byte
- * @size: its length in bytes
+ * @content: the content of a settings file; need not end in a zero byte
+ * @size: length of @content in bytes
  * @error: set on failure to an %FT_CONFIG_ERROR
  *
- * Returns: (transfer full) (nullable): as ft_config_load().
+ * Checks the content of a settings file. Unknown fields are ignored.
+ *
+ * Returns: (transfer full) (nullable): the settings, or %NULL if any field is missing or not valid.
  */
 FtConfig *ft_config_parse (const char *content, gsize size, GError **error);
 
 /**
  * ft_config_free:
  * @config: (nullable) (transfer full): settings
+ *
+ * Frees the settings with everything that they own.
  */
 void ft_config_free (FtConfig *config);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FtConfig, ft_config_free)
--- a/src/log.h
+++ b/src/log.h
@@ -2,13 +2,14 @@
  * SECTION: log
  * @title: Logs
  *
- * What is logged by g_message(), g_warning() and the like goes to standard error, a line each:
+ * Writes each message of GLib's logging functions (g_message(), g_warning() and others) to standard
+ * error as one line of the form:
  *
  *   MEMBER LEVEL TEXT
  *
- * MEMBER is the controller's name, so that the logs of several can be merged; LEVEL is "error",
- * "warning", "info" (also for g_message()) or "debug". There is no time in a line: whoever
- * collects standard error adds it. Any thread may log.
+ * MEMBER is the name of the controller, so that the logs of several controllers can be merged. LEVEL
+ * is "error", "warning", "info" (also for g_message()) or "debug". Lines contain no time, because the
+ * service that collects standard error adds it. Any thread may log.
  */
 #pragma once
 #include <glib.h>
@@ -17,19 +18,20 @@
  * ft_log_init:
  * @member: name of this controller, copied
  *
- * Installs the format and the level that the environment's LOG_LEVEL names; if it names none,
- * "error" holds. To be called once, by main() before it starts a controller; GLib's own format
- * is used before that and in tests.
+ * Installs the log format and sets the log level from the environment variable LOG_LEVEL. The level
+ * is "error" if the variable is not set or is invalid. main() calls this function once, before it
+ * starts the controller. Until then, and in tests, GLib's own log format is used.
  */
 void ft_log_init (const char *member);
 
 /**
  * ft_log_set_level:
- * @name: (nullable): "error" for errors and warnings, "info" for messages too, "debug" for all
+ * @name: (nullable): name of the level: "error" logs errors and warnings, "info" also logs
+ *   information, "debug" logs everything
  *
- * Changes the level for all lines from now on. Called on the main thread, at the start and when an
- * operator changes the setting.
+ * Sets the log level for all later messages. Called only on the main thread: at the start, and when an
+ * operator changes the setting of the log level.
  *
- * Returns: %FALSE, with the level as it was, if the name is unknown.
+ * Returns: %TRUE on success; %FALSE, with the level unchanged, if @name is not the name of a level.
  */
 gboolean ft_log_set_level (const char *name);
--- a/src/main.c
+++ b/src/main.c
@@ -1,6 +1,5 @@
-/* flintrack: one controller of the cluster scheduler. Reads the arguments and the settings file,
- * starts a controller (net/controller.h) and runs the main loop, which never ends by itself: a controller is
- * stopped by a signal. */
+/* flintrack: one controller of the cluster scheduler. The program parses the arguments, reads the settings file, starts
+ * the controller (net/controller.h) and runs the main loop. The main loop runs until a signal ends the process. */
 #include <malloc.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,13 +10,14 @@
 #include "log.h"
 #include "net/controller.h"
 
-/* Exit codes, as documented in --help and the manual page; 0 is success. */
+/* The exit codes other than EXIT_SUCCESS (0). --help and the manual page document them. */
 typedef enum {
-  EXIT_USAGE = 2,    /* wrong arguments, or none that say what to do */
-  EXIT_SETTINGS = 3, /* the settings file cannot be read, is not JSON, or a field is missing or wrong */
-  EXIT_LISTEN = 4,   /* an address of the settings file cannot be listened on */
+  EXIT_USAGE = 2,    /* the arguments are wrong, or neither --config, --check nor --version is given */
+  EXIT_SETTINGS = 3, /* the settings file cannot be read, is not JSON, or has a missing or invalid field */
+  EXIT_LISTEN = 4,   /* the controller cannot listen on one of its addresses in the settings file */
 } ExitCode;
 
+/* Runs a controller with the settings file at `path`. Returns the exit code. */
 static int
 run_controller (const char *path)
 {
@@ -27,8 +27,8 @@
     fprintf (stderr, "flintrack: %s\n", error->message);
     return EXIT_SETTINGS;
   }
-  /* Messages are many small blocks beside a few large buffers. With the allocator's fast bins each
-   * allocation of the latter would have it merge all the freed former. */
+  /* Turns off the allocator's fast bins. A message needs many small blocks and a few large buffers; with fast bins,
+   * each allocation of a large buffer makes the allocator merge all small blocks that have been freed. */
   mallopt (M_MXFAST, 0);
   ft_log_init (config->member);
   FtController *controller = ft_controller_new (config, &error);
@@ -42,6 +42,7 @@
   return EXIT_SUCCESS;
 }
 
+/* Checks the settings file at `path` and prints the result. Returns the exit code. */
 static int
 check_settings (const char *path)
 {
