--- a/src/config.c
+++ b/src/config.c
@@ -41,7 +41,7 @@
   return FALSE;
 }
 
-/* Returns the error code for a field that could not be read. `right_type`: the value has the type of the field. */
+/* Returns the error code for a field that could not be read. `right_type`: whether the value has the required type. */
 static FtConfigError
 error_code (const json_t *map, const char *name, gboolean right_type)
 {
@@ -166,7 +166,7 @@
 }
 
 /* Lowers a limit of the key-value store to its value in `next`, if `next` contains a lower one. `next` has the limits
- * that will apply from an unknown later time on, so requests must satisfy the limits of both. */
+ * that will apply later. Their time is not announced, so requests must satisfy the present and the later limit. */
 static gboolean
 lower_amount (const json_t *next, const char *name, double min, double *limit, GError **error)
 {
--- a/src/config.h
+++ b/src/config.h
@@ -61,7 +61,7 @@
  * @cloud_addr: address of the cloud's service, as IP:PORT
  * @store_addr: address of the key-value store, as IP:PORT
  * @peers: (element-type FtPeer): the other controllers
- * @core: the settings of the scheduler; their member name is borrowed from this structure
+ * @core: the settings of the scheduler; their member name is borrowed from @member
  * @cpu_share: share of a CPU that this process may use; validated but not used
  * @memory_mb: memory in MB that this process may use; validated but not used
  * @clock_skew_ms: greatest difference between wall clocks in milliseconds; validated but not used
--- a/src/ctl/transport.c
+++ b/src/ctl/transport.c
@@ -5,9 +5,10 @@
 #include "net/http.h"
 
 enum {
-  /* Connections to one controller: requests are sent one at a time, and an earlier connection may still be closing. */
+  /* Greatest number of connections to one controller. Requests are sent one at a time, but an earlier connection may
+   * still be closing. */
   CONNECTIONS_PER_HOST = 2,
-  /* Connections to all controllers: those to the current controller and to the one before it. */
+  /* Greatest number of connections to all controllers together, with room for connections that are still closing. */
   CONNECTIONS_MAX = 4,
   /* HTTP status of a successful request. */
   STATUS_OK = 200,
@@ -80,7 +81,7 @@
 
 /* Sends the request to one controller and waits for the answer. Returns TRUE with `answer` set if the controller has
  * answered; the caller then owns the body. Returns FALSE if it has not. A successful status without a JSON object
- * counts as no answer, because another program than a controller must listen on that address. */
+ * counts as no answer, because the program at that address is not a controller. */
 static gboolean
 send_to_node (FtCtlTransport *transport, const char *address, const Request *request, Answer *answer)
 {
--- a/src/ctl/transport.h
+++ b/src/ctl/transport.h
@@ -5,7 +5,7 @@
  * Sends requests of the administration API to the administration addresses of the controllers, one after the other,
  * until one answers. If a follower answers with the address of the leader (HTTP status 421), the request is sent to
  * that address. Requests block: the module runs the main loop until the answer arrives. The time-out for each
- * controller is FT_CTL_TIMEOUT_S seconds. The commands (commands.c) call this module. It prints nothing.
+ * controller is FT_CTL_TIMEOUT_S seconds. The commands (commands.c) call this module. This module prints nothing.
  */
 #pragma once
 #include <glib.h>
@@ -48,6 +48,6 @@
  * @transport: the transport
  *
  * Returns: (transfer none) (element-type utf8): the addresses of the controllers that did not answer a request, without
- * duplicates, in the order of the requests.
+ * duplicates, in the order in which requests were sent to them.
  */
 const GPtrArray *ft_ctl_transport_unanswered (const FtCtlTransport *transport);
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -4,7 +4,7 @@
 #include "wire/fields.h"
 #include "wire/protocol.h"
 
-/* The cloud's name of the state of a machine whose launch has failed. */
+/* The cloud's name of the state of a machine that has failed. */
 #define STATE_FAILED "failed"
 /* The cloud's name of the state of a machine that is booting. All other state names stand for a running machine. */
 #define STATE_BOOTING "starting"
--- a/src/wire/cloud.h
+++ b/src/wire/cloud.h
@@ -50,8 +50,8 @@
 /**
  * ft_cloud_list:
  * @body: (nullable): a page of the cloud's list of machines
- * @list: (element-type FtListedMachine): the array to which the page's machines are appended. After
- *   a failure its last element is incomplete; the caller must not use the array and still frees it
+ * @list: (element-type FtListedMachine): the array to which the page's machines are appended; after
+ *   a failure it may contain an incomplete machine, and the caller must free it without using it
  * @more: (out): whether there is another page; set only on success
  *
  * Returns: %TRUE on success, %FALSE if the page is malformed.
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -35,7 +35,7 @@
 
 /**
  * ft_field_fail:
- * @map: the map that contains the field, or lacks it
+ * @map: the map that is being decoded
  * @name: name of a field that could not be read
  * @error: (nullable): set to an %FT_WIRE_ERROR whose message names the field
  *
--- a/src/wire/job_rows.c
+++ b/src/wire/job_rows.c
@@ -43,9 +43,9 @@
 #define FIELD_CHECKPOINT_DURATION "save_s"
 #define FIELD_DEADLINE "deadline_s"
 #define FIELD_SUBMITTED "submitted_ms"  /* wall time of the acceptance, in milliseconds since 1970 */
-#define FIELD_DISPATCH_WATERMARK "sent" /* task indexes from this one on were never sent to a machine */
+#define FIELD_DISPATCH_WATERMARK "sent" /* no task with this index or a higher one was ever sent to a machine */
 #define FIELD_DEPENDENCIES "awaits"     /* refs of the jobs that must be done first, as pack_refs() joins them */
-#define FIELD_STATE_REVISION "stamp"    /* revision of the job's state row; missing: the same as that of the open row */
+#define FIELD_STATE_REVISION "stamp"    /* revision of the job's state row; missing: equal to the open row's revision */
 
 /* ---- cancellation rows and state rows ---- */
 
@@ -108,7 +108,7 @@
   return list;
 }
 
-/* Joins refs to one text without their common prefix, so that a row can hold hundreds of refs. The caller frees the
+/* Joins refs into one text without their common prefix, so that a row can hold hundreds of refs. The caller frees the
  * text. */
 static char *
 pack_refs (GStrv refs)
--- a/src/wire/job_transactions.h
+++ b/src/wire/job_transactions.h
@@ -43,9 +43,9 @@
  * @tasks: number of the job's tasks
  * @wall_ms: wall time of the cancellation, in milliseconds since 1970
  *
- * Cancels a job. The transaction ends the job in its state row and writes its cancellation row, on
- * which the leader stops the job's tasks. The store refuses the transaction if the state row has
- * changed, which means that the job has ended.
+ * Cancels a job. The transaction ends the job in its state row and writes its cancellation row. The
+ * leader stops the job's tasks when it reads the cancellation row. The store refuses the transaction
+ * if the state row has changed, which means that the job has ended.
  *
  * Returns: (transfer full): the transaction.
  */
--- a/src/wire/lease_rows.h
+++ b/src/wire/lease_rows.h
@@ -1,6 +1,6 @@
 /**
  * SECTION: lease_rows
- * @title: Rows of leadership
+ * @title: Rows for leader election
  *
  * Encodes and decodes the fence row, the renewal row and the journal row, and builds the transactions
  * that acquire and renew the lease. Controllers elect a leader with the fence row and the renewal row
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -33,8 +33,8 @@
  * ft_message_job:
  * @body: (nullable): a submission
  *
- * Returns: (transfer full) (nullable): the job, or %NULL if any field is missing or invalid. The
- * job's time of submission and its dispatch watermark are 0.
+ * Returns: (transfer full) (nullable): the job, or %NULL if a required field is missing or any field is
+ * invalid. The job's time of submission and its dispatch watermark are 0.
  */
 FtJobSpec *ft_message_job (const json_t *body);
 
--- a/src/wire/peer_heartbeat.h
+++ b/src/wire/peer_heartbeat.h
@@ -3,7 +3,7 @@
  * @title: Heartbeats of controllers
  *
  * Encodes and decodes the heartbeat that each controller sends to its peers about once a second. Its
- * content is advisory: no decision depends on it for its safety. Used by src/net/peers.c.
+ * content is advisory: the safety of decisions does not depend on it. Used by src/net/peers.c.
  *
  * Only flintrack's controllers use this protocol, so its field names differ from those in messages of
  * workers. Controllers of different versions exchange heartbeats, so no field may change its meaning.
@@ -14,7 +14,7 @@
 
 /**
  * FtPeerHeartbeatJob:
- * @ref: (transfer full): the job's ref
+ * @ref: the job's ref, owned
  * @done: number of the job's tasks that are done
  * @running: number of the job's tasks that are running
  *
--- a/src/wire/scheduler_rows.h
+++ b/src/wire/scheduler_rows.h
@@ -42,7 +42,7 @@
  * @wall_ms: current wall time, in milliseconds since 1970
  * @error: (nullable): set on failure to an %FT_WIRE_ERROR whose message names the row
  *
- * Passes the content of any of these rows to the scheduler. While the scheduler is being loaded, an
+ * Passes the content of the row to the scheduler. While the scheduler is being loaded, an
  * open job may have run under an earlier leader. After that, a job that the scheduler does not have
  * yet was accepted during this leadership.
  *
--- a/src/wire/store_messages.c
+++ b/src/wire/store_messages.c
@@ -6,7 +6,7 @@
 #define FIELD_CONDITIONS "if" /* list of conditions */
 #define FIELD_CHANGES "apply" /* list of changes */
 
-/* Fields of a condition, a change, a row and an event. */
+/* Fields of conditions, changes, rows and events. */
 #define FIELD_KEY "key"            /* key of the row, in a condition and in a row */
 #define FIELD_PUT "write"          /* key of the row that is written, in a change and in an event */
 #define FIELD_DELETE "delete"      /* key of the row that is deleted, in a change and in an event */
--- a/src/wire/worker_heartbeat.c
+++ b/src/wire/worker_heartbeat.c
@@ -47,7 +47,8 @@
   FIELD_NOT_PLAIN, /* the field occurs twice, or its value is invalid or not of the plain form */
 } FieldResult;
 
-/* The required fields of a heartbeat. A field's value is the number of its bit in the set of the fields read. */
+/* The required fields of a heartbeat. The value of a constant is the position of its bit in the set of fields that
+ * have been read. */
 typedef enum {
   HEARTBEAT_MACHINE,
   HEARTBEAT_ADDRESS,
--- a/src/wire/write_batch.h
+++ b/src/wire/write_batch.h
@@ -22,7 +22,7 @@
  * @token: the leader's fencing token
  * @number: number of the batch within this leadership, from 1
  * @fence_revision: revision at which the leader wrote the fence row
- * @journal_revision: revision of the journal row that the leader has last written or read
+ * @journal_revision: the last revision of the journal row that the leader has written or read
  *
  * Identifies the leader and the batch, and gives the revisions on which the batch is conditional.
  */
@@ -70,8 +70,8 @@
  * ft_txn_add_write:
  * @txn: the transaction of the batch
  * @write: a pending write
- * @wall_ms: wall time at which the batch is sent, in milliseconds since 1970; it is stored as the time
- *   of the end of a job
+ * @wall_ms: wall time at which the batch is sent, in milliseconds since 1970; a write that ends a
+ *   job stores it as the time of the job's end
  *
  * Adds the changes and conditions of a pending write to the transaction.
  */
