--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -115,7 +115,7 @@
   std::optional<JobRow> job_row (const std::string &ref) const;
 
   // Teams have neither guarantees nor limits, as the settings say it: all are 0.
-  void unlimit ();
+  void remove_team_limits ();
   // Machines that are not terminated.
   guint
   alive_machines () const
