--- a/tests/test_dependency.cpp
+++ b/tests/test_dependency.cpp
@@ -1,4 +1,4 @@
-// What the scheduler does with jobs that have DAG dependencies.
+// Tests of how the scheduler handles jobs with DAG dependencies.
 #include "scheduler_harness.hpp"
 
 extern "C" {
@@ -8,6 +8,7 @@
 namespace {
 
 struct Pipeline : OneMachine {
+  // Adds a submitted job, and returns it.
   FtJob *
   add (FtJobSpec *job_spec, gint64 now, guint64 revision)
   {
@@ -15,12 +16,13 @@
     ft_scheduler_job_added (scheduler, job_spec, revision, now, now / 1000);
     return job (ref.c_str ());
   }
-  // The writes due now, committed or not by the caller.
+  // The writes that are due now; the caller reports whether they are committed.
   GPtrArray *
   writes (gint64 now)
   {
     return ft_scheduler_next_writes (scheduler, 11, TRUE, now);
   }
+  // Whether the writes contain one of that kind for that job.
   bool
   has (GPtrArray *list, FtWriteKind kind, const std::string &ref)
   {
@@ -31,12 +33,12 @@
     }
     return false;
   }
-  // Starts and ends the job's only task; its end is reported, not committed.
+  // Starts the job's only task and reports its completion; the end of the job is not committed yet.
   void
   run_to_its_end (const char *ref, gint64 at, guint64 sequence)
   {
     g_autoptr (GArray) first = exchange (at, sequence);
-    commit_writes (at); // the dispatch watermark
+    commit_writes (at); // commits the raised dispatch watermark
     g_autoptr (GArray) starts = exchange (at + kS, sequence + 1);
     ASSERT_NE (job (ref)->tasks[0].attempt, nullptr);
     guint64 attempt = job (ref)->tasks[0].attempt->id;
@@ -45,8 +47,9 @@
   }
 };
 
-// A heartbeat that the last task is done is not enough, nor a pending write: only the commit is.
-TEST (Waiting, NothingStartsBeforeTheEndOfItsDependencyIsCommitted)
+// A dependency counts as done once its end is committed. A heartbeat that reports its last task as done does not
+// suffice, nor does a pending or failed write of the end.
+TEST (Dependencies, JobStartsOnlyAfterTheEndOfItsDependencyIsCommitted)
 {
   Pipeline pipeline;
   pipeline.add (new_job_spec ("req-1", 1), 101 * kS, 5);
@@ -58,7 +61,7 @@
   ft_scheduler_place (pipeline.scheduler, 105 * kS, TRUE);
   EXPECT_EQ (second->tasks[0].attempt, nullptr);
   ft_scheduler_writes_failed (pipeline.scheduler, writes, nullptr, 105 * kS);
-  EXPECT_EQ (second->state, FT_JOB_WAITING) << "refused: nothing is known to be done";
+  EXPECT_EQ (second->state, FT_JOB_WAITING) << "the write of the end failed, so the dependency is not done";
   pipeline.commit_writes (106 * kS);
   EXPECT_EQ (second->state, FT_JOB_OPEN);
   EXPECT_EQ (second->ready_at, 106 * kS);
@@ -66,22 +69,23 @@
   EXPECT_NE (second->tasks[0].attempt, nullptr);
 }
 
-TEST (Waiting, CountsNowhereUntilItCanBegin)
+TEST (Dependencies, WaitingJobIsExcludedFromPlacementGuaranteesAndStarvation)
 {
   Pipeline pipeline;
   pipeline.add (new_job_spec ("req-1", 1), 101 * kS, 5);
   FtJob *waiting = pipeline.add (new_dependent_spec ("req-2", { "req-1" }, 4), 101 * kS, 6);
   for (gint64 at = 102; at < 400; at++) {
     ft_scheduler_tick (pipeline.scheduler, at * kS, TRUE);
-    ASSERT_FALSE (waiting->starved) << "it does not wait to begin";
+    ASSERT_FALSE (waiting->starved) << "a job that waits for a dependency must not count as starved";
   }
-  EXPECT_FALSE (pipeline.in_placement_order (waiting)) << "neither guarantee nor rentals see it";
+  EXPECT_FALSE (pipeline.in_placement_order (waiting)) << "guarantees and scaling must not count the job";
   EXPECT_FALSE (waiting->guaranteed);
   EXPECT_EQ (waiting->team->unknown_cpus, 0);
 }
 
-// Cancelled with what it needs: on its own revision, once the cancellation is read and not only advised.
-TEST (Waiting, IsCancelledWithWhatItNeeds)
+// A cancellation cascades to all dependents once the leader has read it from the store. An advisory from a peer is not
+// enough.
+TEST (Dependencies, JobIsCancelledWithItsDependency)
 {
   Pipeline pipeline;
   pipeline.add (new_job_spec ("req-1", 1), 101 * kS, 5);
@@ -89,7 +93,8 @@
   pipeline.add (new_dependent_spec ("req-3", { "req-2" }), 101 * kS, 7);
   ft_scheduler_cancellation_advised (pipeline.scheduler, "req-1", 102 * kS);
   g_autoptr (GPtrArray) none = pipeline.writes (102 * kS);
-  EXPECT_FALSE (pipeline.has (none, FT_WRITE_JOB_CANCELLED, "req-2")) << "an advisory proves nothing";
+  EXPECT_FALSE (pipeline.has (none, FT_WRITE_JOB_CANCELLED, "req-2"))
+      << "an advisory is no evidence of a committed cancellation";
   ft_scheduler_job_cancelled (pipeline.scheduler, "req-1", 0, 103 * kS);
   g_autoptr (GPtrArray) writes = pipeline.writes (103 * kS);
   EXPECT_TRUE (pipeline.has (writes, FT_WRITE_JOB_CANCELLED, "req-2"));
@@ -98,11 +103,12 @@
   EXPECT_EQ (pipeline.job ("req-2"), nullptr);
   FtJob *later = pipeline.add (new_dependent_spec ("req-4", { "req-3" }), 104 * kS, 9);
   ASSERT_NE (later, nullptr);
-  EXPECT_TRUE (later->dependency_cancelled) << "submitted after the cancellation";
+  EXPECT_TRUE (later->dependency_cancelled) << "a job that is added after the cancellation is cancelled too";
 }
 
-// Cancelled by its own user in the same instant: one of the two commits wins.
-TEST (Waiting, ItsOwnUserMayCancelItFirst)
+// The user cancels a job while the leader cancels it for its dependency. The user's commit comes first, so the leader's
+// write conflicts and is not repeated.
+TEST (Dependencies, UsersCancellationPrevailsIfItIsCommittedFirst)
 {
   Pipeline pipeline;
   pipeline.add (new_job_spec ("req-1", 1), 101 * kS, 5);
@@ -123,27 +129,29 @@
   EXPECT_FALSE (pipeline.has (next, FT_WRITE_JOB_CANCELLED, "req-2"));
 }
 
-// A new leader does not take a job for done because it is not among the open ones.
-TEST (Waiting, ANewLeaderReadsWhatItDoesNotKnow)
+// A new leader does not assume that a dependency is done because it is not among the open jobs: it reads the
+// dependency's row.
+TEST (Dependencies, NewLeaderReadsTheRowsOfUnknownDependencies)
 {
   SchedulerHarness harness;
   ft_scheduler_load_job (harness.scheduler, new_dependent_spec ("req-2", { "req-1", "req-3" }), 6, 100 * kS, 100000);
   ft_scheduler_load_job (harness.scheduler, new_job_spec ("req-3", 1), 5, 100 * kS, 100000);
-  EXPECT_EQ (ft_scheduler_next_unread_job (harness.scheduler, 100 * kS), nullptr) << "its pages are not read yet";
+  EXPECT_EQ (ft_scheduler_next_unread_job (harness.scheduler, 100 * kS), nullptr)
+      << "a dependency is unknown only after all open jobs are loaded";
   ft_scheduler_loaded (harness.scheduler, 100 * kS);
   EXPECT_STREQ (ft_scheduler_next_unread_job (harness.scheduler, 100 * kS), "req-1");
   EXPECT_EQ (ft_scheduler_next_unread_job (harness.scheduler, 100 * kS), nullptr)
-      << "once, and not the one that is open";
+      << "req-1 is returned only once, and the open req-3 is not returned";
   EXPECT_EQ (harness.job ("req-2")->state, FT_JOB_WAITING);
   ft_scheduler_job_end_read (harness.scheduler, "req-1", FT_JOB_END_DONE, 30 * kS, 101 * kS);
   EXPECT_EQ (harness.job ("req-2")->state, FT_JOB_WAITING);
   ft_scheduler_job_end_read (harness.scheduler, "req-3", FT_JOB_END_DONE, 0, 101 * kS);
-  EXPECT_EQ (harness.job ("req-2")->state, FT_JOB_WAITING) << "an open job's end comes by its own write";
+  EXPECT_EQ (harness.job ("req-2")->state, FT_JOB_WAITING) << "an open job ends only by its own committed write";
   ft_scheduler_job_cancelled (harness.scheduler, "req-3", 0, 102 * kS);
   EXPECT_TRUE (harness.job ("req-2")->dependency_cancelled);
 }
 
-TEST (Waiting, TimesCountFromTheEndOfTheLastDependencyAfterAFailoverToo)
+TEST (Dependencies, ReadyTimeAfterAFailoverIsTheEndOfTheLastDependency)
 {
   SchedulerHarness harness;
   FtJobSpec *job = new_dependent_spec ("req-2", { "req-1" });
@@ -154,11 +162,11 @@
   ft_scheduler_job_end_read (harness.scheduler, "req-1", FT_JOB_END_DONE, 30 * kS, 101 * kS);
   EXPECT_EQ (harness.job ("req-2")->state, FT_JOB_OPEN);
   EXPECT_EQ (harness.job ("req-2")->ready_at, 71 * kS);
-  EXPECT_EQ (harness.job ("req-2")->deadline_at, 210 * kS) << "from the submission";
+  EXPECT_EQ (harness.job ("req-2")->deadline_at, 210 * kS) << "the deadline counts from the submission";
 }
 
-// A raised dispatch watermark is committed evidence that all dependencies were done: nothing is read again.
-TEST (Waiting, AJobThatHasStartedNeedsNothingToBeRead)
+// A raised dispatch watermark is committed evidence that all dependencies were done, so their rows are not read again.
+TEST (Dependencies, StartedJobNeedsNoReadOfItsDependencies)
 {
   SchedulerHarness harness;
   FtJobSpec *job = new_dependent_spec ("req-2", { "req-1" }, 4);
@@ -169,7 +177,7 @@
   EXPECT_EQ (ft_scheduler_next_unread_job (harness.scheduler, 100 * kS), nullptr);
 }
 
-TEST (Waiting, AJobRanksWithWhatNeedsIt)
+TEST (Dependencies, JobInheritsTheUrgencyOfItsDependent)
 {
   Pipeline pipeline;
   FtJobSpec *low = new_job_spec ("req-1", 1);
--- a/tests/test_dependency_graph.cpp
+++ b/tests/test_dependency_graph.cpp
@@ -1,4 +1,4 @@
-// The graph of DAG dependencies between jobs, on its own.
+// Tests of the graph of DAG dependencies between jobs, without a scheduler.
 #include <set>
 
 #include "scheduler_harness.hpp"
@@ -9,12 +9,12 @@
 
 namespace {
 
-class Graph : public testing::Test {
+class DependencyGraph : public testing::Test {
 protected:
-  std::set<std::string> changed;
-  FtDependencyGraph *graph
-      = ft_dependency_graph_new ([] (const char *ref, gpointer data) { ((Graph *) data)->changed.insert (ref); }, this);
-  ~Graph () override { ft_dependency_graph_free (graph); }
+  std::set<std::string> changed; // jobs whose wait or urgency has been reported as changed
+  FtDependencyGraph *graph = ft_dependency_graph_new (
+      [] (const char *ref, gpointer data) { ((DependencyGraph *) data)->changed.insert (ref); }, this);
+  ~DependencyGraph () override { ft_dependency_graph_free (graph); }
   void
   add (const std::string &ref, std::vector<std::string> dependencies = {}, FtUrgency own = { FT_PRIORITY_LOW, 0 },
        bool cancelled = false)
@@ -47,7 +47,7 @@
   }
 };
 
-TEST_F (Graph, AJobWaitsUntilTheLastOfItsDependenciesIsDone)
+TEST_F (DependencyGraph, JobWaitsUntilItsLastDependencyIsDone)
 {
   add ("a");
   add ("b");
@@ -60,10 +60,10 @@
   done ("b", 6);
   EXPECT_EQ (wait ("c"), FT_WAIT_NONE);
   EXPECT_EQ (changed.count ("c"), 1u);
-  EXPECT_EQ (ft_dependency_graph_met_at (graph, "c"), 7) << "the last of them counts";
+  EXPECT_EQ (ft_dependency_graph_met_at (graph, "c"), 7) << "the later of the two ends counts";
 }
 
-TEST_F (Graph, ADiamondWaitsForBothSidesAndIsCancelledOnce)
+TEST_F (DependencyGraph, JobWaitsForTwoDependenciesAndIsCancelledWithEither)
 {
   add ("top");
   add ("left", { "top" });
@@ -71,15 +71,15 @@
   add ("bottom", { "left", "right" });
   done ("top");
   EXPECT_EQ (wait ("left"), FT_WAIT_NONE);
-  EXPECT_EQ (wait ("right"), FT_WAIT_NONE) << "named twice counts once";
+  EXPECT_EQ (wait ("right"), FT_WAIT_NONE) << "a dependency that is named twice counts once";
   done ("left");
   EXPECT_EQ (wait ("bottom"), FT_WAIT_PENDING);
   cancelled ("right");
   EXPECT_EQ (wait ("bottom"), FT_WAIT_CANCELLED);
 }
 
-// A chain as long as users like: nothing recurses on it.
-TEST_F (Graph, ALongChainIsCancelledWhole)
+// Guards against recursion along a chain of dependencies, whose length users choose.
+TEST_F (DependencyGraph, CancellationReachesEveryJobOfALongChain)
 {
   constexpr int kLength = 20000;
   add ("j0");
@@ -90,7 +90,7 @@
     ASSERT_EQ (wait ("j" + std::to_string (i)), FT_WAIT_CANCELLED) << i;
 }
 
-TEST_F (Graph, HundredsNeedOneAndOneNeedsHundreds)
+TEST_F (DependencyGraph, JobsWaitInAFanOutAndAFanInOfHundreds)
 {
   std::vector<std::string> all;
   add ("first");
@@ -108,8 +108,9 @@
   EXPECT_EQ (wait ("last"), FT_WAIT_NONE);
 }
 
-// What comes after a cancelled one is cancelled too, also if it is added later.
-TEST_F (Graph, WhatIsAddedLaterIsCancelledWithWhatItNeeds)
+// A job that is added after the cancellation of its ancestor is cancelled too, as is one that is added with a
+// dependency that is known to be cancelled.
+TEST_F (DependencyGraph, JobAddedAfterTheCancellationOfAnAncestorIsCancelled)
 {
   add ("a");
   add ("b", { "a" });
@@ -120,8 +121,9 @@
   EXPECT_EQ (wait ("d"), FT_WAIT_CANCELLED);
 }
 
-// Absence proves nothing: a dependency that nobody knows is to be read, at once, then now and then.
-TEST_F (Graph, AnUnknownDependencyIsToBeRead)
+// A dependency that is not in the graph may be open or ended, so its row is read at once, and again after the retry
+// interval.
+TEST_F (DependencyGraph, UnknownDependencyIsReadAndRetried)
 {
   add ("c", { "a", "b" });
   std::set<std::string> named;
@@ -129,27 +131,28 @@
     ASSERT_TRUE (named.insert (ref).second);
   EXPECT_EQ (named, (std::set<std::string>{ "a", "b" }));
   EXPECT_EQ (ft_dependency_graph_next_unread (graph, 149, 50), nullptr);
-  add ("a"); // the watch has reported it
+  add ("a"); // the watch has reported that the job is open
   done ("b");
   EXPECT_EQ (ft_dependency_graph_next_unread (graph, 200, 50), nullptr);
   EXPECT_EQ (wait ("c"), FT_WAIT_PENDING);
   add ("e", { "f" });
-  EXPECT_STREQ (ft_dependency_graph_next_unread (graph, 200, 50), "f") << "a new one does not wait for others' turns";
+  EXPECT_STREQ (ft_dependency_graph_next_unread (graph, 200, 50), "f")
+      << "a new unknown dependency is returned at once";
 }
 
-TEST_F (Graph, AJobIsAsUrgentAsWhatNeedsIt)
+TEST_F (DependencyGraph, JobInheritsTheHighestUrgencyOfItsDependents)
 {
   add ("a");
   add ("b", { "a" });
   add ("c", { "b" }, { FT_PRIORITY_HIGH, 100 * kS });
   EXPECT_EQ (urgency ("a").priority, FT_PRIORITY_HIGH);
   EXPECT_EQ (urgency ("b").deadline_at, 100 * kS);
-  EXPECT_EQ (urgency ("a").deadline_at, 100 * kS) << "through b";
+  EXPECT_EQ (urgency ("a").deadline_at, 100 * kS) << "the deadline is inherited through b";
   add ("d", { "a" }, { FT_PRIORITY_PRODUCTION, 50 * kS });
   EXPECT_EQ (urgency ("a").priority, FT_PRIORITY_PRODUCTION);
   EXPECT_EQ (urgency ("a").deadline_at, 50 * kS);
   EXPECT_EQ (urgency ("b").priority, FT_PRIORITY_HIGH);
-  cancelled ("d"); // nobody needs it for that any more
+  cancelled ("d"); // a no longer inherits the urgency of d, which is cancelled
   EXPECT_EQ (urgency ("a").priority, FT_PRIORITY_HIGH);
   EXPECT_EQ (urgency ("a").deadline_at, 100 * kS);
 }
--- a/tests/test_dependency_records.cpp
+++ b/tests/test_dependency_records.cpp
@@ -1,4 +1,4 @@
-// Rows and messages of jobs with DAG dependencies.
+// Tests of the stored rows and the messages of jobs with DAG dependencies.
 #include "scheduler_harness.hpp"
 
 extern "C" {
@@ -8,7 +8,7 @@
 
 namespace {
 
-TEST (Waiting, ItsDependenciesSurviveItsRowAndAreFewBytesEach)
+TEST (DependencyRecords, DependenciesSurviveTheOpenRowAndTakeFewBytesEach)
 {
   g_autoptr (FtJobSpec) job = new_dependent_spec ("req-1", { "req-000398", "req-000405" });
   json_t *row = ft_row_open (job);
@@ -16,7 +16,8 @@
   ASSERT_NE (back, nullptr);
   EXPECT_TRUE (g_strv_equal ((const char *const *) back->dependencies, (const char *const *) job->dependencies));
   json_object_set_new (row, "awaits", json_string ("no/ref"));
-  EXPECT_EQ (ft_row_open_parse ("req-1", row), nullptr) << "never started because its dependencies cannot be read";
+  EXPECT_EQ (ft_row_open_parse ("req-1", row), nullptr)
+      << "a row with an invalid dependency must be refused, since its job could start too early";
   json_decref (row);
   std::vector<std::string> names;
   std::vector<const char *> many;
@@ -28,7 +29,7 @@
   EXPECT_LE (ft_row_open_size (wide), 2048u);
 }
 
-TEST (Waiting, AJobsOwnRowHasItsEndAndWhetherItHasDependencies)
+TEST (DependencyRecords, JobRowStoresItsEndAndWhetherItHasDependencies)
 {
   g_autoptr (FtJobSpec) job = new_dependent_spec ("req-1", { "req-2" }, 3);
   FtJobRow state;
@@ -43,7 +44,7 @@
   json_decref (done);
 }
 
-TEST (Waiting, AListOfDependenciesIsCheckedWhole)
+TEST (DependencyRecords, EveryEntryOfADependencyListIsValidated)
 {
   auto job = [] (const char *dependencies) {
     std::string text = R"({"ref":"req-1","lane":"c","crew":"red","shape":"array","urgency":"high","pieces":1,"cores":1.0,
--- a/tests/test_job.cpp
+++ b/tests/test_job.cpp
@@ -1,9 +1,9 @@
-// States of a task and of a job, and the done-sets that a job stores.
+// Tests of the state transitions of tasks and jobs, and of the done-sets that a job stores.
 #include "scheduler_harness.hpp"
 
 namespace {
 
-TEST (Task, RefusesIllegalMoves)
+TEST (Task, IllegalStateTransitionsAreRefused)
 {
   FtJob *job = ft_job_new (new_job_spec ("req-1", 2), nullptr, 1, FT_TASK_QUEUED);
   EXPECT_FALSE (ft_task_set_state (job, 0, FT_TASK_DONE));
