--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -1,9 +1,10 @@
-// The leader's lease: when a controller acquires, renews and yields it, and what its holder may do.
+// Tests of the leader's lease: when a controller acquires, renews and yields it, and what its holder may do.
 #include "scheduler_harness.hpp"
 
 namespace {
 
-// One controller's view of the lease rows.
+// The lease as controller "me" sees it, with a lease time of 9 s, a sweep interval of 3 s, and an answer grace period
+// of 18 s.
 struct LeaseView {
   FtLease *lease = ft_lease_new ("me", 7, 9 * kS, 3 * kS, 18 * kS, 1);
   ~LeaseView () { ft_lease_free (lease); }
@@ -14,17 +15,17 @@
     FtLeaseRows rows = { token, (char *) holder, 1, fence, renewal, lease_us, released };
     ft_lease_observe (lease, now, &rows);
   }
-  // Acquires the lease that nobody held, by a transaction sent at 0 s.
+  // Acquires the lease, which no controller holds. `sent_at`: when the claim is reported as sent.
   void
-  acquire (gint64 answered_at = 0)
+  acquire (gint64 sent_at = 0)
   {
     observe (0, 0, nullptr, 0, 0);
     ft_lease_claim (lease, 0);
-    ft_lease_acquired (lease, answered_at, 10);
+    ft_lease_acquired (lease, sent_at, 10);
   }
 };
 
-TEST (Lease, TakesARowUnrenewedForALeaseTimeAndNotBefore)
+TEST (Lease, LeaseIsClaimedOnlyAfterALeaseTimeWithoutRenewal)
 {
   LeaseView view;
   view.observe (0, 4, "other", 10, 20);
@@ -38,7 +39,7 @@
   EXPECT_TRUE (claim.check_renewal);
 }
 
-TEST (Lease, TimeWithTheStoreUnreachableDoesNotCountAgainstTheHolder)
+TEST (Lease, StoreOutageDoesNotCountAgainstTheHolder)
 {
   LeaseView view;
   view.observe (0, 4, "other", 10, 20);
@@ -47,8 +48,8 @@
   EXPECT_TRUE (ft_lease_acquire_due (view.lease, 18 * kS));
 }
 
-// Found in a recorded day: after an outage up to 3.75 s went by before anybody looked.
-TEST (Lease, AFailedSweepIsRepeatedSoon)
+// Guards against a whole sweep interval without a read of the rows after an outage; with jitter, that was up to 3.75 s.
+TEST (Lease, FailedSweepIsRetriedWithinASecond)
 {
   g_autoptr (FtLease) lease = ft_lease_new ("hearth-0", 1, 9 * kS, 3 * kS, 18 * kS, 1);
   ft_lease_sweep_failed (lease, 100 * kS);
@@ -56,7 +57,7 @@
   EXPECT_TRUE (ft_lease_sweep_due (lease, 101 * kS));
 }
 
-TEST (Lease, TakesOverAtOnceFromItsFormerSelfAndFromAReleasedRow)
+TEST (Lease, OwnEarlierLeaseAndReleasedLeaseAreClaimedAtOnce)
 {
   LeaseView own, released;
   own.observe (0, 4, "me", 10, 20);
@@ -65,7 +66,7 @@
   EXPECT_TRUE (ft_lease_acquire_due (released.lease, 0));
 }
 
-TEST (Lease, ValidityCountsFromWhenTheRenewalWasSent)
+TEST (Lease, ValidityCountsFromTheSendTimeOfTheRenewal)
 {
   LeaseView view;
   view.acquire (1 * kS);
@@ -74,11 +75,12 @@
   EXPECT_FALSE (ft_lease_may_start (view.lease, 10 * kS));
   ft_lease_tick (view.lease, 10 * kS);
   EXPECT_EQ (ft_lease_state (view.lease), FT_LEASE_EXPIRED);
-  // A holder whose lease expired answers heartbeats for the grace period, counted from the older contact.
+  // A holder whose lease has expired answers heartbeats for the answer grace period, which counts from the last renewal
+  // or the last known cancellations, whichever is older.
   ft_lease_cancellations_known (view.lease, 18 * kS);
   EXPECT_TRUE (ft_lease_may_answer (view.lease, 18 * kS));
   EXPECT_FALSE (ft_lease_may_answer (view.lease, 19 * kS));
-  // Nobody acquired it in between: the renewal makes it valid again.
+  // No other controller has acquired the lease, so the renewal makes it valid again.
   ft_lease_renewed (view.lease, 17 * kS);
   EXPECT_TRUE (ft_lease_may_start (view.lease, 20 * kS));
   ft_lease_lost (view.lease, 21 * kS);
@@ -86,12 +88,12 @@
   EXPECT_FALSE (ft_lease_may_answer (view.lease, 21 * kS));
 }
 
-// Its answers would keep tasks alive that were cancelled before it was the holder.
-TEST (Lease, ANewHolderAnswersNobodyBeforeItHasReadTheCancellations)
+// The answers of a new holder would keep tasks running that were cancelled before it acquired the lease.
+TEST (Lease, NewHolderAnswersNoHeartbeatBeforeItHasReadTheCancellations)
 {
   LeaseView view;
   view.observe (0, 4, "me", 10, 20);
-  for (guint64 revision : { 30u, 40u }) { // again after each acquisition
+  for (guint64 revision : { 30u, 40u }) { // revisions of the fence after two acquisitions
     ft_lease_claim (view.lease, 0);
     ft_lease_acquired (view.lease, 0, revision);
     EXPECT_FALSE (ft_lease_may_answer (view.lease, kS));
@@ -104,8 +106,8 @@
   }
 }
 
-// A renewal that succeeds after an outage shows nothing of the cancellations meanwhile.
-TEST (Lease, ARenewalAloneExtendsNoAnswerGracePeriodAndStartsNothing)
+// A renewal that succeeds after an outage does not show which jobs were cancelled during the outage.
+TEST (Lease, RenewalWithoutFreshCancellationsPermitsNeitherStartsNorAnswers)
 {
   LeaseView view;
   view.acquire ();
@@ -118,12 +120,12 @@
   ft_lease_cancellations_known (view.lease, 31 * kS);
   EXPECT_TRUE (ft_lease_may_start (view.lease, 32 * kS));
   EXPECT_TRUE (ft_lease_may_answer (view.lease, 32 * kS));
-  // An answer that comes late, of a request sent before, takes nothing back.
+  // A late answer to an earlier request does not make the known cancellations older.
   ft_lease_cancellations_known (view.lease, 5 * kS);
   EXPECT_TRUE (ft_lease_may_start (view.lease, 32 * kS));
 }
 
-TEST (Lease, AYieldingHolderStartsNothingAndAnswersUntilItsGracePeriodIsOver)
+TEST (Lease, YieldingHolderStartsNothingAndAnswersUntilItsGracePeriodIsOver)
 {
   LeaseView view;
   view.acquire ();
@@ -133,12 +135,12 @@
   EXPECT_FALSE (ft_lease_may_start (view.lease, 2 * kS));
   EXPECT_TRUE (ft_lease_may_answer (view.lease, 17 * kS));
   EXPECT_FALSE (ft_lease_may_answer (view.lease, 18 * kS));
-  // Nobody has acquired the lease and the store is reachable again: it leads on.
+  // No other controller has acquired the lease, so a renewal that succeeds lets the holder start tasks again.
   ft_lease_renewed (view.lease, 4 * kS);
   EXPECT_TRUE (ft_lease_may_start (view.lease, 5 * kS));
 }
 
-TEST (Lease, ASuspectedHolderIsTakenOverOnlyIfItsRowsDoNotChange)
+TEST (Lease, LeaseOfASuspectedHolderIsClaimedOnlyIfItsRowsAreUnchanged)
 {
   LeaseView alive, gone;
   for (LeaseView *view : { &alive, &gone }) {
@@ -146,7 +148,7 @@
     view->observe (20 * kS, 4, "other", 10, 20);
     ft_lease_suspect (view->lease, "other", TRUE, 21 * kS);
     EXPECT_TRUE (ft_lease_sweep_due (view->lease, 21 * kS));
-    EXPECT_FALSE (ft_lease_acquire_due (view->lease, 21 * kS)) << "the rows must be read first";
+    EXPECT_FALSE (ft_lease_acquire_due (view->lease, 21 * kS)) << "the rows must be read before the lease is claimed";
   }
   alive.observe (22 * kS, 4, "other", 10, 21);
   EXPECT_FALSE (ft_lease_acquire_due (alive.lease, 22 * kS));
@@ -156,23 +158,25 @@
   EXPECT_TRUE (claim.check_renewal);
 }
 
-// Found on the fleets' day of refused connections: every controller looked dead to
-// the others, and a new leader claimed twice a second.
-TEST (Lease, AnAdvisoryWithoutAWitnessOrAboutANewLeaderWaitsForARenewal)
+// Guards against leaders that replace each other twice a second while controllers refuse each other's connections and
+// so suspect each other. A suspicion that no other peer confirms, or one of a leader with a new fence, permits a claim
+// only when a renewal is overdue.
+TEST (Lease, UnconfirmedSuspicionOrNewLeaderWaitsForAnOverdueRenewal)
 {
-  LeaseView unsure, young;
-  for (LeaseView *view : { &unsure, &young }) {
-    view->observe (0, 4, "other", view == &young ? 9 : 10, 20);
+  LeaseView unconfirmed, new_leader;
+  for (LeaseView *view : { &unconfirmed, &new_leader }) {
+    view->observe (0, 4, "other", view == &new_leader ? 9 : 10, 20);
     view->observe (20 * kS, 4, "other", 10, 20);
-    ft_lease_suspect (view->lease, "other", view == &young, 21 * kS);
+    ft_lease_suspect (view->lease, "other", view == &new_leader, 21 * kS);
     view->observe (21 * kS + kS / 5, 4, "other", 10, 20);
-    EXPECT_TRUE (ft_lease_sweep_due (view->lease, 22 * kS)) << "it is looked at often meanwhile";
-    EXPECT_EQ (ft_lease_acquire_due (view->lease, 22 * kS), view == &unsure) << "unsure: unrenewed since 0 s";
+    EXPECT_TRUE (ft_lease_sweep_due (view->lease, 22 * kS)) << "the rows are read often during the suspicion";
+    EXPECT_EQ (ft_lease_acquire_due (view->lease, 22 * kS), view == &unconfirmed)
+        << "only the unconfirmed suspicion is about a lease without renewal for its lease time";
   }
-  young.observe (23 * kS, 4, "other", 10, 20);
-  EXPECT_FALSE (ft_lease_acquire_due (young.lease, 23 * kS));
-  young.observe (24 * kS + kS / 10, 4, "other", 10, 20);
-  EXPECT_TRUE (ft_lease_acquire_due (young.lease, 24 * kS + kS / 10)) << "a renewal is a second overdue";
+  new_leader.observe (23 * kS, 4, "other", 10, 20);
+  EXPECT_FALSE (ft_lease_acquire_due (new_leader.lease, 23 * kS));
+  new_leader.observe (24 * kS + kS / 10, 4, "other", 10, 20);
+  EXPECT_TRUE (ft_lease_acquire_due (new_leader.lease, 24 * kS + kS / 10)) << "a renewal is one second overdue";
   LeaseView renewed;
   renewed.observe (0, 4, "other", 10, 20);
   ft_lease_suspect (renewed.lease, "other", FALSE, kS);
@@ -180,7 +184,7 @@
   EXPECT_FALSE (ft_lease_acquire_due (renewed.lease, 8 * kS));
 }
 
-TEST (Lease, AReleasedHolderKeepsOff)
+TEST (Lease, ControllerThatReleasedTheLeaseAbstainsFromClaimingIt)
 {
   LeaseView view;
   view.acquire ();
@@ -190,7 +194,7 @@
   EXPECT_TRUE (ft_lease_acquire_due (view.lease, 2 * kS + (gint64) (FT_ABSTAIN_S * kS)));
 }
 
-TEST (Tuning, NodesThatDisagreeAboutTheLeaseTimeWaitForTheLonger)
+TEST (Lease, FollowerWaitsForTheLongerOfItsOwnAndTheStoredLeaseTime)
 {
   LeaseView view;
   ft_lease_set_times (view.lease, 3 * kS, kS, 0.25, 3);
@@ -199,7 +203,7 @@
   EXPECT_TRUE (ft_lease_acquire_due (view.lease, 13 * kS));
 }
 
-TEST (Tuning, AHolderCountsWithWhatItsRenewalWrote)
+TEST (Lease, HolderUsesTheLeaseTimeThatItsRenewalWrote)
 {
   LeaseView view;
   view.acquire ();
