--- a/tests/test_checker.cpp
+++ b/tests/test_checker.cpp
@@ -1,5 +1,4 @@
-// The checker of the simulated world must be able to fail: what breaks a rule is found, and
-// what keeps it is not.
+// Tests of the checker of the simulated world: it reports each violation of a rule, and nothing else.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,8 +9,10 @@
 
 namespace {
 
-// One broken step for each rule.
-class CheckerFails : public testing::Test {
+// Each test breaks one rule, apart from the one that counts starts. Team red has a limit of 8 CPUs, and a job must have
+// no task left 10 s after its confirmed cancellation. Each job has three tasks of 4 CPUs: req-1 forbids spot machines,
+// req-2 must be spread over zones, and req-3 must stay in one zone.
+class CheckerReports : public testing::Test {
 protected:
   Checker checker{ { { "red", 8 } }, 10 * kSecond };
   void
@@ -38,7 +39,7 @@
   }
 };
 
-TEST_F (CheckerFails, RanTwice)
+TEST_F (CheckerReports, TaskOnTwoMachinesAtOnce)
 {
   checker.task_started (0, "req-1", 0, { "m1", "a", false });
   checker.task_stopped ("req-1", 0, "m1");
@@ -48,7 +49,7 @@
   expect_violation_of ("ran_twice");
 }
 
-TEST_F (CheckerFails, Quota)
+TEST_F (CheckerReports, TeamAboveItsCpuLimit)
 {
   checker.task_started (0, "req-1", 0, { "m1", "a", false });
   checker.task_started (0, "req-1", 1, { "m1", "a", false });
@@ -57,32 +58,32 @@
   expect_violation_of ("quota");
 }
 
-TEST_F (CheckerFails, WrongKindOfMachine)
+TEST_F (CheckerReports, TaskOnASpotMachineThatItsJobForbids)
 {
   checker.task_started (0, "req-1", 0, { "m1", "a", true });
   expect_violation_of ("wrong_place");
 }
 
-TEST_F (CheckerFails, WrongSpread)
+TEST_F (CheckerReports, MoreThanHalfOfASpreadJobInOneZone)
 {
-  Checker wide{ { { "red", 80 } }, 10 * kSecond };
+  Checker roomy_checker{ { { "red", 80 } }, 10 * kSecond };
   Checker::Job job = checker.jobs ().at ("req-2");
-  wide.submitted ("req-2", job);
-  wide.task_started (0, "req-2", 0, { "m1", "a", true });
-  wide.task_started (0, "req-2", 1, { "m1", "a", true });
-  EXPECT_TRUE (wide.violations ().empty ());
-  wide.task_started (0, "req-2", 2, { "m1", "a", true });
-  ASSERT_EQ (wide.violations ().size (), 1u);
+  roomy_checker.submitted ("req-2", job);
+  roomy_checker.task_started (0, "req-2", 0, { "m1", "a", true });
+  roomy_checker.task_started (0, "req-2", 1, { "m1", "a", true });
+  EXPECT_TRUE (roomy_checker.violations ().empty ());
+  roomy_checker.task_started (0, "req-2", 2, { "m1", "a", true });
+  ASSERT_EQ (roomy_checker.violations ().size (), 1u);
 }
 
-TEST_F (CheckerFails, TwoZones)
+TEST_F (CheckerReports, OneZoneJobInTwoZones)
 {
   checker.task_started (0, "req-3", 0, { "m1", "a", true });
   checker.task_started (0, "req-3", 1, { "m2", "b", true });
   expect_violation_of ("wrong_place");
 }
 
-TEST_F (CheckerFails, RanCancelled)
+TEST_F (CheckerReports, CancelledTaskLeftOnItsMachineAfterTheDeadline)
 {
   checker.task_started (0, "req-1", 0, { "m1", "a", false });
   checker.cancellation_requested ("req-1");
@@ -93,7 +94,7 @@
   expect_violation_of ("ran_cancelled");
 }
 
-TEST_F (CheckerFails, Forgotten)
+TEST_F (CheckerReports, AcceptedJobAnsweredAsNotFound)
 {
   checker.state_reported (0, "req-1", "");
   EXPECT_TRUE (checker.violations ().empty ());
@@ -102,14 +103,14 @@
   expect_violation_of ("forgotten");
 }
 
-TEST_F (CheckerFails, RefusedAgain)
+TEST_F (CheckerReports, RefusedResubmissionOfAnAcceptedJob)
 {
   checker.state_reported (0, "req-1", "queued");
   checker.resubmission_refused ("req-1");
   expect_violation_of ("forgotten");
 }
 
-TEST_F (CheckerFails, Invented)
+TEST_F (CheckerReports, StateOfAJobThatWasNeverSubmitted)
 {
   checker.state_reported (0, "req-9", "");
   EXPECT_TRUE (checker.violations ().empty ());
@@ -117,7 +118,7 @@
   expect_violation_of ("invented");
 }
 
-TEST_F (CheckerFails, NotDone)
+TEST_F (CheckerReports, DoneJobWithAnIncompleteTask)
 {
   checker.task_completed (0, "req-1", 0);
   checker.task_completed (0, "req-1", 1);
@@ -125,7 +126,7 @@
   expect_violation_of ("not_done");
 }
 
-TEST_F (CheckerFails, WentBack)
+TEST_F (CheckerReports, ChangeOfAFinalState)
 {
   checker.cancellation_requested ("req-1");
   checker.state_reported (0, "req-1", "cancelled");
@@ -133,27 +134,28 @@
   expect_violation_of ("went_back");
 }
 
-TEST_F (CheckerFails, CancelledUnasked)
+TEST_F (CheckerReports, CancelledJobWithoutACancellationRequest)
 {
   checker.state_reported (0, "req-1", "cancelled");
   expect_violation_of ("went_back");
 }
 
-TEST_F (CheckerFails, NothingRan)
+TEST_F (CheckerReports, RunThatStartsNoTask)
 {
   checker.check_at_end ();
   expect_violation_of ("nothing_ran");
 }
 
-TEST_F (CheckerFails, LeftWaitingThoughItCouldRun)
+TEST_F (CheckerReports, RunnableJobThatWaitsTooLong)
 {
-  checker.observe_waiting (0, "req-1", true); // in trouble still
+  checker.observe_waiting (0, "req-1", true); // not counted: faults are still active
   checker.faults_over (kSecond);
   checker.observe_waiting (kSecond, "req-1", true);
   checker.observe_waiting (91 * kSecond, "req-1", true);
-  checker.observe_waiting (92 * kSecond, "req-1", false); // its team is at its limit
+  checker.observe_waiting (92 * kSecond, "req-1", false); // its team has reached its limit, so the wait starts anew
   checker.observe_waiting (93 * kSecond, "req-1", true);
-  checker.task_started (150 * kSecond, "req-1", 0, { "m1", "a", false }); // a task of it begins
+  checker.task_started (150 * kSecond, "req-1", 0,
+                        { "m1", "a", false }); // one of its tasks starts, so the wait starts anew
   checker.observe_waiting (160 * kSecond, "req-1", true);
   checker.observe_waiting (250 * kSecond, "req-1", true);
   EXPECT_TRUE (checker.violations ().empty ());
@@ -161,18 +163,18 @@
   expect_violation_of ("waiting");
 }
 
-TEST_F (CheckerFails, AcceptedThoughItCanNeverRun)
+TEST_F (CheckerReports, AcceptedJobThatCanNeverRun)
 {
   Checker::Job job;
   job.can_ever_run = false;
   checker.submitted ("req-4", job);
-  checker.state_reported (0, "req-4", ""); // refused
+  checker.state_reported (0, "req-4", ""); // the submission was refused
   EXPECT_TRUE (checker.violations ().empty ());
   checker.state_reported (1, "req-4", "queued");
   expect_violation_of ("accepted");
 }
 
-TEST_F (CheckerFails, CountsStartsAfterAConfirmedCancellation)
+TEST_F (CheckerReports, StartsAfterAConfirmedCancellationAsACount)
 {
   checker.task_started (0, "req-1", 0, { "m1", "a", false });
   checker.cancellation_requested ("req-1");
@@ -181,14 +183,15 @@
   checker.task_started (3 * kSecond, "req-1", 1, { "m1", "a", false });
   EXPECT_EQ (checker.starts_after_cancellation (), 1u);
   EXPECT_EQ (checker.jobs ().at ("req-1").latest_start_after_cancellation, 2 * kSecond);
-  EXPECT_TRUE (checker.violations ().empty ()) << "counted; a rule only after cancel_s";
+  EXPECT_TRUE (checker.violations ().empty ())
+      << "such a start is counted, and violates a rule only once cancel_s has passed";
 }
 
-TEST_F (CheckerFails, NoAnswerFor75Seconds)
+TEST_F (CheckerReports, JobWithoutAnAnswerForMoreThan75Seconds)
 {
   checker.state_reported (0, "req-1", "queued");
   checker.polled (0, "req-1", true);
-  checker.polled (200 * kSecond, "req-1", false); // in trouble still
+  checker.polled (200 * kSecond, "req-1", false); // not counted: faults are still active
   checker.faults_over (200 * kSecond);
   checker.polled (275 * kSecond, "req-1", false);
   EXPECT_TRUE (checker.violations ().empty ());
@@ -196,12 +199,13 @@
   expect_violation_of ("forgotten");
 }
 
-// Jobs of one class and team: done, or first_start late.
-class CheckerServes : public testing::Test {
+// Tests of the rule that enough jobs of each team and class are done, and that the largest jobs start in time.
+class CheckerServiceRule : public testing::Test {
 protected:
   Checker checker{ { { "red", 800 } }, 10 * kSecond };
+  // Adds an accepted job, whose first task starts at that time and whose tasks all complete if `done`.
   void
-  job (const std::string &ref, guint tasks, bool done, Time first_start)
+  add_job (const std::string &ref, guint tasks, bool done, Time first_start)
   {
     Checker::Job job;
     job.team = job.job_class = "red";
@@ -222,38 +226,38 @@
   }
 };
 
-TEST_F (CheckerServes, HalfIsEnough)
+TEST_F (CheckerServiceRule, HalfOfTheJobsDoneIsEnough)
 {
-  job ("req-1", 2, true, 0);
-  job ("req-2", 1, false, 0);
+  add_job ("req-1", 2, true, 0);
+  add_job ("req-2", 1, false, 0);
   EXPECT_FALSE (violates ("served"));
 }
 
-TEST_F (CheckerServes, LessThanHalfOfATeamOrClassFails)
+TEST_F (CheckerServiceRule, LessThanHalfOfATeamOrClassIsAViolation)
 {
-  job ("req-1", 3, true, 0);
-  job ("req-2", 1, false, 0);
-  job ("req-3", 1, false, 0);
+  add_job ("req-1", 3, true, 0);
+  add_job ("req-2", 1, false, 0);
+  add_job ("req-3", 1, false, 0);
   EXPECT_TRUE (violates ("team red: 1 of 3"));
   EXPECT_TRUE (violates ("class red: 1 of 3"));
 }
 
-TEST_F (CheckerServes, TheLargestMustBeServedToo)
+TEST_F (CheckerServiceRule, LargestJobOfAClassMustBeDoneToo)
 {
-  job ("req-1", 9, false, 0);
-  job ("req-2", 1, true, 0);
+  add_job ("req-1", 9, false, 0);
+  add_job ("req-2", 1, true, 0);
   EXPECT_TRUE (violates ("the largest of class red: 0 of 1"));
 }
 
-TEST_F (CheckerServes, TheLargestMustBeginInFourMinutes)
+TEST_F (CheckerServiceRule, LargestJobOfAClassMustStartWithinFourMinutes)
 {
-  job ("req-1", 9, true, 240 * kSecond + 1);
-  job ("req-2", 1, true, 300 * kSecond);
+  add_job ("req-1", 9, true, 240 * kSecond + 1);
+  add_job ("req-2", 1, true, 300 * kSecond);
   EXPECT_TRUE (violates ("did not begin in four minutes"));
 }
 
-// The same for the rules about jobs that depend on others.
-class PipelineCheckerFails : public testing::Test {
+// Each test breaks one rule about dependent jobs: req-3 depends on req-2, and req-2 on req-1.
+class DependencyCheckerReports : public testing::Test {
 protected:
   Checker checker{ { { "red", 8 } }, 10 * kSecond };
   void
@@ -276,7 +280,7 @@
   }
 };
 
-TEST_F (PipelineCheckerFails, TooEarly)
+TEST_F (DependencyCheckerReports, TaskStartedBeforeItsDependencyIsDone)
 {
   checker.task_completed (0, "req-1", 0);
   checker.task_started (0, "req-2", 0, { "m1", "a", true });
@@ -285,7 +289,7 @@
   EXPECT_TRUE (violated ("too_early"));
 }
 
-TEST_F (PipelineCheckerFails, Orphaned)
+TEST_F (DependencyCheckerReports, OpenJobAfterTheCancellationOfAnAncestor)
 {
   checker.cancellation_requested ("req-1");
   checker.state_reported (kSecond, "req-1", "cancelled");
@@ -295,7 +299,7 @@
   EXPECT_TRUE (violated ("orphaned"));
 }
 
-TEST_F (PipelineCheckerFails, CancelledThoughNothingBeforeItWasAskedFor)
+TEST_F (DependencyCheckerReports, CancelledJobOfWhichOnlyADependentWasCancelled)
 {
   checker.cancellation_requested ("req-2");
   checker.state_reported (0, "req-3", "cancelled");
