--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -1,4 +1,4 @@
-// Faulty machines are distinguished from mistaken jobs by comparison.
+// Tests of how faulty machines are distinguished from jobs that fail on every machine.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Machines, each with an attempt of any job that a test wishes to fail or to complete there.
+// A number of machines, on which a test lets attempts of chosen tasks run, complete or fail.
 struct Fleet : SchedulerHarness {
   gint64 now = 100 * kS;
   guint64 sequence = 1;
@@ -41,9 +41,10 @@
     wanted->cpus = 0.1;
     ft_scheduler_job_added (scheduler, wanted, revision, now, 0);
   }
-  // The attempt ends, or shows that it runs, on that machine, wherever the scheduler would have put it.
+  // Binds a new attempt of the task to the machine with index `on`, whichever machine placement would choose, and
+  // reports the attempt's phase and exit reason in a heartbeat.
   void
-  show (const char *ref, guint index, guint on, FtTaskPhase state, FtExitReason why)
+  report_status (const char *ref, guint index, guint on, FtTaskPhase state, FtExitReason why)
   {
     static guint64 attempt = 1000;
     FtTaskStatus status = task_status (ref, index, ++attempt, state, why);
@@ -59,7 +60,7 @@
   void
   fail (const char *ref, guint index, guint on)
   {
-    show (ref, index, on, FT_TASK_PHASE_EXITED, FT_EXIT_ERROR);
+    report_status (ref, index, on, FT_TASK_PHASE_EXITED, FT_EXIT_ERROR);
   }
   guint
   quarantined ()
@@ -71,31 +72,32 @@
   }
 };
 
-// Found on the schools' day with machines that fail: one array fed them task after task.
-TEST (Fault, OneJobIsEnoughIfItDoesWellElsewhere)
+// Guards against one array job whose tasks are started on a faulty machine again and again. Two failures of a single
+// job suffice for quarantine if another of its tasks succeeds on another machine.
+TEST (Fault, MachineIsQuarantinedForOneJobThatSucceedsElsewhere)
 {
   Fleet fleet (4);
   fleet.add_job ("req-1", 10, 5);
-  fleet.show ("req-1", 0, 1, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
+  fleet.report_status ("req-1", 0, 1, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   fleet.fail ("req-1", 1, 0);
-  EXPECT_FALSE (fleet.at (0)->fitness.quarantined) << "one failure may be chance";
+  EXPECT_FALSE (fleet.at (0)->fitness.quarantined) << "a single failure must not quarantine a machine";
   fleet.fail ("req-1", 2, 0);
   EXPECT_TRUE (fleet.at (0)->fitness.quarantined);
   EXPECT_EQ (fleet.quarantined (), 1u);
 }
 
-TEST (Fault, ATaskThatOutlivesThoseThatFailedDoesWell)
+TEST (Fault, TaskThatRunsLongerThanFailedOnesCountsAsSuccessElsewhere)
 {
   Fleet fleet (4);
   fleet.add_job ("req-1", 10, 5);
-  fleet.show ("req-1", 0, 1, FT_TASK_PHASE_RUNNING, FT_EXIT_NONE);
+  fleet.report_status ("req-1", 0, 1, FT_TASK_PHASE_RUNNING, FT_EXIT_NONE);
   fleet.now += (gint64) ((FT_FAULT_MARGIN_S + 1) * kS);
   for (guint task : { 1, 2 })
     fleet.fail ("req-1", task, 0);
   EXPECT_TRUE (fleet.at (0)->fitness.quarantined);
 }
 
-TEST (Fault, MistakenJobsBlameNoMachineBeyondTheFirst)
+TEST (Fault, JobsThatFailOnEveryMachineQuarantineFewMachines)
 {
   Fleet fleet (20);
   fleet.add_job ("req-1", 20, 5);
@@ -107,34 +109,34 @@
   EXPECT_LT (fleet.quarantined (), FT_FAULTY_JOB_MACHINES);
 }
 
-TEST (Fault, ACompletedTaskClearsItsMachine)
+TEST (Fault, CompletedTaskResetsTheFaultsOfItsMachine)
 {
   Fleet fleet (4);
   fleet.add_job ("req-1", 10, 5);
-  fleet.show ("req-1", 0, 1, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
+  fleet.report_status ("req-1", 0, 1, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   fleet.fail ("req-1", 1, 0);
-  fleet.show ("req-1", 2, 0, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
+  fleet.report_status ("req-1", 2, 0, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   fleet.fail ("req-1", 3, 0);
   EXPECT_EQ (fleet.quarantined (), 0u);
 }
 
-TEST (Fault, MostMachinesAreNeverQuarantined)
+TEST (Fault, QuarantineIsLimitedToAShareOfTheMachines)
 {
   Fleet fleet (20);
   fleet.add_job ("req-1", 60, 5);
-  fleet.show ("req-1", 0, 0, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
+  fleet.report_status ("req-1", 0, 0, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   for (guint i = 0; i < fleet.machines; i++)
     for (guint task : { 1 + 2 * i, 2 + 2 * i })
       fleet.fail ("req-1", task, i);
   EXPECT_EQ (fleet.quarantined (), (guint) (FT_QUARANTINE_SHARE * fleet.machines));
 }
 
-// Found on the same day: work of a minute was lost with its machine.
-TEST (Fault, AFaultyMachineIsReturnedOnceItIsEmpty)
+// Guards against terminating a quarantined machine together with a task that still runs on it.
+TEST (Fault, FaultyMachineIsTerminatedOnceItIsIdle)
 {
   Fleet fleet (4);
   fleet.add_job ("req-1", 10, 5);
-  fleet.show ("req-1", 0, 1, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
+  fleet.report_status ("req-1", 0, 1, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   FtAttempt *running = ft_attempt_new (fleet.at (0), fleet.job ("req-1"), "req-1", 9, 77);
   ft_attempt_set_state (running, FT_ATTEMPT_ON_WORKER);
   running->running = TRUE;
@@ -150,22 +152,21 @@
   ASSERT_TRUE (fleet.at (0)->fitness.quarantined);
   EXPECT_FALSE (ft_machine_usable (fleet.at (0)));
   ft_scheduler_tick (fleet.scheduler, fleet.now, FALSE);
-  EXPECT_EQ (fleet.at (0)->state, FT_MACHINE_UP) << "a task of it may well complete";
+  EXPECT_EQ (fleet.at (0)->state, FT_MACHINE_UP) << "a machine must not be terminated while a task runs on it";
   ft_attempt_end (running);
   ft_scheduler_tick (fleet.scheduler, fleet.now, FALSE);
   EXPECT_EQ (fleet.at (0)->state, FT_MACHINE_TERMINATING);
 }
 
-// The same in the stand-in world: many machines at once fail each task that they start, and
-// are well again later; arrays of 400 tasks of one CPU stand beside tasks that fill a machine
-// and a job that was submitted with a mistake.
-class SickMachines : public testing::TestWithParam<guint32> {};
+// In the simulated world, a fifth of the machines fails every task that it starts for 60 s and then recovers. The load
+// is arrays of 400 tasks of one CPU, tasks that fill a machine, and a mistaken job, which fails on every machine.
+class FaultyMachines : public testing::TestWithParam<guint32> {};
 
-TEST_P (SickMachines, CostFewFailuresAndMistakenJobsCostNoMachine)
+TEST_P (FaultyMachines, FailFewTasksBesideAJobThatFailsEverywhere)
 {
   sim::Day day (GetParam () * 977, 10);
   sim::World &world = day.world;
-  sim::Time sick_at = 40 * sim::kSecond, sick_for = 60 * sim::kSecond;
+  sim::Time fault_start = 40 * sim::kSecond, fault_length = 60 * sim::kSecond;
   world.settings.value_kb = 8;
   for (int i = 0; i < 3; i++) {
     world.at ((5 + 15 * i) * sim::kSecond,
@@ -181,30 +182,30 @@
   for (const char *ref : { "req-10", "req-11", "req-12", "req-20", "req-21", "req-22", "req-30" })
     for (sim::Time at = 50 * sim::kSecond; at < day.length; at += 7 * sim::kSecond)
       world.at (at, [&world, ref] { world.poll (ref); });
-  guint up = 0, sick = 0, failures = 0;
-  world.at (sick_at, [&] {
-    failures = world.failures;
+  guint up = 0, faulty = 0, failures_before = 0;
+  world.at (fault_start, [&] {
+    failures_before = world.failures;
     for (auto &[name, worker] : world.machines)
       if (worker->alive && worker->up) {
         up++;
         if (up % 5 == 0) {
-          worker->sick_until = sick_at + sick_for;
-          sick++;
+          worker->sick_until = fault_start + fault_length;
+          faulty++;
         }
       }
   });
-  guint before = 0, mistaken = 0;
-  world.at (sick_at + sick_for, [&] { before = world.failures; });
-  world.at (149 * sim::kSecond, [&] { mistaken = world.failures - before; });
+  guint failures_after = 0, mistaken_failures = 0;
+  world.at (fault_start + fault_length, [&] { failures_after = world.failures; });
+  world.at (149 * sim::kSecond, [&] { mistaken_failures = world.failures - failures_after; });
   day.finish ();
   RecordProperty ("up", (int) up);
-  EXPECT_GE (sick, 8u) << "a fifth of the machines must have failed";
-  EXPECT_GT (before, failures) << "no task met a sick machine";
-  RecordProperty ("failures", (int) (before - failures));
-  EXPECT_LT (before - failures, 400u) << "sick machines drew task after task";
-  EXPECT_GT (mistaken, 0u) << "the mistaken job did not go on failing";
+  EXPECT_GE (faulty, 8u) << "too few machines were made faulty";
+  EXPECT_GT (failures_after, failures_before) << "no task failed on a faulty machine";
+  RecordProperty ("failures", (int) (failures_after - failures_before));
+  EXPECT_LT (failures_after - failures_before, 400u) << "too many tasks were started on faulty machines";
+  EXPECT_GT (mistaken_failures, 0u) << "the mistaken job did not continue to fail";
 }
 
-INSTANTIATE_TEST_SUITE_P (Seeds, SickMachines, testing::Range<guint32> (1, 4));
+INSTANTIATE_TEST_SUITE_P (Seeds, FaultyMachines, testing::Range<guint32> (1, 4));
 
 } // namespace
--- a/tests/test_fault_interactions_failover.cpp
+++ b/tests/test_fault_interactions_failover.cpp
@@ -1,4 +1,4 @@
-// Leaders end, together with another fault.
+// Fault interactions in which a leader's process ends while another fault is active.
 #include "fault_interaction.hpp"
 
 using namespace sim;
@@ -7,7 +7,7 @@
 
 class FailoverFaults : public FaultInteraction {
 protected:
-  // A fresh need for machines.
+  // Submits three jobs, which create new demand for machines.
   void
   submit_wave (Time when, int first_number)
   {
@@ -20,7 +20,7 @@
       }
     });
   }
-  // Ends the leader within two seconds of a machine's launch, but not again for 12 s.
+  // Ends the leader's process within two seconds after a machine's launch, but at most once in 12 s.
   void
   crash_leader_after_launch ()
   {
@@ -46,17 +46,17 @@
     for (int i = 0; i < 3; i++)
       world.nodes[i]->crash (lease + seconds_between (2, 8));
   });
-  // One returns, ends, and is back within a second.
+  // After their return, the controllers end repeatedly and are back within a second each time.
   for (int i = 0; i < 3; i++)
     day.restart_quickly (60 * kSecond + lease + 8 * kSecond, i);
   world.at (60 * kSecond + lease, [&] { starts_after = world.checker->starts (); });
   day.finish ();
   expect_cancellations_confirmed (59 * kSecond, 62 * kSecond);
-  EXPECT_LE (starts_after, starts_before + 30) << "somebody started work meanwhile";
-  EXPECT_GT (world.checker->starts (), starts_after) << "work was not taken up again";
+  EXPECT_LE (starts_after, starts_before + 30) << "too many tasks were started while all controllers were down";
+  EXPECT_GT (world.checker->starts (), starts_after) << "no task was started after the controllers had returned";
 }
 
-TEST_P (FailoverFaults, LeadershipMovesBackAndForth)
+TEST_P (FailoverFaults, LeadershipChangesRepeatedly)
 {
   day.load ();
   day.load_long (8, 3, 60);
@@ -71,7 +71,7 @@
   EXPECT_GE (world.counters.takeovers, 6u);
 }
 
-TEST_P (FailoverFaults, TenLeadersInTwoMinutesAndAnOutage)
+TEST_P (FailoverFaults, TenTakeoversInTwoMinutesAndAStoreOutage)
 {
   day.load_long (10, 3, 100);
   day.load ();
@@ -88,12 +88,12 @@
   expect_cancellations_confirmed (40 * kSecond, 145 * kSecond);
 }
 
-// A new leader must not exceed the limit by what runs where it cannot ask.
+// A new leader must count the tasks that may run on unreachable machines, or a team exceeds its limit.
 TEST_P (FailoverFaults, FailoverWithTeamAtItsLimitAndUnreachableMachines)
 {
   Time when = 60 * kSecond;
   guint cpus_in_use = 0;
-  day.load_long (16, 4, 60); // 128 CPUs for limits of 48 and 32
+  day.load_long (16, 4, 60); // the jobs demand 128 CPUs, and the teams' limits are 48 and 32
   world.at (when, [&] {
     for (const auto &[ref, job] : world.checker->jobs ())
       cpus_in_use += world.checker->live (ref) * (guint) job.cpus;
@@ -109,10 +109,10 @@
   expect_cancellations_confirmed (when, when + 20 * kSecond);
 }
 
-// Jobs of two or three tasks whose ends are far apart.
-TEST_P (FailoverFaults, FailoversOfHalfDoneJobs)
+// The tasks of a job complete at very different times, so that a takeover finds jobs of which only some tasks are done.
+TEST_P (FailoverFaults, FailoversWhileJobsArePartlyDone)
 {
-  guint half_done = 0;
+  guint partly_done = 0;
   for (int i = 0; i < 12; i++) {
     std::string ref = "req-8" + std::to_string (i);
     day.refs.push_back (ref);
@@ -124,15 +124,14 @@
   for (int i = 0; i < 6; i++)
     world.at ((40 + 15 * i) * kSecond, [&] {
       for (const auto &[ref, job] : world.checker->jobs ())
-        half_done += !job.done.empty () && job.done.size () < job.tasks;
+        partly_done += !job.done.empty () && job.done.size () < job.tasks;
       crash_leader (0.1, 5);
     });
   day.finish ();
-  EXPECT_GT (half_done, 0u) << "no job was half done at a takeover";
+  EXPECT_GT (partly_done, 0u) << "no job was partly done at a takeover";
 }
 
-// Machines come up within two seconds while the store is slow, and the leader ends as soon as
-// one has been launched.
+// New machines boot within two seconds while the store is slow, and the leader's process ends shortly after a launch.
 TEST_P (FailoverFaults, FailoverWhileNewMachinesGetWork)
 {
   world.cloud.least_boot_s = 0.2;
@@ -145,11 +144,11 @@
     world.at (when, [&] { crash_leader_after_launch (); });
   world.at (150 * kSecond, [&] { world.faults.slow_store_answers = 0; });
   day.finish ();
-  EXPECT_GT (crashes_after_launch, 0u) << "no leader ended with new machines";
+  EXPECT_GT (crashes_after_launch, 0u) << "no leader's process ended shortly after a launch";
 }
 
-// Machines that nobody expects are used or terminated, and what a late termination takes is
-// placed again.
+// The cloud executes calls of a former leader late. A launched machine that the new leader does not expect is used or
+// terminated, and tasks that a late termination ends are placed again.
 TEST_P (FailoverFaults, CloudCallsOfFormerLeaderExecutedLate)
 {
   world.faults.late_cloud_calls = 0.7;
@@ -160,7 +159,7 @@
   world.at (150 * kSecond, [&] { world.faults.late_cloud_calls = 0; });
   day.finish ();
   EXPECT_GT (world.counters.late_launches, 0u) << "no machine was launched late";
-  EXPECT_LE (world.alive_machines (), 2u) << "machines without work were kept";
+  EXPECT_LE (world.alive_machines (), 2u) << "too many machines without work were kept";
 }
 
 INSTANTIATE_TEST_SUITE_P (Seeds, FailoverFaults, testing::Range<guint32> (1, 1 + kSeeds));
--- a/tests/test_fault_interactions_machines.cpp
+++ b/tests/test_fault_interactions_machines.cpp
@@ -1,4 +1,4 @@
-// Machines hang, die, receive or report nothing, together with another fault.
+// Fault interactions in which machines hang, die, receive nothing or report nothing while another fault is active.
 #include "fault_interaction.hpp"
 
 using namespace sim;
@@ -7,9 +7,9 @@
 
 class MachineFaults : public FaultInteraction {};
 
-// Cancelled tasks hang, the leader ends, and many other machines cannot be asked either: the
-// bound on terminations of silent machines must not keep a cancelled task past its time.
-TEST_P (MachineFaults, FailoverWhileCancelledTasksHang)
+// Machines with cancelled tasks hang, most other machines hang too, and the leader's process ends. The limit on
+// terminations of silent machines must not let a cancelled task run for longer than cancel_s.
+TEST_P (MachineFaults, FailoverWhileMachinesWithCancelledTasksHang)
 {
   Time when = 60 * kSecond;
   guint hung = 0;
@@ -31,7 +31,7 @@
   EXPECT_GT (hung, 3u);
 }
 
-TEST_P (MachineFaults, ZoneBoundJobsLoseMachines)
+TEST_P (MachineFaults, JobsWithZoneConstraintsLoseMachines)
 {
   guint lost = 0, bound = 0;
   day.load_long (5, 6, 40, true, false);
@@ -54,10 +54,10 @@
   day.cut_zone (75 * kSecond, 25 * kSecond, "a", day.any_node ());
   day.finish ();
   EXPECT_GT (bound, 0u);
-  EXPECT_GT (lost, 0u) << "no machine of a zone-bound job was lost";
+  EXPECT_GT (lost, 0u) << "no job with a zone constraint lost a machine";
 }
 
-// Some are cut from all controllers, some send heartbeats and receive nothing.
+// Some machines are cut off from all controllers; others send heartbeats but receive nothing.
 TEST_P (MachineFaults, FailoverWhileMachinesReceiveNothing)
 {
   guint unreachable = 0;
@@ -81,8 +81,9 @@
   expect_cancellations_confirmed (60 * kSecond, 66 * kSecond);
 }
 
-// They could be given work directly for ever, and each time their leases expire.
-TEST_P (MachineFaults, MachinesNotReportingWhileCommandsReachThem)
+// Guards against starting tasks again and again, by direct commands, on machines that cannot report: the worker's lease
+// expires each time and ends the tasks.
+TEST_P (MachineFaults, MachinesThatReceiveCommandsWithoutReportingGetNoWork)
 {
   guint not_reporting = 0;
   day.load_long (40, 3, 45);
@@ -98,7 +99,7 @@
     day.crash (50 * kSecond, day.any_node ());
   day.finish ();
   EXPECT_GT (not_reporting, 0u);
-  EXPECT_EQ (world.counters.starts_while_not_reporting, 0u) << "machines that did not report were given work";
+  EXPECT_EQ (world.counters.starts_while_not_reporting, 0u) << "tasks were started on machines that did not report";
 }
 
 INSTANTIATE_TEST_SUITE_P (Seeds, MachineFaults, testing::Range<guint32> (1, 1 + kSeeds));
--- a/tests/test_fault_interactions_messages.cpp
+++ b/tests/test_fault_interactions_messages.cpp
@@ -1,4 +1,5 @@
-// Heartbeats, commands and links are late, duplicated or cut, together with another fault.
+// Fault interactions in which heartbeats and commands are late, duplicated or lost, or links are cut, while another
+// fault is active.
 #include "fault_interaction.hpp"
 
 using namespace sim;
@@ -7,8 +8,8 @@
 
 class MessageFaults : public FaultInteraction {};
 
-// A heartbeat to the former leader reaches a controller only when a new leader has acted.
-TEST_P (MessageFaults, HeartbeatsHeldAcrossFailover)
+// Cut links delay heartbeats to the former leader until a new leader has acted.
+TEST_P (MessageFaults, HeartbeatsDelayedAcrossFailover)
 {
   day.load_long (8, 3, 60);
   day.load ();
@@ -25,10 +26,10 @@
     });
   }
   day.finish ();
-  EXPECT_GT (world.counters.heartbeats_after_takeover, 0u) << "no heartbeat was held across a takeover";
+  EXPECT_GT (world.counters.heartbeats_after_takeover, 0u) << "no heartbeat was delayed across a takeover";
 }
 
-// Copies of heartbeats arrive after those of newer incarnations and attempts.
+// Copies of heartbeats arrive after heartbeats of newer incarnations and attempts.
 TEST_P (MessageFaults, HeartbeatsDuplicatedAcrossReboots)
 {
   guint reboots = 0;
@@ -53,7 +54,7 @@
   EXPECT_GT (reboots, 0u);
 }
 
-// An old heartbeat of each machine reaches every controller just as a new leader begins.
+// A copy of an old heartbeat of each machine reaches every controller when a new leader's term begins.
 TEST_P (MessageFaults, HeartbeatsReplayedToNewLeader)
 {
   world.faults.replay_heartbeats = true;
@@ -63,13 +64,13 @@
     Time when = (30 + 18 * i) * kSecond;
     world.at (when, [&] { crash_leader (0.1, 6); });
     day.cancel_running (when + seconds_between (-1, 1), 1);
-    day.reboot (when + seconds_between (-3, 0)); // its kept heartbeat is of an earlier incarnation
+    day.reboot (when + seconds_between (-3, 0)); // the copy of its heartbeat has an earlier incarnation
   }
   day.finish ();
-  EXPECT_GT (world.counters.replayed_heartbeats, 0u) << "no kept heartbeat reached a leader";
+  EXPECT_GT (world.counters.replayed_heartbeats, 0u) << "no copy of an old heartbeat was answered by a new leader";
 }
 
-TEST_P (MessageFaults, CommandsHeldWhileMachinesFail)
+TEST_P (MessageFaults, CommandsDelayedWhileMachinesFail)
 {
   world.faults.late_direct_commands = 0.3;
   day.load ();
@@ -104,7 +105,8 @@
     day.cancel_running (when + seconds_between (0, 3), 1);
   }
   day.finish ();
-  EXPECT_GT (world.counters.late_commands_refused, 0u) << "no command of a former leader came after a newer one's";
+  EXPECT_GT (world.counters.late_commands_refused, 0u)
+      << "no command of a former leader was refused for its fencing token";
 }
 
 TEST_P (MessageFaults, ZoneWithItsControllerCutOffForLongerThanALease)
@@ -121,8 +123,8 @@
   EXPECT_GT (answers_after, answers_before);
 }
 
-// Three times the work that the machines have room for.
-TEST_P (MessageFaults, SlowLinksWithMoreWorkThanRoom)
+// The jobs demand three times the capacity of the machines while messages are delayed and lost.
+TEST_P (MessageFaults, SlowNetworkWhileWorkExceedsCapacity)
 {
   world.cloud.capacity = 4;
   world.faults.message_delay = 0.1;
--- a/tests/test_fault_interactions_requests.cpp
+++ b/tests/test_fault_interactions_requests.cpp
@@ -1,4 +1,4 @@
-// Users' requests race with each other, with the ends of jobs and with failovers.
+// Races of users' requests with each other, with the ends of jobs and with failovers.
 #include "fault_interaction.hpp"
 
 using namespace sim;
@@ -7,8 +7,8 @@
 
 class RequestRaces : public FaultInteraction {};
 
-// With no fault at all.
-TEST_P (RequestRaces, LastTaskEndsAmongCancellationsAndPolls)
+// No fault is active. Polls and cancellations race with the completion of a job's last task.
+TEST_P (RequestRaces, LastTaskCompletesDuringCancellationsAndPolls)
 {
   guint ends = 0;
   world.faults.message_loss = world.faults.message_delay = world.faults.wrong_suspicions = 0;
@@ -28,10 +28,10 @@
     cancelled += job.cancellation_requested && job.final_state == "cancelled";
   }
   EXPECT_GT (ends, 4u);
-  EXPECT_GT (done + cancelled, 0u) << "no cancellation coincided with an end";
+  EXPECT_GT (done + cancelled, 0u) << "no cancelled job reached a final state";
 }
 
-// Jobs of one task four times a second, a quarter of them cancelled.
+// Jobs of one task are submitted four times a second, and every fourth job is cancelled.
 TEST_P (RequestRaces, ShortJobsAndCancellationsDuringFailovers)
 {
   for (int i = 0; i < 480; i++) {
@@ -53,7 +53,8 @@
   EXPECT_GT (cancelled, 20u);
 }
 
-// With no fault at all a start may still be under way when its job is cancelled.
+// No fault is active. The start of a task may still be in flight when the cancellation of its job is confirmed, so
+// starts within 2 s after it are allowed.
 TEST_P (RequestRaces, InvalidSubmissionsAndCancellationsOfEndedJobs)
 {
   world.faults.message_loss = world.faults.message_delay = world.faults.wrong_suspicions = 0;
@@ -65,7 +66,7 @@
   for (int i = 0; i < 6; i++)
     world.at (seconds_between (30, 140), [&] {
       for (const auto &[ref, job] : world.checker->jobs ())
-        if (job.final_state == "done") { // cancelled too late: it stays done
+        if (job.final_state == "done") { // the cancellation comes too late, and the job stays done
           world.cancel (ref);
           return;
         }
--- a/tests/test_fault_interactions_store.cpp
+++ b/tests/test_fault_interactions_store.cpp
@@ -1,4 +1,5 @@
-// The store refuses, is down, answers late or not at all, together with another fault.
+// Fault interactions in which the store refuses requests, is down, or answers late or not at all while another fault is
+// active.
 #include "fault_interaction.hpp"
 
 using namespace sim;
@@ -7,8 +8,8 @@
 
 class StoreFaults : public FaultInteraction {};
 
-// The store refuses the leader alone, then is down for all.
-TEST_P (StoreFaults, LeaderRefusedThenOutageWhileJobsAreCancelled)
+// The store refuses only the leader's requests, and is then down for all controllers.
+TEST_P (StoreFaults, StoreRefusesLeaderThenFailsWhileJobsAreCancelled)
 {
   Time refusal = 60 * kSecond, outage = refusal + seconds_between (1, 2.5);
   guint answers_before = 0, answers_after = 0;
@@ -23,15 +24,16 @@
   world.at (outage + lease, [&] { answers_after = day.refused_leader->heartbeats_answered; });
   day.finish ();
   expect_cancellations_confirmed (refusal, outage);
-  EXPECT_GT (answers_after, answers_before) << "the former leader answered no worker";
+  EXPECT_GT (answers_after, answers_before) << "the former leader answered no heartbeat";
 }
 
-// The same with a new leader that acquires the lease, and loses the store before it has loaded.
+// The store refuses the leader, a new leader acquires the lease, and the store goes down before the new leader has
+// loaded its state.
 TEST_P (StoreFaults, OutageWhileNewLeaderLoads)
 {
   bool loading = false;
   Time refusal = 60 * kSecond, acquired = 0;
-  day.load_long (10, 3, 150); // their rows are more than a page
+  day.load_long (10, 3, 150); // the rows of these jobs fill more than one page
   day.refuse_leader (refusal, 40 * kSecond);
   day.cancel_running (refusal + seconds_between (0.1, 0.6), 5);
   world.on_takeover = [&] (Node &node) {
@@ -46,11 +48,11 @@
   };
   day.finish ();
   expect_cancellations_confirmed (refusal, acquired);
-  EXPECT_TRUE (loading) << "the outage did not fall into the loading";
+  EXPECT_TRUE (loading) << "the outage did not begin while the new leader was loading";
 }
 
-// The new leader has read which jobs are cancelled, and not yet the machine registry: it knows
-// of the tasks, and could stop none.
+// The store goes down when the new leader has read which jobs are cancelled, but has not read the machine registry. The
+// new leader could not stop the cancelled tasks, so it must not answer heartbeats, which would keep them running.
 TEST_P (StoreFaults, OutageBetweenLoadingCancellationsAndMachines)
 {
   Time refusal = 60 * kSecond, acquired = 0;
@@ -79,19 +81,20 @@
   };
   day.finish ();
   expect_cancellations_confirmed (refusal, acquired);
-  EXPECT_TRUE (between) << "the outage did not fall between the two";
-  EXPECT_FALSE (may_answer) << "it keeps alive what it cannot stop";
+  EXPECT_TRUE (between)
+      << "the outage did not begin between the reads of the cancellations and of the machine registry";
+  EXPECT_FALSE (may_answer) << "the new leader's answers would keep tasks running that it cannot stop";
 }
 
-// The store refuses the new leader between its pages, and is down when it has just read the last:
-// the first page is old by then.
+// The store refuses the new leader between the first and the last page of the rows, and goes down when the last page
+// has been read. By then the first page is some seconds old, and jobs on it have been cancelled.
 TEST_P (StoreFaults, OutageAfterLoadingPagesOfDifferentAge)
 {
   Time acquired = 0, loaded = 0, when = 60 * kSecond;
   day.load_long (10, 3, 150);
   world.at (when, [&] {
     if (day.leader () != nullptr)
-      day.leader ()->crash (kSecond / 3); // it takes over from its former self
+      day.leader ()->crash (kSecond / 3); // the controller restarts and claims its own earlier lease
   });
   std::function<void (Node *)> await_rows = [&] (Node *taker) {
     if (!taker->leads ())
@@ -117,12 +120,12 @@
   };
   day.finish ();
   ASSERT_GT (acquired, 0);
-  EXPECT_GT (loaded, acquired + 6 * kSecond) << "the refusal did not fall into the loading";
+  EXPECT_GT (loaded, acquired + 6 * kSecond) << "the refusal did not delay the loading";
   expect_cancellations_confirmed (acquired, loaded);
 }
 
-// Cancelled tasks are on machines that hang, and the leader has lost the store.
-TEST_P (StoreFaults, OutageWhileCancelledTasksHang)
+// Machines with cancelled tasks hang while the leader cannot reach the store.
+TEST_P (StoreFaults, OutageWhileMachinesWithCancelledTasksHang)
 {
   Time when = 60 * kSecond, outage = when + seconds_between (0.3, 0.8);
   guint hung = 0;
@@ -135,7 +138,7 @@
         hung++;
       }
   });
-  // It stands still, so that it misses their heartbeats only when its lease has expired.
+  // The leader freezes, so that it notices the missing heartbeats only after its lease has expired.
   world.at (when + kSecond / 2, [&] {
     if (day.leader () != nullptr)
       day.leader ()->freeze (world.now + seconds_between (4, 7));
@@ -150,16 +153,16 @@
   EXPECT_GT (hung, 0u) << "no cancelled task was on a machine that hung";
 }
 
-// The same, and most machines hang: the leader gets few heartbeats and cannot tell by that whether
-// it is cut off itself, but the cloud still answers it.
+// Most machines hang while the leader cannot reach the store. From the few heartbeats the leader cannot conclude
+// whether it is cut off itself, but the cloud still answers it.
 TEST_P (StoreFaults, OutageWhileMostMachinesHang)
 {
   Time when = 60 * kSecond, outage = when + seconds_between (0.3, 0.8);
   guint hung = 0, healthy = 0;
-  world.faults.advisories = false; // the leader learns of no cancellation
+  world.faults.advisories = false; // peers do not advise the leader of the cancellations
   day.load_long (10, 3, 150);
   world.at (when - kSecond, [&] {
-    for (auto &node : world.nodes) // it last read the store a moment before, and does not see them
+    for (auto &node : world.nodes) // the leader last reads the store just before the cancellations
       node->store_refuses_until = node->leads () ? when + 2 * kSecond : 0;
   });
   day.cancel_running (when, 5);
@@ -177,11 +180,12 @@
   day.outage (outage, cancel + 30 * kSecond);
   day.finish ();
   expect_cancellations_confirmed (when, outage + kSecond / 2);
-  EXPECT_GT (hung, healthy) << "most machines must hang";
+  EXPECT_GT (hung, healthy) << "the machines that hung were not the majority";
 }
 
-// The store refuses the leader, which goes on answering workers for its answer grace period.
-TEST_P (StoreFaults, FormerLeaderKeepsWorkersWhileNewLeaderCancels)
+// The store refuses the leader, which continues to answer heartbeats for its answer grace period, while a new leader
+// cancels jobs.
+TEST_P (StoreFaults, FormerLeaderAnswersWorkersWhileNewLeaderCancels)
 {
   Time when = 60 * kSecond;
   Node *former = nullptr;
@@ -206,8 +210,8 @@
   world.at (when + 12 * kSecond, [&] { answers_after = former->heartbeats_answered; });
   day.finish ();
   expect_cancellations_confirmed (when, when + 25 * kSecond);
-  EXPECT_GT (answers_after, answers_before) << "workers went on reporting to the former leader";
-  EXPECT_TRUE (two_leaders) << "there was never a new leader beside the former one";
+  EXPECT_GT (answers_after, answers_before) << "the former leader answered no heartbeat after the store refused it";
+  EXPECT_TRUE (two_leaders) << "there were never two leaders at the same time";
 }
 
 TEST_P (StoreFaults, SlowAnswersRefusalAndOutageWhileUsersCancel)
@@ -224,7 +228,7 @@
   expect_cancellations_confirmed (20 * kSecond, 150 * kSecond);
 }
 
-// They are applied after newer ones of the same controller.
+// The store applies transactions late, after newer transactions of the same controller.
 TEST_P (StoreFaults, TransactionsAppliedLate)
 {
   world.at (20 * kSecond, [&] { world.faults.late_writes = 0.15; });
@@ -239,8 +243,9 @@
   EXPECT_GT (world.counters.late_writes_applied, 0u) << "no transaction was applied late";
 }
 
-// Other controllers read what was written long before its writer learns of it.
-TEST_P (StoreFaults, TransactionsAppliedAndNotAnswered)
+// The store applies transactions without an answer, so other controllers read a write long before its writer learns
+// that it is committed.
+TEST_P (StoreFaults, TransactionsAppliedWithoutAnAnswer)
 {
   world.at (10 * kSecond, [&] { world.faults.lost_answers = 0.25; });
   world.at (150 * kSecond, [&] { world.faults.lost_answers = 0; });
@@ -254,7 +259,7 @@
     day.cancel_running (seconds_between (30, 130), 2);
   }
   day.finish ();
-  EXPECT_GT (world.counters.answers_lost, 10u) << "no answer was lost";
+  EXPECT_GT (world.counters.answers_lost, 10u) << "too few answers were lost";
 }
 
 INSTANTIATE_TEST_SUITE_P (Seeds, StoreFaults, testing::Range<guint32> (1, 1 + kSeeds));
