--- a/tests/test_admin_api.cpp
+++ b/tests/test_admin_api.cpp
@@ -1,4 +1,4 @@
-// The administration API and flintctl, against three real controllers.
+// Tests of the administration API and of flintctl with three real controller processes.
 #include "loopback.hpp"
 #include "loopback/three_controllers.hpp"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Runs flintctl; its output, and its exit code in `code`.
+// Runs flintctl to its end. Returns its output and error output, and sets `code` to its exit code.
 std::string
 flintctl (std::vector<std::string> arguments, int *code)
 {
@@ -34,15 +34,16 @@
   return text;
 }
 
-// A change of one setting, made by somebody who has read that version.
+// The body of a request that changes one setting and names the settings version that its sender has read.
 json_t *
-change (json_int_t version, const char *name, json_t *value)
+setting_change (json_int_t version, const char *name, json_t *value)
 {
   return json_pack ("{s:I, s:{s:o}}", "version", version, "set", name, value);
 }
 
+// The value of a setting in an answer; borrowed. NULL: the answer does not contain the setting.
 json_t *
-setting (const json_t *body, const char *name)
+setting_value (const json_t *body, const char *name)
 {
   size_t i;
   json_t *item;
@@ -56,8 +57,8 @@
 
 class Administration : public ThreeControllers {
 protected:
-  size_t other = kControllers; // one that does not lead
-  int code = 0;                // exit code of the last flintctl
+  size_t follower = kControllers; // index of a controller that does not lead
+  int code = 0;                   // exit code of the last run of flintctl
   std::unique_ptr<Reply>
   get (size_t i, const char *path)
   {
@@ -68,7 +69,7 @@
   {
     return administer ("PUT", i, "/admin/settings", body);
   }
-  // flintctl with the addresses of two controllers, and before them one where nobody listens.
+  // Runs flintctl with three --node addresses: one at which no process listens, then those of two controllers.
   std::string
   ctl (std::vector<std::string> words)
   {
@@ -87,13 +88,13 @@
   sample_size_is (size_t i, double wanted)
   {
     auto now = get (i, "/admin/settings");
-    json_t *value = setting (now->body, "sample_size");
+    json_t *value = setting_value (now->body, "sample_size");
     return json_is_number (value) && json_number_value (value) == wanted;
   }
   void
-  find_the_leader_by_the_api ()
+  find_leader_through_the_api ()
   {
-    // The users' listener has no administration.
+    // The listener for users does not serve the administration API.
     EXPECT_EQ (call ("GET", front (0), "/admin/status")->status, 404u);
     ASSERT_TRUE (wait_for ([&] {
       for (size_t i = 0; i < kControllers; i++)
@@ -101,23 +102,23 @@
           leader = i;
       return leader < kControllers;
     }));
-    other = (leader + 1) % kControllers;
+    follower = (leader + 1) % kControllers;
     EXPECT_EQ (get (leader, "/admin/teams")->status, 200u);
     std::string name = "hearth-" + std::to_string (leader);
-    ASSERT_TRUE (wait_for ([&] { return get (other, "/admin/status")->text ("leader") == name; }));
+    ASSERT_TRUE (wait_for ([&] { return get (follower, "/admin/status")->text ("leader") == name; }));
   }
   void
-  redirect_to_the_leader_and_refuse_unknown_paths ()
+  expect_redirect_to_the_leader_and_unknown_paths_refused ()
   {
-    auto redirected = get (other, "/admin/machines");
+    auto redirected = get (follower, "/admin/machines");
     EXPECT_EQ (redirected->status, 421u);
     EXPECT_EQ (redirected->text ("addr"), controllers.mesh[leader]);
     EXPECT_EQ (get (0, "/admin/nothing")->status, 404u);
     EXPECT_EQ (administer ("DELETE", 0, "/admin/status")->status, 405u);
   }
-  // A message between controllers beyond the limit is refused, and no more than that.
+  // A peer heartbeat above the size limit is refused, and the next one of normal size is accepted.
   void
-  refuse_a_peer_heartbeat_that_is_too_long ()
+  expect_oversized_peer_heartbeat_refused ()
   {
     std::string long_text (70000, 'x');
     json_t *too_long = json_pack ("{s:s, s:s}", "member", "hearth-1", "more", long_text.c_str ());
@@ -126,29 +127,29 @@
     EXPECT_EQ (administer ("POST", 0, "/mesh/beat", heartbeat)->status, 200u);
   }
   void
-  refuse_wrong_settings_and_say_why ()
+  expect_invalid_settings_refused_with_a_reason ()
   {
-    EXPECT_EQ (put (other, json_string ("no map"))->status, 400u);
-    EXPECT_EQ (put (other, change (0, "no_such", json_real (1)))->status, 404u);
-    auto range = put (other, change (0, "sample_size", json_real (0)));
+    EXPECT_EQ (put (follower, json_string ("no map"))->status, 400u);
+    EXPECT_EQ (put (follower, setting_change (0, "no_such", json_real (1)))->status, 404u);
+    auto range = put (follower, setting_change (0, "sample_size", json_real (0)));
     EXPECT_EQ (range->status, 422u);
     EXPECT_NE (range->text ("error").find ("from 1 to 500"), std::string::npos);
-    EXPECT_EQ (put (other, change (0, "log_level", json_string ("loud")))->status, 422u);
-    auto rule = put (other, change (0, "lease_time", json_real (50)));
+    EXPECT_EQ (put (follower, setting_change (0, "log_level", json_string ("loud")))->status, 422u);
+    auto rule = put (follower, setting_change (0, "lease_time", json_real (50)));
     EXPECT_EQ (rule->status, 422u);
     EXPECT_NE (rule->text ("error").find ("withdrawal"), std::string::npos);
-    EXPECT_EQ (put (other, change (77, "sample_size", json_real (9)))->status, 409u);
+    EXPECT_EQ (put (follower, setting_change (77, "sample_size", json_real (9)))->status, 409u);
   }
-  // One change, made on a controller that does not lead, is in force on all, and stays.
+  // A change that is sent to a follower takes effect on all controllers and survives their restart.
   void
-  change_a_setting_everywhere ()
+  expect_setting_change_on_all_controllers ()
   {
-    auto done = put (other, change (0, "sample_size", json_real (9)));
+    auto done = put (follower, setting_change (0, "sample_size", json_real (9)));
     ASSERT_EQ (done->status, 200u);
     json_int_t version = json_integer_value (json_object_get (done->body, "version"));
     for (size_t i = 0; i < kControllers; i++)
       EXPECT_TRUE (wait_for ([&] { return sample_size_is (i, 9); }));
-    EXPECT_EQ (put (leader, change (version - 1, "sample_size", json_real (5)))->status, 409u);
+    EXPECT_EQ (put (leader, setting_change (version - 1, "sample_size", json_real (5)))->status, 409u);
     for (size_t i = 0; i < kControllers; i++)
       controllers.kill (i);
     for (size_t i = 0; i < kControllers; i++)
@@ -158,9 +159,9 @@
       EXPECT_TRUE (wait_for ([&] { return sample_size_is (i, 9); }));
     }
   }
-  // A drained machine gets no work, after a restart of its leader too.
+  // A drained machine gets no work, not even after all controllers have restarted.
   void
-  drain_a_machine (const Machine &machine)
+  expect_drained_machine_gets_no_work (const Machine &machine)
   {
     ASSERT_TRUE (wait_for ([&] { return ctl_shows ("machines", "n-000001  up"); }));
     ctl ({ "drain", "n-000001" });
@@ -181,7 +182,7 @@
     EXPECT_TRUE (reaches (1, "req-1", "done"));
   }
   void
-  use_the_rest_of_flintctl ()
+  expect_other_flintctl_commands_work ()
   {
     for (const char *word : { "status", "teams", "jobs", "metrics" }) {
       EXPECT_FALSE (ctl ({ word }).empty ());
@@ -202,12 +203,12 @@
     flintctl ({ "status", "--node", "127.0.0.1:1" }, &code);
     EXPECT_EQ (code, 3);
   }
-  // Without the store, changes are refused and users are asked to come back.
+  // While the store is unreachable, changes of settings are refused and submissions are answered with 503.
   void
-  refuse_changes_while_the_store_is_unreachable ()
+  expect_changes_refused_while_the_store_is_unreachable ()
   {
     services.down = true;
-    EXPECT_TRUE (wait_for ([&] { return put (0, change (0, "sample_size", json_real (9)))->status != 200; }));
+    EXPECT_TRUE (wait_for ([&] { return put (0, setting_change (0, "sample_size", json_real (9)))->status != 200; }));
     EXPECT_TRUE (wait_for ([&] { return submit (0, job ("req-8", 1))->status == 503; }));
     services.down = false;
     EXPECT_TRUE (wait_for ([&] { return submit (0, job ("req-8", 1))->status / 100 == 2; }));
@@ -217,14 +218,14 @@
 TEST_F (Administration, ApiAndFlintctlServeOperatorsOnAnyController)
 {
   Machine machine (controllers.front);
-  ASSERT_NO_FATAL_FAILURE (find_the_leader_by_the_api ());
-  redirect_to_the_leader_and_refuse_unknown_paths ();
-  refuse_a_peer_heartbeat_that_is_too_long ();
-  refuse_wrong_settings_and_say_why ();
-  ASSERT_NO_FATAL_FAILURE (change_a_setting_everywhere ());
-  ASSERT_NO_FATAL_FAILURE (drain_a_machine (machine));
-  use_the_rest_of_flintctl ();
-  refuse_changes_while_the_store_is_unreachable ();
+  ASSERT_NO_FATAL_FAILURE (find_leader_through_the_api ());
+  expect_redirect_to_the_leader_and_unknown_paths_refused ();
+  expect_oversized_peer_heartbeat_refused ();
+  expect_invalid_settings_refused_with_a_reason ();
+  ASSERT_NO_FATAL_FAILURE (expect_setting_change_on_all_controllers ());
+  ASSERT_NO_FATAL_FAILURE (expect_drained_machine_gets_no_work (machine));
+  expect_other_flintctl_commands_work ();
+  expect_changes_refused_while_the_store_is_unreachable ();
 }
 
 } // namespace
--- a/tests/test_flintctl.cpp
+++ b/tests/test_flintctl.cpp
@@ -1,22 +1,23 @@
-// flintctl, the real program: its exit codes, its one line on stderr for each error, and its output byte for byte,
-// which scripts parse. A stand-in controller answers what a test sets.
+// Tests of the flintctl program: its exit codes, its single line on stderr for each error, and the exact bytes of its
+// output, which scripts parse. A stand-in controller gives the answers that a test sets.
 #include "program_run.hpp"
 
 using namespace loopback;
 
 namespace {
 
-// Answers requests of the administration API with what was set for "METHOD PATH"; the rest gets 404.
+// A stand-in controller. It answers a request of the administration API with the answer that is set for its "METHOD
+// PATH", and any other request with 404.
 struct Controller {
   struct Answer {
     guint status;
-    std::string json; // the body as JSON; empty: none
+    std::string json; // the body as JSON text; an empty text means no body
   };
   std::string addr = free_address ();
   std::map<std::string, Answer> answers;
-  std::vector<std::string> requests; // "METHOD PATH", then a blank and the body if there is one
-  bool silent = false;               // takes requests and answers none
-  std::vector<FtHttpRequest *> held;
+  std::vector<std::string> requests; // each as "METHOD PATH", followed by " BODY" if it has a body
+  bool silent = false;               // if set, requests are received and not answered
+  std::vector<FtHttpRequest *> held; // requests without an answer; the destructor answers them
   FtHttpServer *server;
   Controller () { server = ft_http_server_new (addr.c_str (), FT_BODY_JSON, 20, on_request, this, nullptr); }
   ~Controller ()
@@ -49,7 +50,7 @@
 
 // ---- wrong arguments ----
 
-TEST (Flintctl, AWrongArgumentIsOneLineAndExitCode2AndNothingIsSent)
+TEST (Flintctl, WrongArgumentPrintsOneLineExitsWith2AndSendsNothing)
 {
   Controller controller;
   const std::string form = " is not an address of the form HOST:PORT";
@@ -102,13 +103,13 @@
     Result help = flintctl ({ "--json", command, "--help" });
     EXPECT_EQ (help.code, kDone) << command;
     EXPECT_NE (help.out.find ("] " + command + " "), std::string::npos) << help.out;
-    EXPECT_EQ (help.out.find ("Commands:"), std::string::npos) << "the help of the command alone";
+    EXPECT_EQ (help.out.find ("Commands:"), std::string::npos) << "a command's help must not list all commands";
   }
 }
 
 // ---- no answer ----
 
-TEST (Flintctl, AnUnreachableControllerIsOneLineAndExitCode3)
+TEST (Flintctl, UnreachableControllersPrintOneLineAndExitWith3)
 {
   expect_error (flintctl ({ "status", "--node", "127.0.0.1:1" }), kNoAnswer,
                 "flintctl: no controller answered: 127.0.0.1:1");
@@ -118,8 +119,8 @@
                 "flintctl: no controller answered: 127.0.0.1:1, 127.0.0.1:2");
 }
 
-// It takes the request and never answers: flintctl ends by itself.
-TEST (Flintctl, AControllerThatTakesARequestAndNeverAnswersIsUnreachable)
+// flintctl ends by its own timeout if a controller receives the request and never answers.
+TEST (Flintctl, ControllerThatNeverAnswersIsReportedAsUnreachable)
 {
   Controller controller;
   controller.silent = true;
@@ -128,8 +129,8 @@
   EXPECT_EQ (controller.requests, Words{ "GET /admin/status" });
 }
 
-// Before, `--json` printed "(null)" and all was called done.
-TEST (Flintctl, ASuccessWithoutAJsonObjectIsNoAnswer)
+// Guards against an answer without a JSON object that flintctl reports as done, with "(null)" as its --json output.
+TEST (Flintctl, SuccessWithoutAJsonObjectCountsAsNoAnswer)
 {
   for (const char *body : { "", "7", "[]", "\"text\"" })
     for (const Words &words : { Words{ "status" }, Words{ "status", "--json" } }) {
@@ -140,7 +141,7 @@
     }
 }
 
-TEST (Flintctl, ControllersThatDoNotAnswerArePassedOverAndNamed)
+TEST (Flintctl, ControllersThatDoNotAnswerAreSkippedAndReported)
 {
   Controller controller;
   controller.answers["GET /admin/teams"] = { 200, "{\"teams\":[]}" };
@@ -150,7 +151,7 @@
   EXPECT_EQ (result.out, "none\n");
   EXPECT_EQ (result.err, "flintctl: 127.0.0.1:1 does not answer\nflintctl: 127.0.0.1:2 does not answer\n");
 
-  // The one that answers decides, and a controller is named once for two requests.
+  // The controller that answers decides the exit code. The other one is reported once, although two requests are sent.
   controller.answers["PUT /admin/settings"] = { 422, "{\"error\":\"from 1 to 5\"}" };
   expect_error (flintctl ({ "settings", "set", "x", "9", "-n", "127.0.0.1:1", "-n", controller.addr }), kRefused,
                 "flintctl: 127.0.0.1:1 does not answer\nflintctl: from 1 to 5 (422)");
@@ -158,7 +159,7 @@
 
 // ---- the leader ----
 
-TEST (Flintctl, GoesOnToTheLeaderThatAControllerNames)
+TEST (Flintctl, RedirectToTheLeaderIsFollowedOnce)
 {
   Controller follower, leader;
   follower.answers["GET /admin/jobs"]
@@ -169,13 +170,13 @@
   EXPECT_EQ (result.out, "none\n");
   EXPECT_EQ (result.err, "");
 
-  // It leads no more, either: no third one is asked.
+  // The controller at the redirect's address does not lead either, and its redirect is not followed.
   leader.answers["GET /admin/jobs"] = follower.answers["GET /admin/jobs"];
   expect_error (flintctl ({ "jobs", "--node", follower.addr }), kRefused, "flintctl: this node does not lead (421)");
   EXPECT_EQ (leader.requests.size (), 2u);
 }
 
-TEST (Flintctl, ALeaderThatDoesNotAnswerIsNamed)
+TEST (Flintctl, LeaderThatDoesNotAnswerIsReported)
 {
   Controller follower;
   follower.answers["GET /admin/jobs"] = { 421, "{\"error\":\"this node does not lead\",\"addr\":\"127.0.0.1:1\"}" };
@@ -185,7 +186,7 @@
 
 // ---- refusals ----
 
-TEST (Flintctl, ARefusalIsItsReasonOnOneLineAndExitCode1)
+TEST (Flintctl, RefusalPrintsItsReasonOnOneLineAndExitsWith1)
 {
   Controller controller;
   controller.answers["GET /admin/teams"] = { 503, "{\"error\":\"no leader is known at the moment\"}" };
@@ -208,7 +209,7 @@
 
 // ---- what is sent ----
 
-TEST (Flintctl, SettingsAreChangedAtTheVersionThatWasRead)
+TEST (Flintctl, SettingsChangeNamesTheVersionThatWasRead)
 {
   const std::vector<std::pair<std::string, std::string> > values
       = { { "30", "30.0" },      { "0.5", "0.5" }, { "debug", "\"debug\"" },
@@ -226,7 +227,7 @@
   }
 }
 
-TEST (Flintctl, AMachineNameIsEscapedInThePath)
+TEST (Flintctl, MachineNameIsEscapedInThePath)
 {
   Controller controller;
   controller.answers["POST /admin/machines/n 1%?#/drain"] = { 200, "{\"machine\":\"n 1%?#\",\"drained\":true}" };
@@ -239,7 +240,7 @@
   EXPECT_EQ (undrain.out, "machine            n-000001\ndrained            no\n");
 }
 
-TEST (Flintctl, OptionsMayStandBeforeAndAfterTheCommand)
+TEST (Flintctl, OptionsAreAcceptedBeforeAndAfterTheCommand)
 {
   Controller controller;
   controller.answers["GET /admin/teams"] = { 200, "{\"teams\":[]}" };
@@ -250,17 +251,18 @@
     Result result = flintctl (words, "127.0.0.1:1");
     EXPECT_EQ (result.code, kDone) << result.err;
     EXPECT_EQ (result.out, as_json);
-    EXPECT_EQ (result.err, "") << "the environment is not used beside --node";
+    EXPECT_EQ (result.err, "") << "FLINTCTL_NODES must be ignored if --node is given";
   }
 }
 
 // ---- output ----
 
+// The body of an answer to GET /admin/status, with null values, a table of peers, and a field that only one peer has.
 const char status_json[] = "{\"member\":\"hearth-0\",\"ready\":true,\"leader\":null,\"token\":7,\"lease_age_s\":1.25,"
                            "\"peers\":[{\"member\":\"hearth-1\",\"heard_s_ago\":0.5},"
                            "{\"member\":\"hearth-22\",\"heard_s_ago\":null,\"more\":1}]}";
 
-TEST (Flintctl, TextOutputIsByteForByteAsScriptsParseIt)
+TEST (Flintctl, TextOutputKeepsTheExactFormatThatScriptsParse)
 {
   Controller controller;
   controller.answers["GET /admin/status"] = { 200, status_json };
@@ -303,7 +305,7 @@
   }
 }
 
-TEST (Flintctl, JsonOutputIsTheWholeAnswerIndented)
+TEST (Flintctl, JsonOutputIsTheWholeAnswerWithIndentation)
 {
   Controller controller;
   controller.answers["GET /admin/status"] = { 200, status_json };
--- a/tests/test_flintrack_errors.cpp
+++ b/tests/test_flintrack_errors.cpp
@@ -1,11 +1,11 @@
-// flintrack's own errors before it serves, and the sample settings of the README.
+// Tests of the errors with which flintrack ends before it serves, and of the sample settings in the README.
 #include "program_run.hpp"
 
 using namespace loopback;
 
 namespace {
 
-TEST (FlintrackErrors, WrongArgumentsAndUnreadableOrWrongSettings)
+TEST (FlintrackErrors, WrongArgumentsAndInvalidSettingsFilesPrintOneLine)
 {
   expect_error (run (FLINTRACK_PROGRAM, {}), kUsage, "flintrack: --config FILE is needed; see --help");
   expect_error (run (FLINTRACK_PROGRAM, { "--fast" }), kUsage, "flintrack: Unknown option --fast");
@@ -19,7 +19,7 @@
     Result missing = run (FLINTRACK_PROGRAM, { option, file + ".missing" });
     EXPECT_EQ (missing.code, kSettingsWrong);
     EXPECT_EQ (missing.err.rfind ("flintrack: ", 0), 0u);
-    EXPECT_NE (missing.err.find (file + ".missing"), std::string::npos) << "it names the file";
+    EXPECT_NE (missing.err.find (file + ".missing"), std::string::npos) << "the error must name the file";
     EXPECT_EQ (std::count (missing.err.begin (), missing.err.end (), '\n'), 1);
     EXPECT_EQ (missing.out, "");
     expect_error (run (FLINTRACK_PROGRAM, { option, file }), kSettingsWrong,
@@ -28,6 +28,7 @@
   g_unlink (file.c_str ());
 }
 
+// The sample settings from the README; empty if the README does not contain them.
 std::string
 readme_settings ()
 {
@@ -43,14 +44,15 @@
   return readme.substr (from, to - from);
 }
 
-// A settings file: the README's with other addresses, since tests run side by side. Gone with this.
+// A temporary settings file, deleted with this object: the README's sample settings with free addresses, since tests
+// run in parallel.
 struct SettingsFile {
   std::string front = free_address (), mesh = free_address (), path;
   SettingsFile ()
   {
     json_t *settings = json_loads (readme_settings ().c_str (), 0, nullptr);
     json_t *services = json_object_get (settings, "services");
-    EXPECT_NE (services, nullptr) << "the README has no settings, or they are no JSON";
+    EXPECT_NE (services, nullptr) << "the README contains no sample settings, or they are not valid JSON";
     set (settings, "front", front);
     set (settings, "mesh_addr", mesh);
     set (services, "state", free_address ());
@@ -70,7 +72,7 @@
   }
 };
 
-// Takes an address as a program other than flintrack does.
+// Listens on an address, as another program would. The caller owns the socket.
 GSocket *
 occupy (const std::string &addr)
 {
@@ -83,7 +85,7 @@
   return socket;
 }
 
-TEST (FlintrackErrors, AnAddressThatIsTakenIsOneLineAndExitCode4)
+TEST (FlintrackErrors, OccupiedAddressPrintsOneLineAndExitsWith4)
 {
   for (bool peers : { false, true }) {
     SettingsFile file;
@@ -96,9 +98,9 @@
   }
 }
 
-// The sample settings of the README are valid, and one controller with them serves `flintctl status` without a state
-// service, as the README says; only its addresses are replaced, which other tests use as well.
-TEST (FlintrackErrors, TheReadmesSampleSettingsServeStatusWithoutAStateService)
+// The README's sample settings are valid, and one controller with them serves `flintctl status` without a state
+// service, as the README says. Only the addresses are replaced, since tests run in parallel.
+TEST (FlintrackErrors, ReadmeSampleSettingsServeStatusWithoutAStateService)
 {
   SettingsFile file;
   Result check = run (FLINTRACK_PROGRAM, { "--check", file.path });
