--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -1,4 +1,4 @@
-// Which jobs are accepted when they are submitted.
+// Tests of the check that decides at submission whether a job is accepted.
 #include "scheduler_harness.hpp"
 
 extern "C" {
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Found on the schools deployment, where nothing ran: 0 means that there is no limit.
-TEST (Admission, ATeamWithoutALimitIsRefusedNothingThatFits)
+// Guards against reading a team limit of 0, which means no limit, as a limit of zero CPUs, which refuses every job.
+TEST (Admission, JobOfATeamWithoutALimitIsAdmittedIfAMachineTypeFits)
 {
   sim::World world (1);
   world.unlimit ();
@@ -16,18 +16,18 @@
   g_autoptr (FtJobSpec) spec = new_job_spec ("req-1", 100);
   spec->kind = FT_KIND_GANG;
   EXPECT_EQ (ft_admission_check (&world.settings, world.catalog, spec, &why), FT_ADMIT);
-  spec->gpus = 1; // no machine has one
+  spec->gpus = 1; // no machine type has a GPU
   EXPECT_EQ (ft_admission_check (&world.settings, world.catalog, spec, &why), FT_ADMIT_NEVER);
 }
 
-TEST (Admission, TellsNeverFromNotYet)
+TEST (Admission, RefusalIsPermanentForAnUnrunnableJobAndTemporaryWithoutACatalog)
 {
   sim::World world (1);
   const char *why;
   g_autoptr (FtJobSpec) spec = new_job_spec ("req-1", 100);
   EXPECT_EQ (ft_admission_check (&world.settings, world.catalog, spec, &why), FT_ADMIT);
   EXPECT_EQ (ft_admission_check (&world.settings, nullptr, spec, &why), FT_ADMIT_NOT_YET);
-  spec->kind = FT_KIND_GANG; // 400 CPUs together
+  spec->kind = FT_KIND_GANG; // all tasks of a gang run at once and need 400 CPUs together
   EXPECT_EQ (ft_admission_check (&world.settings, world.catalog, spec, &why), FT_ADMIT_NEVER);
   spec->kind = FT_KIND_ARRAY;
   spec->memory_gb = 65;
--- a/tests/test_autoscaler.cpp
+++ b/tests/test_autoscaler.cpp
@@ -1,10 +1,10 @@
-// Scaling the fleet out and in.
+// Tests of scaling out and in.
 #include "scheduler_harness.hpp"
 
 namespace {
 
-// Found by the check of real processes: a site without work kept a machine.
-TEST (Autoscaler, ASiteWithoutWorkKeepsNoMachine)
+// Guards against a deployment that keeps its last machine although it has no work.
+TEST (Autoscaler, LastMachineIsReturnedWhenThereIsNoWork)
 {
   OneMachine harness;
   FtCloudCall *call = nullptr;
@@ -18,9 +18,9 @@
   ft_cloud_call_free (call);
 }
 
-// Found by the random runs: a small job on a site without machines waited for
-// ever, since it needed too small a share of one.
-TEST (Autoscaler, OneSmallJobGetsAMachine)
+// Guards against a small job that waits for ever in a cluster without machines because its demand is too small a share
+// of one machine.
+TEST (Autoscaler, OneSmallJobLaunchesAMachineInAnEmptyCluster)
 {
   SchedulerHarness harness;
   ft_scheduler_loaded (harness.scheduler, 100 * kS);
--- a/tests/test_budget.cpp
+++ b/tests/test_budget.cpp
@@ -1,4 +1,4 @@
-// The rate limit on requests to the store and to the cloud.
+// Tests of the budget that limits the rate of requests to the store and to the cloud.
 #include "scheduler_harness.hpp"
 
 extern "C" {
@@ -7,8 +7,9 @@
 
 namespace {
 
-// Refused for the rate: half as much, and all of it again after a while.
-TEST (Budget, ARefusalSlowsItDownForAWhile)
+// Each request that the service refuses for its rate limit halves the budget's rate; without further refusals the rate
+// recovers in full.
+TEST (Budget, ThrottledRequestReducesTheRateTemporarily)
 {
   FtBudget budget;
   ft_budget_init (&budget, 20, 20, 0);
@@ -17,12 +18,12 @@
   EXPECT_TRUE (ft_budget_has (&budget, 1, kS / 5));
   for (int i = 0; i < 50; i++)
     ft_budget_note_throttled (&budget, kS);
-  EXPECT_TRUE (ft_budget_has (&budget, 1, 3 * kS)) << "never to a standstill";
+  EXPECT_TRUE (ft_budget_has (&budget, 1, 3 * kS)) << "repeated refusals must not stop all requests";
   ft_budget_has (&budget, 1, 60 * kS);
   EXPECT_DOUBLE_EQ (budget.rate, 20);
 }
 
-TEST (Budget, KeepsItsRate)
+TEST (Budget, AllowsItsRatePlusOneBurst)
 {
   FtBudget budget;
   ft_budget_init (&budget, 10, 10, 0);
--- a/tests/test_config.cpp
+++ b/tests/test_config.cpp
@@ -1,4 +1,4 @@
-// The configuration file: how it is read, and how errors in it are reported.
+// Tests of reading the settings file and of the errors that are reported for it.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -11,6 +11,7 @@
 
 namespace {
 
+// The text of a valid settings file, with one unknown field, "extra".
 std::string
 settings ()
 {
@@ -23,7 +24,7 @@
     "resources":{"cpu_share":0.16,"ram_mb":200.0,"fd_limit":4000},"skew_ms":25.0}})";
 }
 
-TEST (Settings, ValidOnesAreReadAndUnknownFieldsIgnored)
+TEST (Settings, ValidSettingsAreReadAndUnknownFieldsAreIgnored)
 {
   std::string text = settings ();
   g_autoptr (GError) error = nullptr;
@@ -34,7 +35,7 @@
   EXPECT_EQ (config->core.value_kb, 8.0);
 }
 
-TEST (Settings, AnErrorNamesItsField)
+TEST (Settings, ErrorNamesTheInvalidField)
 {
   const std::vector<std::array<std::string, 3> > cases = {
     { "\"member\":\"hearth-0\"", "\"member\":7", "member" },
--- a/tests/test_fuzz.cpp
+++ b/tests/test_fuzz.cpp
@@ -1,7 +1,6 @@
-// Fuzz targets for every decoder and the settings file. Each takes any bytes;
-// here they are run on mutations of a small corpus, with fixed seeds and a fixed
-// number of rounds, under the sanitizers. A target fails by crashing, by leaking,
-// or by accepting what its own encoder then cannot write back.
+// Fuzz tests of every decoder and of the settings parser. They run on mutations of a small corpus, with fixed seeds and
+// a fixed number of rounds, under the sanitizers. A target fails if it crashes, leaks memory, or accepts a value that
+// does not survive its own encoder.
 #include <gtest/gtest.h>
 
 #include "world.hpp"
@@ -17,8 +16,8 @@
 
 namespace {
 
-constexpr int kRounds = 4000;
-using Target = void (*) (const json_t *);
+constexpr int kRounds = 4000;             // mutations of each kind in one test
+using Target = void (*) (const json_t *); // decodes a message body; NULL stands for malformed CBOR
 
 void
 fuzz_job (const json_t *body)
@@ -29,7 +28,7 @@
   json_t *row = ft_row_open (spec);
   ASSERT_NE (row, nullptr);
   g_autoptr (FtJobSpec) back = ft_row_open_parse (spec->ref, row);
-  EXPECT_NE (back, nullptr) << "an accepted job must survive its row";
+  EXPECT_NE (back, nullptr) << "the row of an accepted job must be readable";
   json_decref (row);
 }
 
@@ -66,6 +65,7 @@
   ft_cloud_call_free (call);
 }
 
+// Parses each row as every kind of row, and loads the jobs and machines into a scheduler.
 void
 read_rows (const GArray *rows)
 {
@@ -124,7 +124,7 @@
     return;
   json_t *again = ft_peer_heartbeat_body (heartbeat);
   g_autoptr (FtPeerHeartbeat) same = ft_peer_heartbeat_parse (again);
-  EXPECT_NE (same, nullptr) << "what was read can be sent";
+  EXPECT_NE (same, nullptr) << "a decoded peer heartbeat must survive encoding and decoding";
   json_decref (again);
 }
 
@@ -139,6 +139,7 @@
   return content;
 }
 
+// Makes one to four random changes to the bytes: replaces, removes or inserts a byte, truncates, or flips a bit.
 void
 mutate (GRand *random, std::vector<guint8> &bytes)
 {
@@ -165,7 +166,7 @@
   }
 }
 
-// Replaces one value somewhere in the tree: well-formed, but wrong.
+// Replaces one random value of the tree, so that the message stays well-formed but may be invalid.
 void
 mutate_tree (GRand *random, json_t *node)
 {
@@ -189,12 +190,13 @@
   json_object_iter_set_new (node, position, json_loads (text, JSON_DECODE_ANY, nullptr));
 }
 
-// Bytes of the seed with errors in them, and the seed's tree with errors in it.
+// Calls `on_bytes` with mutations of the seed's CBOR encoding and `on_tree` with mutations of the seed itself.
+// `random_seed` seeds the random changes.
 void
-each_mutation (const json_t *seed, guint32 draw, std::function<void (const guint8 *, gsize)> on_bytes,
+each_mutation (const json_t *seed, guint32 random_seed, std::function<void (const guint8 *, gsize)> on_bytes,
                std::function<void (json_t *)> on_tree)
 {
-  g_autoptr (GRand) random = g_rand_new_with_seed (draw);
+  g_autoptr (GRand) random = g_rand_new_with_seed (random_seed);
   g_autoptr (GBytes) encoded = ft_cbor_encode (seed);
   gsize size;
   auto data = (const guint8 *) g_bytes_get_data (encoded, &size);
@@ -209,6 +211,7 @@
   }
 }
 
+// Runs the target on mutations of the corpus file of that name, without ".json". At least one mutation must decode.
 void
 run (const char *name, Target target)
 {
@@ -226,6 +229,7 @@
   json_decref (seed);
 }
 
+// The fields of a worker heartbeat as text, for comparison; "none" for NULL.
 std::string
 text_of (const FtWorkerHeartbeat *heartbeat)
 {
@@ -244,24 +248,25 @@
   return all;
 }
 
-// The streaming decoder accepts the same heartbeats as the tree decoder, and reads the same from them.
+// Expects the streaming decoder to accept the same data as the tree decoder and to read the same fields. `accepted`
+// counts the heartbeats that the streaming decoder has accepted.
 void
-read_both (const guint8 *data, gsize size, int *taken)
+expect_decoders_agree (const guint8 *data, gsize size, int *accepted)
 {
   json_t *tree = ft_cbor_decode (data, size);
-  g_autoptr (FtWorkerHeartbeat) slow = ft_message_worker_heartbeat (tree),
-                                quick = ft_message_worker_heartbeat_read (data, size);
-  EXPECT_EQ (text_of (quick), text_of (slow));
-  *taken += quick != nullptr;
+  g_autoptr (FtWorkerHeartbeat) tree_decoded = ft_message_worker_heartbeat (tree),
+                                stream_decoded = ft_message_worker_heartbeat_read (data, size);
+  EXPECT_EQ (text_of (stream_decoded), text_of (tree_decoded));
+  *accepted += stream_decoded != nullptr;
   json_decref (tree);
 }
 
-TEST (Fuzz, WorkerHeartbeatFromBytesAsFromTheTree)
+TEST (Fuzz, StreamingAndTreeDecodersOfWorkerHeartbeatsAgree)
 {
   json_t *seed = json_loads (read_corpus ("worker_heartbeat").c_str (), 0, nullptr);
   json_object_set_new (seed, "recall_s", json_real (12.5));
-  int taken = 0;
-  auto from_bytes = [&] (const guint8 *data, gsize size) { read_both (data, size, &taken); };
+  int accepted = 0;
+  auto from_bytes = [&] (const guint8 *data, gsize size) { expect_decoders_agree (data, size, &accepted); };
   auto from_tree = [&] (json_t *tree) {
     g_autoptr (GBytes) bytes = ft_cbor_encode (tree);
     gsize size;
@@ -269,16 +274,16 @@
     from_bytes (data, size);
   };
   each_mutation (seed, 9, from_bytes, from_tree);
-  EXPECT_GT (taken, 100);
+  EXPECT_GT (accepted, 100);
   json_decref (seed);
 }
 
-TEST (Fuzz, Job) { run ("job", fuzz_job); }
+TEST (Fuzz, JobSubmission) { run ("job", fuzz_job); }
 TEST (Fuzz, WorkerHeartbeat) { run ("worker_heartbeat", fuzz_worker_heartbeat); }
 TEST (Fuzz, Catalog) { run ("catalog", fuzz_catalog); }
-TEST (Fuzz, Machines) { run ("machines", fuzz_machines); }
-TEST (Fuzz, Rows) { run ("rows", fuzz_rows); }
-TEST (Fuzz, Events) { run ("events", fuzz_events); }
+TEST (Fuzz, CloudMachineList) { run ("machines", fuzz_machines); }
+TEST (Fuzz, StoreRows) { run ("rows", fuzz_rows); }
+TEST (Fuzz, StoreWatchEvents) { run ("events", fuzz_events); }
 TEST (Fuzz, PeerHeartbeat) { run ("peer_heartbeat", fuzz_peer_heartbeat); }
 
 TEST (Fuzz, Settings)
