--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -189,7 +189,7 @@
       if (worker->alive && worker->up) {
         up++;
         if (up % 5 == 0) {
-          worker->sick_until = fault_start + fault_length;
+          worker->tasks_fail_until = fault_start + fault_length;
           faulty++;
         }
       }
--- a/tests/test_fuzz.cpp
+++ b/tests/test_fuzz.cpp
@@ -255,7 +255,7 @@
 {
   json_t *tree = ft_cbor_decode (data, size);
   g_autoptr (FtWorkerHeartbeat) tree_decoded = ft_message_worker_heartbeat (tree),
-                                stream_decoded = ft_message_worker_heartbeat_read (data, size);
+                                stream_decoded = ft_message_worker_heartbeat_from_cbor (data, size);
   EXPECT_EQ (text_of (stream_decoded), text_of (tree_decoded));
   *accepted += stream_decoded != nullptr;
   json_decref (tree);
