--- a/tests/test_checker.cpp
+++ b/tests/test_checker.cpp
@@ -199,7 +199,8 @@
   expect_violation_of ("forgotten");
 }
 
-// Tests of the rule that enough jobs of each team and class are done, and that the largest jobs start in time.
+// Tests of the rule that at least half of the jobs of each team and class are done, and that the largest jobs of a
+// class start in time.
 class CheckerServiceRule : public testing::Test {
 protected:
   Checker checker{ { { "red", 800 } }, 10 * kSecond };
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -158,8 +158,9 @@
   EXPECT_EQ (fleet.at (0)->state, FT_MACHINE_TERMINATING);
 }
 
-// In the simulated world, a fifth of the machines fails every task that it starts for 60 s and then recovers. The load
-// is arrays of 400 tasks of one CPU, tasks that fill a machine, and a mistaken job, which fails on every machine.
+// In the simulated world, every task that is started on one of a fifth of the machines fails at once, for 60 s. The
+// load consists of arrays of 400 tasks of one CPU, tasks that fill a machine, and a mistaken job, which fails on every
+// machine.
 class FaultyMachines : public testing::TestWithParam<guint32> {};
 
 TEST_P (FaultyMachines, FailFewTasksBesideAJobThatFailsEverywhere)
