--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -158,7 +158,7 @@
   EXPECT_EQ (fleet.at (0)->state, FT_MACHINE_TERMINATING);
 }
 
-// In the simulated world, every task that is started on one of a fifth of the machines fails at once, for 60 s. The
+// In the simulated world, a fifth of the machines is faulty for 60 s: every task that starts there fails at once. The
 // load consists of arrays of 400 tasks of one CPU, tasks that fill a machine, and a mistaken job, which fails on every
 // machine.
 class FaultyMachines : public testing::TestWithParam<guint32> {};
