--- a/tests/test_dependency_graph.cpp
+++ b/tests/test_dependency_graph.cpp
@@ -152,7 +152,7 @@
   EXPECT_EQ (urgency ("a").priority, FT_PRIORITY_PRODUCTION);
   EXPECT_EQ (urgency ("a").deadline_at, 50 * kS);
   EXPECT_EQ (urgency ("b").priority, FT_PRIORITY_HIGH);
-  cancelled ("d"); // a no longer inherits the urgency of d, which is cancelled
+  cancelled ("d"); // "d" is cancelled, so its urgency is no longer inherited by "a"
   EXPECT_EQ (urgency ("a").priority, FT_PRIORITY_HIGH);
   EXPECT_EQ (urgency ("a").deadline_at, 100 * kS);
 }
