--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -188,7 +188,7 @@
       if (worker->alive && worker->up) {
         up++;
         if (up % 5 == 0) {
-          worker->sick_until = sick_at + sick_for;
+          worker->tasks_fail_until = sick_at + sick_for;
           sick++;
         }
       }
--- a/tests/test_pipelines.cpp
+++ b/tests/test_pipelines.cpp
@@ -58,7 +58,7 @@
   for (int i = 0; i < 3; i++)
     day.crash (100 * kSecond, i);
   day.finish ();
-  EXPECT_GT (day.world.counters.ends_read, 0u) << "no new leader had to read the end of a dependency";
+  EXPECT_GT (day.world.counters.dependency_ends_read, 0u) << "no new leader had to read the end of a dependency";
 }
 
 // No controller leads for longer than cancel_s after users cancel jobs. Polls cancel the dependents of these jobs.
--- a/tests/test_random_runs.cpp
+++ b/tests/test_random_runs.cpp
@@ -21,7 +21,7 @@
 TEST_P (RandomRun, ControllersCrashWhileTeamsHaveNoLimits)
 {
   Day day (GetParam () + 1200);
-  day.world.unlimit ();
+  day.world.remove_team_limits ();
   day.load ();
   for (int i = 0; i < 4; i++)
     day.crash (day.world.seconds_between (10, 150), day.any_node ());
@@ -199,7 +199,7 @@
 {
   Day day (4343, 300);
   day.length = 240 * kSecond;
-  day.world.unlimit ();
+  day.world.remove_team_limits ();
   day.load_long (450, 80, 40);
   day.world.worker_step = kSecond;
   day.world.settings.value_kb = 2;
--- a/tests/test_store_transactions.cpp
+++ b/tests/test_store_transactions.cpp
@@ -200,7 +200,7 @@
   {
     Json owned (value);
     FtRow row = { key, value, 40 };
-    return ft_row_take (harness.scheduler, &row, kNow, kWallMs, error);
+    return ft_row_apply (harness.scheduler, &row, kNow, kWallMs, error);
   }
   gboolean
   apply_open (const char *ref, guint tasks)
--- a/tests/test_write_queue.cpp
+++ b/tests/test_write_queue.cpp
@@ -24,7 +24,7 @@
   guint
   commit_chunks (gboolean spare)
   {
-    return commit_counted (FT_WRITE_CHUNK, 110 * kS, spare);
+    return commit_and_count (FT_WRITE_CHUNK, 110 * kS, spare);
   }
 };
 
--- a/tests/test_zone.cpp
+++ b/tests/test_zone.cpp
@@ -112,7 +112,7 @@
   zones.run (zones.overdue_s () + 1.5, { "a" });
   FtJobSpec *wanted = new_job_spec ("req-1", 400);
   wanted->team = (g_free (wanted->team), g_strdup ("blue"));
-  zones.world.unlimit ();
+  zones.world.remove_team_limits ();
   ft_scheduler_job_added (zones.scheduler, wanted, 5, zones.now, 0);
   for (int i = 0; i < 60; i++) {
     zones.run (0.5, { "a" });
