--- a/tests/test_pipelines.cpp
+++ b/tests/test_pipelines.cpp
@@ -46,7 +46,7 @@
 
 // New leaders take over in the middle of pipelines. They read the row of each dependency to find out whether it is
 // done, and never infer that.
-TEST_P (PipelineRun, ControllersCrash)
+TEST_P (PipelineRun, JobsFinishWhileControllersCrash)
 {
   Day day (GetParam () + 5200);
   day.world.faults.lost_answers = 0.02;
@@ -87,7 +87,7 @@
   EXPECT_GT (day.world.counters.cancelled_by_poll, 0u);
 }
 
-TEST_P (PipelineRun, AllFaultsTogether)
+TEST_P (PipelineRun, JobsFinishDespiteAllFaultsTogether)
 {
   Day day (GetParam () + 5400);
   day.world.faults.message_loss = 0.02;
@@ -101,7 +101,7 @@
 
 // Large rows of the previous version are read and split under the new limits of the store, which refuses no transaction
 // for its size.
-TEST_P (PipelineRun, RollingUpgradeUnderLowerStoreLimits)
+TEST_P (PipelineRun, JobsFinishDuringARollingUpgradeToLowerStoreLimits)
 {
   Day day (GetParam () + 5500, 4);
   day.world.settings.value_kb = 2;
--- a/tests/test_program.cpp
+++ b/tests/test_program.cpp
@@ -10,7 +10,7 @@
 class Program : public ThreeControllers {
 protected:
   void
-  refuse_invalid_requests ()
+  send_invalid_requests ()
   {
     EXPECT_EQ (submit (0, json_string ("no map"))->status, 400u);
     ASSERT_TRUE (wait_for ([&] { return submit (0, job ("req-9", 1, "green"))->status == 422; }));
@@ -50,7 +50,7 @@
 TEST_F (Program, JobsSurviveRestartsOfEachController)
 {
   Machine machine (controllers.front);
-  ASSERT_NO_FATAL_FAILURE (refuse_invalid_requests ());
+  ASSERT_NO_FATAL_FAILURE (send_invalid_requests ());
   run_a_job (machine);
   ASSERT_NO_FATAL_FAILURE (restart_each_while_a_job_runs (machine));
 
@@ -67,7 +67,7 @@
 class MalformedMessages : public ThreeControllers {
 protected:
   void
-  refuse_heartbeats_of_workers (Machine &machine)
+  send_malformed_worker_heartbeats (Machine &machine)
   {
     json_t *heartbeat = machine.heartbeat ();
     json_object_set_new (heartbeat, "shift", json_string ("first"));
@@ -76,7 +76,7 @@
     EXPECT_EQ (counter ("malformed_workers"), 2);
   }
   void
-  refuse_heartbeats_of_peers ()
+  send_malformed_peer_heartbeats ()
   {
     std::string peer = "hearth-" + std::to_string ((leader + 1) % kControllers);
     const std::vector<json_t *> heartbeats = {
@@ -102,8 +102,8 @@
   ASSERT_TRUE (reaches (leader, "req-3", "running"));
   for (const char *name : { "malformed_workers", "malformed_peers", "malformed_cloud", "malformed_state" })
     EXPECT_EQ (counter (name), 0) << name;
-  refuse_heartbeats_of_workers (machine);
-  refuse_heartbeats_of_peers ();
+  send_malformed_worker_heartbeats (machine);
+  send_malformed_peer_heartbeats ();
 
   services.garbled = true;
   EXPECT_TRUE (wait_for ([&] { return counter ("malformed_state") > 0 && counter ("malformed_cloud") > 0; }));
--- a/tests/test_random_runs.cpp
+++ b/tests/test_random_runs.cpp
@@ -18,7 +18,7 @@
   day.finish ();
 }
 
-TEST_P (RandomRun, ControllersCrashWhileTeamsHaveNoLimits)
+TEST_P (RandomRun, JobsFinishWhileControllersCrashAndTeamsHaveNoLimits)
 {
   Day day (GetParam () + 1200);
   day.world.remove_team_limits ();
@@ -28,7 +28,7 @@
   day.finish ();
 }
 
-TEST_P (RandomRun, ControllersCrash)
+TEST_P (RandomRun, JobsFinishWhileControllersCrash)
 {
   Day day (GetParam () + 100);
   day.load ();
@@ -39,7 +39,7 @@
   day.finish ();
 }
 
-TEST_P (RandomRun, MachinesDieHangAndFail)
+TEST_P (RandomRun, JobsFinishWhileMachinesDieHangAndFail)
 {
   Day day (GetParam () + 200);
   day.load ();
@@ -48,7 +48,7 @@
   day.finish ();
 }
 
-TEST_P (RandomRun, NetworkPartitionsAndStoreOutages)
+TEST_P (RandomRun, JobsFinishDespiteNetworkPartitionsAndStoreOutages)
 {
   Day day (GetParam () + 300);
   day.load ();
@@ -58,7 +58,7 @@
   day.finish ();
 }
 
-TEST_P (RandomRun, AllFaultsTogether)
+TEST_P (RandomRun, JobsFinishDespiteAllFaultsTogether)
 {
   Day day (GetParam () + 400);
   day.world.faults.message_loss = 0.02;
@@ -68,7 +68,7 @@
   day.finish ();
 }
 
-TEST_P (RandomRun, MachinesReceiveNothing)
+TEST_P (RandomRun, JobsFinishWhileMachinesReceiveNothing)
 {
   Day day (GetParam () + 500);
   day.load ();
@@ -79,7 +79,7 @@
   day.finish ();
 }
 
-TEST_P (RandomRun, DuplicateMessagesArriveLate)
+TEST_P (RandomRun, JobsFinishDespiteLateDuplicatesOfMessages)
 {
   Day day (GetParam () + 600);
   day.world.faults.duplicates = 0.2;
@@ -91,7 +91,7 @@
   day.finish ();
 }
 
-TEST_P (RandomRun, ControllersArePartitionedFromTheStore)
+TEST_P (RandomRun, JobsFinishWhileControllersArePartitionedFromTheStore)
 {
   Day day (GetParam () + 700);
   day.load ();
@@ -121,7 +121,7 @@
   day.finish ();
 }
 
-TEST_P (RandomRun, ControllersFreeze)
+TEST_P (RandomRun, JobsFinishWhileControllersFreeze)
 {
   Day day (GetParam () + 1000);
   day.world.faults.duplicates = 0.05;
@@ -136,7 +136,7 @@
 
 // A zone is partitioned for two lease times, many machines hang past their leases or die, some launched machines do not
 // boot, and all controllers crash in the middle of a store outage.
-TEST_P (RandomRun, ZonePartitionsMachineFaultsAndStoreOutage)
+TEST_P (RandomRun, JobsFinishDespiteZonePartitionsMachineFaultsAndStoreOutage)
 {
   Day day (GetParam () + 1100);
   day.world.faults.boot_failures = 0.15;
@@ -156,7 +156,7 @@
   day.finish ();
 }
 
-TEST_P (RandomRun, ControllersRestartWithinASecond)
+TEST_P (RandomRun, JobsFinishWhileControllersRestartWithinASecond)
 {
   Day day (GetParam () + 800);
   day.world.faults.message_delay = 0.02; // also delays lease claims of a controller's former incarnation
@@ -175,7 +175,7 @@
 
 // Hundreds of machines, with failovers, machine faults, a partition, machines that receive nothing and late duplicates
 // of messages.
-TEST (LargeRun, HundredsOfMachinesWithFaults)
+TEST (LargeRun, JobsFinishOnHundredsOfMachinesDespiteFaults)
 {
   Day day (4242, 50);
   day.length = 300 * kSecond;
@@ -195,7 +195,7 @@
 
 // Thousands of machines whose registry rows have at most 2 KiB, under the lowest limits of the store. The fleet grows,
 // and controllers crash one after the other while all machines report.
-TEST (LargeRun, ThousandsOfMachinesInSmallRegistryRows)
+TEST (LargeRun, JobsFinishOnThousandsOfMachinesInSmallRegistryRows)
 {
   Day day (4343, 300);
   day.length = 240 * kSecond;
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -17,7 +17,7 @@
   return json_loads (text, JSON_DECODE_ANY, nullptr);
 }
 
-TEST (Records, RowsOfOlderVersionsAreRead)
+TEST (Records, RowsOfOlderVersionsAreParsed)
 {
   // These rows are from a version whose jobs had no kind and whose renewals had no lease time.
   json_t *open = parse ("{\"class\":\"c\",\"team\":\"red\",\"priority\":1,\"tasks\":3,\"cpus\":4.0,\"gpus\":0.0,"
--- a/tests/test_scheduler_heartbeats.cpp
+++ b/tests/test_scheduler_heartbeats.cpp
@@ -141,8 +141,8 @@
   EXPECT_LE (ft_scheduler_examined (scheduler) - before, 40 * (fleet.kMachines + fleet.kJobs));
 }
 
-// Guards against freeing tasks after a time alone: a machine that hangs past its worker lease still has its tasks.
-// Found by the random runs.
+// Guards against freeing tasks only because time has passed: a machine that hangs past its worker lease still has its
+// tasks. Found by the random runs.
 TEST (Scheduler, ExpiredWorkerLeaseFreesNoTask)
 {
   OneMachine harness;
--- a/tests/test_scheduler_recovery.cpp
+++ b/tests/test_scheduler_recovery.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 // A peer's report of a cancellation is advisory and may be wrong, so it must not end an open job.
-TEST (Scheduler, AdvisedCancellationDeletesNoRowBeforeItIsRead)
+TEST (Scheduler, AdvisedCancellationDeletesNoRowBeforeTheCancellationIsRead)
 {
   SchedulerHarness harness;
   ft_scheduler_loaded (harness.scheduler, 100 * kS);
--- a/tests/test_user_request.cpp
+++ b/tests/test_user_request.cpp
@@ -192,7 +192,7 @@
   }
 };
 
-// Runs the main loop for 50 ms, so that a second answer to a request would add_arrival.
+// Runs the main loop for 50 ms, so that a second answer to a request would arrive.
 void
 wait_for_second_answers ()
 {
