--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -205,7 +205,7 @@
 gint64
 ft_scheduler_last_heartbeat_at (const FtScheduler *scheduler)
 {
-  return scheduler->context.last_heard;
+  return scheduler->context.last_acknowledged_at;
 }
 
 guint
