--- a/src/wire/job_rows.c
+++ b/src/wire/job_rows.c
@@ -108,8 +108,8 @@
   return list;
 }
 
-/* Joins refs into one text without their common prefix, so that a row can hold hundreds of refs. The caller frees the
- * text. */
+/* Joins refs into one text, each without its prefix FT_REF_PREFIX, so that a row can hold hundreds of refs. The caller
+ * frees the text. */
 static char *
 pack_refs (GStrv refs)
 {
@@ -233,7 +233,7 @@
 static gboolean
 read_open_counts (const json_t *value, FtJobSpec *spec, GError **error)
 {
-  /* Older versions wrote no kind: their jobs are arrays. */
+  /* Older versions had only array jobs and stored no kind. */
   guint64 kind = FT_KIND_ARRAY, priority, tasks, submitted;
   if (!ft_field_is_null (value, FIELD_KIND) && !ft_field_count (value, FIELD_KIND, 0, FT_KIND_SERVICE, &kind))
     return ft_field_fail (value, FIELD_KIND, error);
@@ -250,7 +250,8 @@
   return TRUE;
 }
 
-/* Older versions wrote no dispatch watermark. In their rows any task may have been sent to a machine. */
+/* Reads the dispatch watermark. Older versions stored none; any task of a job in their rows may have been sent to a
+ * machine. */
 static gboolean
 read_watermark (const json_t *value, FtJobSpec *spec, GError **error)
 {
--- a/src/wire/job_rows.h
+++ b/src/wire/job_rows.h
@@ -4,8 +4,8 @@
  *
  * Encodes and decodes the values of a job's rows in the key-value store:
  *
- * - The state row says whether the job is open, done or cancelled. It is never deleted, so that a
- *   ref cannot be accepted twice.
+ * - The state row says whether the job is open, done or cancelled. It is never deleted, so that
+ *   no second job with the same ref can be accepted.
  * - The open row holds the job's specification. It exists while the job is open, and after a
  *   cancellation until all tasks of the job have stopped.
  * - The cancellation row exists from the cancellation of the job until all of its tasks have stopped.
@@ -94,7 +94,8 @@
 /**
  * ft_row_open_with_watermark:
  * @spec: an open job
- * @watermark: the job's raised dispatch watermark
+ * @watermark: the job's raised dispatch watermark: no task with this index or a higher one has ever been
+ *   sent to a machine
  * @revision: revision of the job's state row
  *
  * The write that raises the watermark gives the open row a later revision than the state row has.
--- a/src/wire/lease_rows.h
+++ b/src/wire/lease_rows.h
@@ -54,8 +54,8 @@
 
 /**
  * ft_row_lease_parse:
- * @rows: (element-type FtRow): the rows below %FT_PREFIX_LEASE; all but the fence row and the renewal
- *   row are ignored
+ * @rows: (element-type FtRow): the rows whose keys begin with %FT_PREFIX_LEASE; all but the fence row
+ *   and the renewal row are ignored
  * @out: filled from the rows that exist; the caller sets all fields to zero before the call, and
  *   frees the contents with ft_lease_rows_clear() after it, also on failure
  *
@@ -71,7 +71,7 @@
  * @lease_us: lease time that this controller uses, in microseconds
  *
  * Acquires the lease. The store refuses the transaction if another controller has acquired the lease
- * since this controller read the rows. If the previous holder may still be alive
+ * since this controller read the fence row and the renewal row. If the previous holder may still be alive
  * (@claim->check_renewal), the store also refuses it if that holder has renewed the lease since.
  *
  * Returns: (transfer full): the transaction.
--- a/src/wire/machine_rows.c
+++ b/src/wire/machine_rows.c
@@ -48,7 +48,8 @@
     return FALSE;
   const char *row_name = row->key + strlen (FT_PREFIX_REGISTRY);
   const json_t *list = json_object_get (row->value, FIELD_MACHINES);
-  /* Older versions wrote one machine to a row, without a list; the key contains the machine's name. */
+  /* Older versions wrote a row of its own for each machine: the key contains the machine's name, and the value has no
+   * list. */
   if (list == NULL)
     return load_machine (scheduler, row_name, row_name, row->value);
   gboolean all = json_is_array (list);
--- a/src/wire/store.h
+++ b/src/wire/store.h
@@ -16,12 +16,13 @@
  *                    conditional on it, so that a delayed batch cannot be applied
  *   j/REF            state row of a job: open, done or cancelled; never deleted
  *   o/REF            open row of a job: the job as submitted, with its dependencies and its dispatch
- *                    watermark
+ *                    watermark (see FtJobSpec in core/types.h)
  *   o/REF/w          cancellation row of a job; deleted when all tasks of the job have stopped
  *   d/REF/CHUNK      chunk row: a chunk of the bitmap of a job's finished tasks
  *   m/ROW            row of the machine registry: machines that may have been sent commands
  *   a/NAME           row of a machine that an operator has drained
- *   s/settings       settings row: the operators' settings; its revision is their version
+ *   s/settings       settings row: the operators' settings; the revision of the row is the
+ *                    version of the settings
  */
 #pragma once
 #include "wire/job_rows.h"
--- a/src/wire/store_keys.h
+++ b/src/wire/store_keys.h
@@ -14,18 +14,18 @@
 #define FT_KEY_RENEWAL "l/renewal"
 /* Key of the journal row. */
 #define FT_KEY_JOURNAL "l/journal"
-/* Key of the operators' settings. */
+/* Key of the settings row, which holds the operators' settings. */
 #define FT_KEY_SETTINGS "s/settings"
 
 /* Prefix of the keys of the fence row, the renewal row and the journal row. */
 #define FT_PREFIX_LEASE "l/"
 /* Prefix of the keys of open rows and cancellation rows. */
 #define FT_PREFIX_OPEN "o/"
-/* Prefix of the keys of chunk rows, which hold the finished tasks of jobs. */
+/* Prefix of the keys of chunk rows, which hold the bitmaps of the finished tasks of jobs. */
 #define FT_PREFIX_DONE "d/"
 /* Prefix of the keys of the machine registry's rows. */
 #define FT_PREFIX_REGISTRY "m/"
-/* Prefix of the keys of drained machines. */
+/* Prefix of the keys of the rows of drained machines. */
 #define FT_PREFIX_DRAINED "a/"
 
 /**
@@ -58,7 +58,8 @@
  * @ref: a job's ref
  * @chunk: number of the chunk, from 0
  *
- * Returns: (transfer full): the key of the chunk row, which holds a part of the job's finished tasks.
+ * Returns: (transfer full): the key of the chunk row, which holds one chunk of the bitmap of the
+ * job's finished tasks.
  */
 char *ft_key_chunk (const char *ref, guint chunk);
 
@@ -107,6 +108,6 @@
  * @key: any key
  *
  * Returns: (transfer none) (nullable): the name of the drained machine, borrowed from @key; %NULL if
- * @key is not the key of a drained machine.
+ * @key is not the key of the row of a drained machine.
  */
 const char *ft_key_drained_name (const char *key);
--- a/src/wire/store_messages.c
+++ b/src/wire/store_messages.c
@@ -74,7 +74,8 @@
   return FALSE;
 }
 
-/* Reads a row or an event. The caller checks whether the value must be present. */
+/* Reads a row of the store or an event of a watch. `key_field` is the name of the field with the row's key. A missing
+ * value sets `row->value` to NULL; the caller decides whether that is valid. */
 static gboolean
 read_row (json_t *item, const char *key_field, FtRow *row)
 {
@@ -117,7 +118,7 @@
 ft_store_events (const json_t *body)
 {
   const json_t *list = json_object_get (body, FIELD_EVENTS);
-  /* An answer without the list means that nothing has changed. */
+  /* An answer without a list of events means that nothing has changed. */
   if (list != NULL && !json_is_array (list))
     return NULL;
   g_autoptr (GArray) rows = g_array_new (FALSE, TRUE, sizeof (FtRow));
