--- a/src/wire/cbor.c
+++ b/src/wire/cbor.c
@@ -25,7 +25,7 @@
   json_t *root; /* NULL until the first item is decoded */
   Frame stack[FT_NESTING_MAX];
   int depth;       /* number of frames in use */
-  GString *text;   /* the joined chunks of a text of indefinite length; NULL: no such text is open */
+  GString *text;   /* the joined chunks of a text of indefinite length; NULL: no such text is being decoded */
   gboolean failed; /* the input is not valid */
 } Builder;
 
@@ -63,8 +63,9 @@
     frame->items_left--;
 }
 
-/* Puts a value into the innermost open container and takes the reference to `value`. The container stays open even
- * if it is full now: if the value is itself a container, both count for the nesting depth. */
+/* Puts a value into the innermost container that is still being decoded. Takes the reference to `value`. Does not close
+ * that container, even if it has all of its items now: if `value` is a container too, the caller opens it next, and
+ * the outer container must then still count towards the nesting depth. */
 static void
 builder_put (Builder *builder, json_t *value)
 {
--- a/src/wire/fields.h
+++ b/src/wire/fields.h
@@ -74,7 +74,7 @@
  *   replaced
  *
  * Reads an optional text: a missing or null field sets @out to %NULL and is a success, any other
- * field is read like with ft_field_text().
+ * field is read in the same way as by ft_field_text().
  */
 gboolean ft_field_text_or_null (const json_t *map, const char *name, gsize max_bytes, char **out);
 
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -74,7 +74,8 @@
   return i;
 }
 
-/* Returns the position of the field's text in `words`; `count` if `words` does not contain it. */
+/* Returns the position in `words` of the text of the field `name`; `count`, which is the number of words, if the field
+ * is missing or `words` does not contain its text. */
 static guint
 read_word (const json_t *body, const char *name, const char *const *words, guint count)
 {
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -14,7 +14,7 @@
 
 #include "core/types.h"
 
-/* Prefix of the ref of each job. */
+/* Prefix of the ref of each job. The ref is the job's unique name, chosen by the user. */
 #define FT_REF_PREFIX "req-"
 
 /**
--- a/src/wire/peer_heartbeat.c
+++ b/src/wire/peer_heartbeat.c
@@ -7,7 +7,7 @@
 #define FIELD_MEMBER "member"                     /* name of the controller that sends the heartbeat */
 #define FIELD_SUPPORTS_DEPENDENCIES "knows_needs" /* whether the sender's version supports job dependencies */
 #define FIELD_STORE_ANSWERED "served_ms_ago"      /* milliseconds since the store last answered the sender */
-#define FIELD_YIELDS "yields"                     /* whether the sender has yielded leadership */
+#define FIELD_YIELDS "yields"                     /* whether the sender has recently resigned or yielded leadership */
 #define FIELD_CANCELLATIONS "withdrawn" /* refs of jobs whose cancellation the sender has committed recently */
 #define FIELD_FENCING_TOKEN "token"     /* the sender's fencing token; missing: the sender does not lead */
 #define FIELD_JOBS "jobs"               /* progress of the leader's jobs: a map from ref to [done, running] */
--- a/src/wire/peer_heartbeat.h
+++ b/src/wire/peer_heartbeat.h
@@ -33,7 +33,7 @@
  * @served: the key-value store has answered at least one request of the sender
  * @served_ms_ago: milliseconds between the store's last answer and the sending of the heartbeat; 0
  *   unless @served
- * @yields: the sender has yielded leadership
+ * @yields: the sender has resigned or yielded leadership within the last %FT_YIELD_ADVERTISED_S seconds
  * @token: the sender's fencing token; 0 if the sender is not the leader
  * @jobs: (element-type FtPeerHeartbeatJob): progress of the leader's jobs, owned; empty if the sender
  *   is not the leader
--- a/src/wire/protocol.h
+++ b/src/wire/protocol.h
@@ -2,9 +2,9 @@
  * SECTION: protocol
  * @title: Field names of the protocol
  *
- * The protocol uses names of its own for many terms of the field. Each constant here is named after
- * the usual term; its value is the name of the field in messages of users, workers and the cloud.
- * Only code in src/wire uses these constants.
+ * The protocol uses names of its own instead of many usual terms of cluster scheduling. Each constant
+ * here is named after the usual term; its value is the field's name in messages of users, workers and
+ * the cloud. Only code in src/wire uses these constants.
  *
  * The protocol's names for values (priorities, kinds, states) are in the tables of messages.c and in
  * cloud.c. The field names of the key-value store's messages are in store_messages.c.
@@ -13,7 +13,7 @@
 
 /* Fields of machines. */
 #define FT_WIRE_MACHINE "hearth"       /* name of a machine */
-#define FT_WIRE_MACHINES "hearths"     /* list of machines: of a launch, of a scale-in or of the cloud's list */
+#define FT_WIRE_MACHINES "hearths"     /* list of machines, in a launch, a scale-in or the cloud's list */
 #define FT_WIRE_LISTED_NAME "ref"      /* name of a machine in the cloud's list */
 #define FT_WIRE_ADDRESS "address"      /* address at which a machine accepts direct requests, as HOST:PORT */
 #define FT_WIRE_MACHINE_TYPE "build"   /* name of a machine type */
@@ -25,7 +25,7 @@
 #define FT_WIRE_INTERRUPTION_NOTICE "recall_s" /* seconds until the cloud takes a spot instance away */
 
 /* Fields of a submitted job. */
-#define FT_WIRE_JOB_REF "ref"                    /* ref of a job, chosen by the user */
+#define FT_WIRE_JOB_REF "ref"                    /* ref of a job: its unique name, chosen by the user */
 #define FT_WIRE_JOB_CLASS "lane"                 /* job class, for which service objectives are measured */
 #define FT_WIRE_TEAM "crew"                      /* team, to which quotas apply */
 #define FT_WIRE_KIND "shape"                     /* kind of a job: array, gang or service */
@@ -54,9 +54,9 @@
 #define FT_WIRE_EXIT_REASON "cause" /* why an attempt has exited */
 
 /* Fields of worker heartbeats, of the answers to them, and of direct requests to machines. */
-#define FT_WIRE_INCARNATION "shift"     /* incarnation of the worker */
+#define FT_WIRE_INCARNATION "shift"     /* incarnation of the worker's agent; only rises */
 #define FT_WIRE_SEQUENCE "tally"        /* number of the heartbeat within the incarnation */
-#define FT_WIRE_FENCING_TOKEN "baton"   /* the leader's fencing token; in a heartbeat, the highest token seen so far */
+#define FT_WIRE_FENCING_TOKEN "baton"   /* the leader's fencing token; in a heartbeat, the highest that a worker saw */
 #define FT_WIRE_COMMANDS "orders"       /* list of commands for tasks */
 #define FT_WIRE_COMMAND "verb"          /* operation of a command: start, stop or forget */
 #define FT_WIRE_GRACE_PERIOD "leeway_s" /* seconds in which a stopped task may write a checkpoint */
--- a/src/wire/worker_heartbeat.c
+++ b/src/wire/worker_heartbeat.c
@@ -238,7 +238,8 @@
          || is_plain_text (&item, FT_BODY_MAX);
 }
 
-/* Skips the value if the field is unknown. Returns FALSE if the message is not of the plain form. */
+/* Completes the reading of a field after the function that reads known fields has returned `result`: skips the value if
+ * the field is unknown. Returns FALSE if the message is not of the plain form. */
 static gboolean
 finish_field (Reader *reader, FieldResult result)
 {
