--- a/src/config.c
+++ b/src/config.c
@@ -13,8 +13,8 @@
 /* Greatest port number of an address. */
 #define PORT_MAX 65535
 
-/* The following minimums are the least values with which a controller still works. The platform's values are far above
- * them. */
+/* The following minimums are the least values with which a controller still works. The values in the settings files
+ * that the platform passes are far above them. */
 
 /* Least interval between two heartbeats of a worker, in seconds. */
 #define HEARTBEAT_S_MIN 0.01
@@ -166,7 +166,8 @@
 }
 
 /* Lowers a limit of the key-value store to its value in `next`, if `next` contains a lower one. `next` has the limits
- * that will apply later. Their time is not announced, so requests must satisfy the present and the later limit. */
+ * that will apply later. The time from which they apply is not announced, so requests must satisfy both the
+ * present and the later limit. */
 static gboolean
 lower_amount (const json_t *next, const char *name, double min, double *limit, GError **error)
 {
--- a/src/ctl/arguments.c
+++ b/src/ctl/arguments.c
@@ -5,7 +5,8 @@
 #include "ctl/error.h"
 
 static const char nodes_variable[] = "FLINTCTL_NODES";
-static const char default_node[] = "127.0.0.1:8081"; /* a controller on this host, on the port that the examples use */
+/* A controller on this host, on the port that the documentation's examples use. */
+static const char default_node[] = "127.0.0.1:8081";
 
 enum { PORT_MAX = 65535 };
 
