--- a/tests/test_module_attempt.cpp
+++ b/tests/test_module_attempt.cpp
@@ -59,7 +59,9 @@
   EXPECT_FALSE (ft_attempt_stop_requested (attempt));
 }
 
-TEST_F (AttemptModule, UnansweredDirectStartStaysInDoubt)
+// A direct start is a start command that a request from the leader carries to the worker, unlike one in the answer to a
+// heartbeat. The worker may still execute an unanswered one, even if the answer to another copy arrives later.
+TEST_F (AttemptModule, DirectStartStaysUnansweredAfterAnotherOfItsRequestsIsAnswered)
 {
   ft_attempt_direct_start_sent (attempt);
   EXPECT_EQ (attempt->direct_start, FT_DIRECT_START_IN_FLIGHT);
--- a/tests/test_module_job_table.cpp
+++ b/tests/test_module_job_table.cpp
@@ -102,7 +102,7 @@
   EXPECT_TRUE (context.placement_due);
 }
 
-TEST_F (JobTableModule, UnknownDependencyIsReadAndItsEndOpensTheDependent)
+TEST_F (JobTableModule, DependencyNotInTheTableIsReadAndItsDependentJobOpensOnceItIsDone)
 {
   FtJob *dependent = add_job (new_dependent_spec ("req-2", { "req-1" }));
   EXPECT_STREQ (ft_job_table_next_unread (&job_table), "req-1");
--- a/tests/test_module_leader_request.cpp
+++ b/tests/test_module_leader_request.cpp
@@ -21,7 +21,7 @@
 
 struct Request {
   FtLeaderRequest base;
-  int value; // an example of the data in a derived context
+  int value; // an example of the data that one kind of request adds to the common part of its context
 };
 
 Counts *
@@ -48,7 +48,8 @@
   [] (FtLeaderRequest *request) { counts_of (request)->cleared++; },
 };
 
-// The term of a leading controller. Its scheduler is never called, so any pointer other than null serves as one.
+// The term of a leading controller. Its scheduler is never called, so the term may have any pointer other than
+// null as its scheduler.
 class LeaderRequestModule : public testing::Test {
 protected:
   FtNode node{};
@@ -89,7 +90,7 @@
   }
 };
 
-TEST_F (LeaderRequestModule, AnswerWithinItsTermIsHandledAndItsOutcomeIsApplied)
+TEST_F (LeaderRequestModule, AnswerInTheTermOfItsRequestIsHandledAndTheHandlersOutcomeIsApplied)
 {
   answer (FT_LEADER_OUTCOME_PROGRESS);
   EXPECT_EQ (counts.handled, 1u);
@@ -132,7 +133,7 @@
   EXPECT_EQ (counts.sent, 1u);
 }
 
-TEST_F (LeaderRequestModule, AnswerThatShowsAnotherLeaderEndsTheTermWithItsReason)
+TEST_F (LeaderRequestModule, AnswerThatShowsAnotherLeaderEndsTheTermAndReportsTheHandlersReason)
 {
   answer (FT_LEADER_OUTCOME_SUPERSEDED);
   EXPECT_EQ (counts.superseded, "test");
--- a/tests/test_module_reachability.cpp
+++ b/tests/test_module_reachability.cpp
@@ -41,9 +41,9 @@
   }
 };
 
-// ---- not receiving ----
+// ---- not receiving: heartbeats arrive from the machine, but no answer or command seems to reach it ----
 
-TEST_F (ReachabilityModule, NotReceivingIsReportedOnceAfterTheMaximumOfUnacknowledgedHeartbeats)
+TEST_F (ReachabilityModule, MachineChangesToNotReceivingOnceAtTheMaximumOfUnacknowledgedHeartbeats)
 {
   EXPECT_EQ (handle_unacknowledged (FT_UNACKNOWLEDGED_MAX - 1), 0u);
   EXPECT_FALSE (ft_reachability_not_receiving (&machine));
@@ -52,7 +52,7 @@
   EXPECT_EQ (handle_unacknowledged (3), 0u);
 }
 
-TEST_F (ReachabilityModule, HeartbeatWithAcknowledgementsResetsTheCount)
+TEST_F (ReachabilityModule, HeartbeatThatLacksNoAcknowledgementResetsTheCountOfUnacknowledgedHeartbeats)
 {
   handle_unacknowledged (FT_UNACKNOWLEDGED_MAX - 1);
   ft_reachability_update_acknowledgements (&machine, FALSE, FALSE, context.now);
@@ -60,10 +60,10 @@
   EXPECT_FALSE (ft_reachability_not_receiving (&machine));
 }
 
-TEST_F (ReachabilityModule, NotReceivingEndsOnlyWithAnAcknowledgementOrADeliveredCommand)
+TEST_F (ReachabilityModule, MachineIsNotReceivingUntilItAcknowledgesAStartOrACommandReachesIt)
 {
   handle_unacknowledged (FT_UNACKNOWLEDGED_MAX);
-  // Nothing was sent, so this heartbeat does not show that the machine receives.
+  // No answer carried a start that this heartbeat should show, so it does not show that the machine receives answers.
   ft_reachability_update_acknowledgements (&machine, FALSE, FALSE, context.now);
   EXPECT_TRUE (ft_reachability_not_receiving (&machine));
   ft_reachability_update_acknowledgements (&machine, FALSE, TRUE, context.now);
@@ -74,7 +74,7 @@
   EXPECT_EQ (handle_unacknowledged (FT_UNACKNOWLEDGED_MAX - 1), 0u);
 }
 
-// ---- not reporting, silent ----
+// ---- not reporting: no heartbeat arrives from the machine; silent: nothing arrives from it ----
 
 TEST_F (ReachabilityModule, MachineThatOnlyAnswersCommandsIsNotReporting)
 {
@@ -90,7 +90,9 @@
   EXPECT_FALSE (ft_reachability_not_reporting (&machine, &context));
 }
 
-TEST_F (ReachabilityModule, TimeInWhichTheLeaderWasLateOrDidNotAnswerDoesNotCount)
+// A machine is found silent only after time in which the leader was not late, and not reporting only after time in
+// which the leader answered heartbeats.
+TEST_F (ReachabilityModule, TimeInWhichTheLeaderWasLateOrDidNotAnswerDoesNotMakeAMachineSilentOrNotReporting)
 {
   context.now = 200 * kS;
   EXPECT_TRUE (ft_reachability_not_reporting (&machine, &context));
--- a/tests/test_module_recovery.cpp
+++ b/tests/test_module_recovery.cpp
@@ -30,7 +30,7 @@
   }
 };
 
-TEST_F (RecoveryModule, CapacityIsUnknownAndRecoveryDoesNotEndWhileRowsAreRead)
+TEST_F (RecoveryModule, CapacityOfUnreconciledMachinesIsUnknownAndRecoveryDoesNotEndWhileRowsAreRead)
 {
   FtJob *job = add_job (new_job_spec ("req-1", 2), FT_TASK_UNKNOWN);
   EXPECT_FALSE (ft_recovery_is_loaded (&recovery));
@@ -40,7 +40,7 @@
   EXPECT_EQ (job->counts[FT_TASK_UNKNOWN], 2u);
 }
 
-TEST_F (RecoveryModule, RecoveryWaitsForEachMachineAndThenQueuesTasksThatNoneHasShown)
+TEST_F (RecoveryModule, RecoveryWaitsForEachMachineAndThenQueuesTasksThatNoMachineReported)
 {
   FtJob *job = add_job (new_job_spec ("req-1", 2), FT_TASK_UNKNOWN);
   FtMachine *first = add_machine ("n-1"), *second = add_machine ("n-2");
@@ -53,7 +53,7 @@
   ft_recovery_tick (&recovery);
   EXPECT_EQ (recovery.state, FT_RECOVERY_RECONCILING);
   EXPECT_EQ (job->counts[FT_TASK_UNKNOWN], 2u);
-  ft_task_set_state (job, 0, FT_TASK_RUNNING); // the second machine shows that this task runs
+  ft_task_set_state (job, 0, FT_TASK_RUNNING); // the second machine reports that this task runs
   reconcile (second);
   context.placement_due = FALSE;
   ft_recovery_tick (&recovery);
@@ -74,7 +74,7 @@
   EXPECT_EQ (job->counts[FT_TASK_CANCELLED], 2u);
 }
 
-TEST_F (RecoveryModule, DoneIsAFinalState)
+TEST_F (RecoveryModule, RecoveryThatIsDoneNeverStartsAgain)
 {
   ft_recovery_loaded (&recovery);
   ft_recovery_tick (&recovery);
@@ -88,7 +88,7 @@
   EXPECT_FALSE (late->counted_unreconciled);
 }
 
-TEST_F (RecoveryModule, CapacityIsUnknownUntilTheTypeOfEachMachineIsKnown)
+TEST_F (RecoveryModule, CapacityOfUnreconciledMachinesIsUnknownUntilTheTypeOfEachMachineIsKnown)
 {
   FtMachine *machine = add_machine ("n-1", "large");
   ft_recovery_loaded (&recovery);
--- a/tests/test_module_write_queue.cpp
+++ b/tests/test_module_write_queue.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// One write of each urgency is due: the registry has a row, job "done" has its end, job "more" has a dispatch
-// watermark, job "part" has a chunk of its done-set, and a chunk of the ended job "older" is to be deleted. The jobs
-// are queued in the reverse of the order in which a batch takes their writes.
+// One write of each urgency is due, from the most urgent to the least: a registry row, the end of job "done", a
+// dispatch watermark of job "more", a chunk of the done-set of job "part", and the deletion of a chunk of the ended job
+// "older". The jobs are queued in the reverse of this order.
 class WriteQueueModule : public testing::Test, protected CoreState {
 protected:
   FtRegistry registry{};
@@ -112,7 +112,7 @@
   EXPECT_EQ (listing (again), all_writes);
 }
 
-TEST_F (WriteQueueModule, EndWithAConflictWaitsUntilTheStateRowHasBeenRead)
+TEST_F (WriteQueueModule, EndOfAJobThatConflictsWaitsUntilTheStateRowHasBeenRead)
 {
   fail ("done");
   g_autoptr (GPtrArray) others = next ();
@@ -124,14 +124,14 @@
   EXPECT_EQ (write_at (again, 0)->revision, 9u);
 }
 
-TEST_F (WriteQueueModule, ConflictWithAJobThatIsDoneEndsTheJob)
+TEST_F (WriteQueueModule, ConflictWithAStateRowThatIsDoneEndsTheJob)
 {
   fail ("done");
   ft_write_queue_conflict_resolved (&queue, "done", TRUE);
   EXPECT_EQ (removed, Lines{ "done" });
 }
 
-TEST_F (WriteQueueModule, ConflictWithACancelledJobCancelsItAndDelaysItsEndUntilTheCancellationIsRead)
+TEST_F (WriteQueueModule, ConflictWithACancelledStateRowCancelsTheJobAndDelaysItsEndUntilTheCancellationIsRead)
 {
   fail ("done");
   ft_write_queue_conflict_resolved (&queue, "done", FALSE);
