--- a/tests/test_registry.cpp
+++ b/tests/test_registry.cpp
@@ -38,8 +38,8 @@
   EXPECT_EQ (commit_rows (107 * kS), "");
 }
 
-// Guards against a row for each machine: on grown deployments, the store's value limit was not read, and the leader
-// could not keep up with writing one row for each machine.
+// Guards against one row for each machine: on deployments with many machines, the store's value limit was not read,
+// and the leader could not keep up with writing one row for each machine.
 TEST (Registry, OneRowNamesAsManyMachinesAsAValueHolds)
 {
   SchedulerHarness harness;
@@ -194,7 +194,7 @@
 
 // The store refuses batches as invalid, since its value limit has fallen without notice. Rows are written smaller, and
 // split if they are too large.
-TEST_F (OversizedRow, RefusalAsInvalidMakesRowsSmaller)
+TEST_F (OversizedRow, RefusalOfABatchAsInvalidMakesRowsSmaller)
 {
   SchedulerHarness other;
   other.world.settings.value_kb = 8;
@@ -212,9 +212,9 @@
     EXPECT_LE (other.machine (name (i).c_str ())->row->machines->len, 9u);
 }
 
-// If a transaction holds few changes, the ends of jobs must not wait until all machines of a growing fleet are
-// registered.
-TEST (Registry, RowsTakeOnlyEveryOtherBatchWhileOtherWritesWait)
+// Even if a transaction holds few changes, the ends of jobs must not wait until the registry rows of all machines of a
+// growing fleet are written.
+TEST (Registry, RowsAreWrittenOnlyInEveryOtherBatchWhileOtherWritesWait)
 {
   SchedulerHarness harness;
   harness.world.settings.value_kb = 1;
--- a/tests/test_scheduler_commands.cpp
+++ b/tests/test_scheduler_commands.cpp
@@ -40,8 +40,9 @@
   EXPECT_EQ (commands->len, 1u);
 }
 
-// Guards against an attempt that is neither started nor released: its direct start is lost, and a stop is requested
-// before a heartbeat shows that. Found by the random runs.
+// Guards against an attempt that is neither started nor released: the request from the leader that carries its start
+// command (a direct start) is lost, and a stop is requested before a heartbeat shows the loss. The random runs found
+// this fault.
 TEST (Scheduler, StopIsClearedIfTheDirectStartWasLost)
 {
   OneMachine harness;
--- a/tests/test_scheduler_heartbeats.cpp
+++ b/tests/test_scheduler_heartbeats.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-TEST (Scheduler, MachineThatIsNotReceivingGetsNoWorkAndIsTerminated)
+TEST (Scheduler, MachineThatDoesNotReceiveAnswersGetsNoWorkAndIsTerminated)
 {
   OneMachine harness;
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 1), 5, 101 * kS, 0);
@@ -17,7 +17,7 @@
   FtMachine *machine = harness.machine ("n-1");
   EXPECT_TRUE (ft_machine_not_receiving (machine));
   EXPECT_FALSE (ft_machine_usable (machine));
-  harness.set_on_time_since (at - 5 * kS); // this process itself was late
+  harness.set_on_time_since (at - 5 * kS); // until then, this process itself was late
   ft_scheduler_tick (harness.scheduler, at, TRUE);
   EXPECT_EQ (machine->state, FT_MACHINE_UP);
   harness.set_on_time_since (0);
@@ -30,7 +30,7 @@
 }
 
 // The recovery after a failover does not wait for a machine whose heartbeats never show the new token.
-TEST (Scheduler, UnreconciledMachineThatIsNotReceivingIsTerminated)
+TEST (Scheduler, UnreconciledMachineThatDoesNotReceiveAnswersIsTerminated)
 {
   SchedulerHarness harness;
   ft_scheduler_load_machine (harness.scheduler, "row-1", "n-1", "10.1.0.1:9000", "std", "a", FALSE);
@@ -64,7 +64,7 @@
   g_autoptr (FtWorkerHeartbeat) incarnation = harness.new_heartbeat (0, 9, 3);
   ft_scheduler_heartbeat (harness.scheduler, incarnation, 140 * kS);
   EXPECT_EQ (machine->reachability.last_status_at, 100 * kS);
-  // This machine is no longer known. It gets no work before it shows this leader's token.
+  // The leader no longer knows the machine of this heartbeat, and gives it no work before it shows this leader's token.
   g_autoptr (FtWorkerHeartbeat) ghost = harness.new_heartbeat (1, 1, 2);
   g_free (ghost->machine);
   ghost->machine = g_strdup ("n-9");
@@ -130,19 +130,20 @@
   FtScheduler *scheduler = fleet.scheduler;
   ASSERT_EQ (ft_machine_room (fleet.machine ("n-000007"), fleet.job ("req-299")->spec), 0u);
   guint before = ft_scheduler_examined (scheduler);
-  ft_scheduler_place (scheduler, fleet.now, TRUE); // no pass runs, since the pause after the last one is not over
+  ft_scheduler_place (scheduler, fleet.now, TRUE); // no pass runs, since the pause after the last pass is not over
   g_autoptr (GArray) commands = ft_scheduler_answer (scheduler, fleet.report (7, 2), fleet.now);
   EXPECT_EQ (ft_scheduler_next_direct (scheduler, fleet.now), nullptr);
   fleet.commit_writes (fleet.now);
   EXPECT_LE (ft_scheduler_examined (scheduler) - before, 64u);
-  // A pass over a full fleet examines each machine and job 40 times at most, on average.
+  // A tick, which includes a placement pass over the full fleet, examines machines, jobs and attempts at most 40 times
+  // for each machine and job of the fleet.
   before = ft_scheduler_examined (scheduler);
   ft_scheduler_tick (scheduler, fleet.now + kS, TRUE);
   EXPECT_LE (ft_scheduler_examined (scheduler) - before, 40 * (fleet.kMachines + fleet.kJobs));
 }
 
 // Guards against freeing tasks only because time has passed: a machine that hangs past its worker lease still has its
-// tasks. Found by the random runs.
+// tasks. The random runs found this fault.
 TEST (Scheduler, ExpiredWorkerLeaseFreesNoTask)
 {
   OneMachine harness;
--- a/tests/test_scheduler_recovery.cpp
+++ b/tests/test_scheduler_recovery.cpp
@@ -1,4 +1,4 @@
-// How a new leader loads jobs and machines, and how cancellations and older events change jobs.
+// How a new leader loads jobs and machines, and how cancellations and outdated events of the store change jobs.
 #include "scheduler_harness.hpp"
 
 namespace {
@@ -54,8 +54,8 @@
   EXPECT_GT (g_array_index (commands, FtCommand, 0).attempt, 77u);
 }
 
-// A former leader may still run for a while, but it can start no task beyond the dispatch watermark. Those tasks are
-// placed at once, and the others once every machine is reconciled.
+// A former leader may still run for a while, but it can start no task beyond the job's dispatch watermark. The tasks
+// beyond the watermark are placed at once, and the other tasks once every machine is reconciled.
 TEST (Scheduler, TasksBeyondTheDispatchWatermarkDoNotWaitForReconciliation)
 {
   SchedulerHarness harness;
--- a/tests/test_store_answers.cpp
+++ b/tests/test_store_answers.cpp
@@ -1,5 +1,5 @@
 // Parsing of the key-value store's answers. A successful answer whose body is invalid becomes FT_STORE_MALFORMED, and
-// every other result is returned without a look at the body.
+// every other result is returned without parsing the body.
 #include <memory>
 
 #include <gtest/gtest.h>
--- a/tests/test_store_transactions.cpp
+++ b/tests/test_store_transactions.cpp
@@ -162,7 +162,7 @@
   EXPECT_STREQ (ref, "req-1") << "req-1 is the first conflicting job in the order of the writes";
 }
 
-TEST (WriteBatch, ConflictThatNamesNoConditionOfTheBatchIsUnknown)
+TEST (WriteBatch, ConflictThatNamesNoConditionOfTheBatchIsOfUnknownKind)
 {
   for (const char *body : { "{\"failed\":[\"j/req-2\"]}", "{\"failed\":[\"j/req-9\"]}", "{\"failed\":[]}",
                             "{\"failed\":\"l/fence\"}", "{}" }) {
--- a/tests/test_write_queue.cpp
+++ b/tests/test_write_queue.cpp
@@ -28,9 +28,9 @@
   }
 };
 
-// Guards against a delay of urgent writes: chunks of many done-sets used up the changes of each batch, while ends of
-// jobs and new starts waited for them.
-TEST (WriteQueue, ChunksLeaveChangesToUrgentWritesWhileTheStoreHasNoneToSpare)
+// Guards against a delay of urgent writes: chunks of many done-sets took all changes that a batch may contain, while
+// ends of jobs and new starts waited.
+TEST (WriteQueue, BatchWritesFewChunksWhileTheStoreHasCapacityForUrgentChangesOnly)
 {
   ThreePartlyDoneJobs harness;
   EXPECT_EQ (harness.commit_chunks (FALSE), (guint) FT_CHUNKS_WITHOUT_SPARE);
--- a/tests/test_zone.cpp
+++ b/tests/test_zone.cpp
@@ -10,7 +10,7 @@
 
 constexpr int kMachinesPerZone = 8;
 
-// Two zones, "a" and "b", whose machines report as long as the test lets them.
+// Two zones, "a" and "b", whose machines report only when the test makes them report.
 struct TwoZones : SchedulerHarness {
   gint64 now = 100 * kS;
   guint64 sequence = 1;
@@ -63,8 +63,9 @@
   }
 };
 
-// Guards against a delay found in benchmark runs with a partitioned zone: because of the bound on terminations for
-// silence, half of the zone's machines, and the tasks on them, waited 12 to 18 s longer.
+// Guards against a delay found in benchmark runs with a partitioned zone: since a leader may terminate only a share
+// of all machines for silence within a window of time, half of the zone's machines, and the tasks on them, waited 12 to
+// 18 s longer.
 TEST (Zone, AllMachinesOfAnUnreachableZoneAreTerminatedTogether)
 {
   TwoZones zones;
@@ -87,7 +88,8 @@
   EXPECT_EQ (zones.machine ("n-b0")->state, FT_MACHINE_UP);
 }
 
-// Such a leader is partitioned itself, and its successor uses these machines.
+// A leader that receives no heartbeats or no answers of the store is partitioned itself. The next leader uses the
+// machines.
 TEST (Zone, LeaderWithoutHeartbeatsOrWithoutTheStoreTerminatesNoMachine)
 {
   TwoZones without_heartbeats, without_store;
@@ -103,8 +105,8 @@
 }
 
 // Guards against launches in a partitioned zone: in benchmark runs, two thirds of the machines that were launched
-// during a partition were launched in the partitioned zone, whose pools were the emptiest. They counted as supply until
-// they failed to boot.
+// during a partition were launched in the partitioned zone, whose pools (one for each type of machine, ordinary or
+// spot) had the fewest machines. They counted as supply until they failed to boot.
 TEST (Zone, FewMachinesAreLaunchedInAnUnreachableZoneAndNoneOfThemCountsAsSupply)
 {
   TwoZones zones;
@@ -148,10 +150,10 @@
   world.at (partition_at, [&] {
     for (auto &[name, worker] : world.machines)
       up[worker->zone] += worker->alive && worker->up;
-    zone = up["a"] < up["b"] ? "a" : "b"; // most machines must still report
+    zone = up["a"] < up["b"] ? "a" : "b"; // the zone with fewer machines, since most machines must still report
   });
   for (sim::Time at = partition_at; at < partition_at + length; at += sim::kSecond)
-    world.at (at, [&] { // machines that are launched in the zone meanwhile are partitioned as well
+    world.at (at, [&] { // machines that are launched in the zone during the partition are partitioned as well
       for (auto &[name, worker] : world.machines)
         for (auto &node : world.nodes)
           if (worker->zone == zone)
