--- a/tests/test_pipelines.cpp
+++ b/tests/test_pipelines.cpp
@@ -11,7 +11,7 @@
 
 class PipelineRun : public testing::TestWithParam<guint32> {
 protected:
-  // Number of cancelled jobs whose own cancellation no user requested.
+  // Number of jobs that were cancelled although no user requested their cancellation.
   static guint
   cancelled_with_dependency (const Day &day)
   {
@@ -61,7 +61,8 @@
   EXPECT_GT (day.world.counters.dependency_ends_read, 0u) << "no new leader had to read the end of a dependency";
 }
 
-// No controller leads for longer than cancel_s after users cancel jobs. Polls cancel the dependents of these jobs.
+// For longer than the setting cancel_s after users cancel jobs, there is no leader. Polls cancel the dependents of
+// these jobs.
 TEST_P (PipelineRun, PollsCancelDependentsWhileNoControllerLeads)
 {
   Day day (GetParam () + 5300);
--- a/tests/test_program.cpp
+++ b/tests/test_program.cpp
@@ -163,7 +163,7 @@
 
 // Once one controller has answered that a job is accepted, done or cancelled, no controller reports an older state,
 // however soon it is polled. The real program is needed, since the simulated world has neither the caches of final
-// states nor the polls that share one comparison.
+// states nor the transactions in which several polls compare the revisions of their jobs' rows.
 TEST_F (ConcurrentRequests, NeverShowAnOlderState)
 {
   constexpr int kJobs = 24;
--- a/tests/test_program_dependencies.cpp
+++ b/tests/test_program_dependencies.cpp
@@ -1,4 +1,4 @@
-// Tests of jobs with dependencies that need the real program.
+// Tests, with the real program, of jobs with dependencies.
 #include "loopback.hpp"
 #include "loopback/three_controllers.hpp"
 
@@ -27,7 +27,7 @@
     json_decref (body);
     return status;
   }
-  // A field of the job in the leader's administration API; "" if the leader does not list the job.
+  // Returns a field of the job in the leader's administration API; "" if the leader does not list the job.
   std::string
   admin_field (const std::string &ref, const char *field)
   {
--- a/tests/test_program_limits.cpp
+++ b/tests/test_program_limits.cpp
@@ -96,8 +96,8 @@
   }
 };
 
-// The store's rate is far below the settings. No job is lost, the leader keeps its lease, and a cancellation is soon
-// answered.
+// The store accepts far fewer requests per second than the settings state. No job is lost, the leader keeps its lease,
+// and a cancellation is soon answered.
 TEST_F (StoreLimits, RateBelowTheSettingsIsLearnedFromRefusals)
 {
   Machine machine (controllers.front);
--- a/tests/test_records.cpp
+++ b/tests/test_records.cpp
@@ -19,7 +19,7 @@
 
 TEST (Records, RowsOfOlderVersionsAreParsed)
 {
-  // These rows are from a version whose jobs had no kind and whose renewals had no lease time.
+  // These rows are from a version whose jobs had no kind and whose lease renewals had no lease time.
   json_t *open = parse ("{\"class\":\"c\",\"team\":\"red\",\"priority\":1,\"tasks\":3,\"cpus\":4.0,\"gpus\":0.0,"
                         "\"memory_gb\":1.0,\"image\":\"i\",\"image_gb\":1.0,\"types\":null,\"zone\":null,"
                         "\"one_zone\":false,\"spread\":false,\"spot\":true,\"estimate_s\":1.0,\"checkpoint_s\":0.0,"
--- a/tests/test_upgrade.cpp
+++ b/tests/test_upgrade.cpp
@@ -55,8 +55,8 @@
   }
 };
 
-// Controllers of both versions run in several mixes, one of which results from a downgrade. A running job goes on
-// throughout.
+// Controllers of both versions run in several mixes, one of which results from a downgrade. One job runs all the
+// time.
 TEST_F (Upgrade, OldAndNewVersionsServeTheSameJobsInAnyMix)
 {
   Machine machine (controllers.front);
--- a/tests/test_user_request.cpp
+++ b/tests/test_user_request.cpp
@@ -96,7 +96,7 @@
   kExecuteSilently, // executes the request and does not answer it
 };
 
-// A state service that follows a script for requests for jobs' rows, and a cloud.
+// A cloud, and a state service that handles the requests for jobs' rows as the scripts say.
 struct ScriptedServices : ServiceServers {
   sim::Store store;
   std::deque<Script> scripts;
@@ -192,7 +192,7 @@
   }
 };
 
-// Runs the main loop for 50 ms, so that a second answer to a request would arrive.
+// Runs the main loop for 50 ms. A second answer to a request, if there is one, arrives in this time.
 void
 wait_for_second_answers ()
 {
@@ -243,7 +243,8 @@
     EXPECT_EQ (arrivals.size (), sent_count) << "the controller got another number of requests than the test has sent";
     for (const Arrival &arrival : arrivals)
       EXPECT_EQ (arrival.answers, 1u) << arrival.request;
-    // The contexts of requests in flight, for example of a sweep of the lease, would leak when the client is freed.
+    // If requests to the store are still in flight when the store client is freed, for example a periodic read of the
+    // lease's rows, their contexts leak.
     EXPECT_TRUE (wait_for ([&] { return ft_store_client_in_flight (node->store) == 0; }));
     ft_controller_free (controller);
     ft_config_free (config);
