--- a/tests/test_admin_api.cpp
+++ b/tests/test_admin_api.cpp
@@ -41,7 +41,7 @@
   return json_pack ("{s:I, s:{s:o}}", "version", version, "set", name, value);
 }
 
-// The value of a setting in an answer; borrowed. NULL: the answer does not contain the setting.
+// Returns the value of a setting in the body of an answer; borrowed. NULL if the body does not contain the setting.
 json_t *
 setting_value (const json_t *body, const char *name)
 {
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -20,7 +20,8 @@
   EXPECT_EQ (ft_admission_check (&world.settings, world.catalog, spec, &why), FT_ADMIT_NEVER);
 }
 
-TEST (Admission, RefusalIsPermanentForAnUnrunnableJobAndTemporaryWithoutACatalog)
+// The catalog lists the machine types that the cloud offers; NULL stands for a catalog that has not been read yet.
+TEST (Admission, RefusalIsPermanentForAnUnrunnableJobAndTemporaryWhileMachineTypesAreUnknown)
 {
   sim::World world (1);
   const char *why;
--- a/tests/test_autoscaler.cpp
+++ b/tests/test_autoscaler.cpp
@@ -1,10 +1,10 @@
-// Tests of scaling out and in.
+// Tests of the autoscaler: scaling out (launching machines) and scaling in (terminating them).
 #include "scheduler_harness.hpp"
 
 namespace {
 
-// Guards against a deployment that keeps its last machine although it has no work.
-TEST (Autoscaler, LastMachineIsReturnedWhenThereIsNoWork)
+// Guards against a cluster that keeps its last machine although there is no work.
+TEST (Autoscaler, LastMachineIsTerminatedWhenThereIsNoWork)
 {
   OneMachine harness;
   FtCloudCall *call = nullptr;
--- a/tests/test_cbor.cpp
+++ b/tests/test_cbor.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-TEST (Cbor, RoundTripKeepsTheValueAndShorterPrefixesAreMalformed)
+TEST (Cbor, RoundTripKeepsTheValueAndTruncatedDataIsRefused)
 {
   json_t *value = parse_json ("{\"a\":[1,-7,2.5,null,true,false,\"text\"],\"b\":{\"c\":9007199254740993},\"d\":[]}");
   GBytes *bytes = ft_cbor_encode (value);
@@ -20,7 +20,7 @@
   auto data = (const guint8 *) g_bytes_get_data (bytes, &size);
   json_t *back = ft_cbor_decode (data, size);
   EXPECT_TRUE (json_equal (value, back));
-  // Every proper prefix of the encoding is malformed.
+  // Every proper prefix of the encoding is malformed, so the decoder refuses it.
   for (gsize n = 0; n < size; n++)
     EXPECT_EQ (ft_cbor_decode (data, n), nullptr) << n;
   json_decref (value);
--- a/tests/test_checker.cpp
+++ b/tests/test_checker.cpp
@@ -1,4 +1,5 @@
-// Tests of the checker of the simulated world: it reports each violation of a rule, and nothing else.
+// Tests of the checker, which observes the machines and the users of the simulated world: it reports each violation of
+// a rule of the protocol, and nothing else.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,9 +10,9 @@
 
 namespace {
 
-// Each test breaks one rule, apart from the one that counts starts. Team red has a limit of 8 CPUs, and a job must have
-// no task left 10 s after its confirmed cancellation. Each job has three tasks of 4 CPUs: req-1 forbids spot machines,
-// req-2 must be spread over zones, and req-3 must stay in one zone.
+// Each test breaks one rule, apart from the test that counts starts after a cancellation. Team red has a limit of 8
+// CPUs, and a job must have no task left 10 s after its confirmed cancellation. Each job has three tasks of 4 CPUs:
+// req-1 forbids spot machines, req-2 must be spread over zones, and req-3 must stay in one zone.
 class CheckerReports : public testing::Test {
 protected:
   Checker checker{ { { "red", 8 } }, 10 * kSecond };
@@ -199,12 +200,12 @@
   expect_violation_of ("forgotten");
 }
 
-// Tests of the rule that at least half of the jobs of each team and class are done, and that the largest jobs of a
+// Tests of the rule that at least half of the jobs of each team and job class are done, and that the largest jobs of a
 // class start in time.
 class CheckerServiceRule : public testing::Test {
 protected:
   Checker checker{ { { "red", 800 } }, 10 * kSecond };
-  // Adds an accepted job, whose first task starts at that time and whose tasks all complete if `done`.
+  // Adds an accepted job, whose first task starts at `first_start` and whose tasks all complete if `done`.
   void
   add_job (const std::string &ref, guint tasks, bool done, Time first_start)
   {
@@ -227,14 +228,14 @@
   }
 };
 
-TEST_F (CheckerServiceRule, HalfOfTheJobsDoneIsEnough)
+TEST_F (CheckerServiceRule, HalfOfTheJobsOfATeamAndClassDoneIsNoViolation)
 {
   add_job ("req-1", 2, true, 0);
   add_job ("req-2", 1, false, 0);
   EXPECT_FALSE (violates ("served"));
 }
 
-TEST_F (CheckerServiceRule, LessThanHalfOfATeamOrClassIsAViolation)
+TEST_F (CheckerServiceRule, LessThanHalfOfTheJobsOfATeamOrClassDoneIsAViolation)
 {
   add_job ("req-1", 3, true, 0);
   add_job ("req-2", 1, false, 0);
