--- a/tests/test_dependency.cpp
+++ b/tests/test_dependency.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+// A scheduler with one machine, to which a test adds jobs that depend on each other.
 struct Pipeline : OneMachine {
   // Adds a submitted job, and returns it.
   FtJob *
@@ -22,7 +23,7 @@
   {
     return ft_scheduler_next_writes (scheduler, 11, TRUE, now);
   }
-  // Whether the writes contain one of that kind for that job.
+  // Whether the list contains a write of the given kind for the job `ref`.
   bool
   has (GPtrArray *list, FtWriteKind kind, const std::string &ref)
   {
@@ -47,8 +48,8 @@
   }
 };
 
-// A dependency counts as done once its end is committed. A heartbeat that reports its last task as done does not
-// suffice, nor does a pending or failed write of the end.
+// A dependency counts as done once its end is committed. A heartbeat that reports the dependency's last task as done
+// does not suffice, nor does a pending or failed write of the end.
 TEST (Dependencies, JobStartsOnlyAfterTheEndOfItsDependencyIsCommitted)
 {
   Pipeline pipeline;
@@ -83,8 +84,8 @@
   EXPECT_EQ (waiting->team->unknown_cpus, 0);
 }
 
-// A cancellation cascades to all dependents once the leader has read it from the store. An advisory from a peer is not
-// enough.
+// A cancellation cascades to all dependents once the leader has read it from the store. A peer's report of the
+// cancellation (an advisory) is not enough.
 TEST (Dependencies, JobIsCancelledWithItsDependency)
 {
   Pipeline pipeline;
@@ -106,8 +107,8 @@
   EXPECT_TRUE (later->dependency_cancelled) << "a job that is added after the cancellation is cancelled too";
 }
 
-// The user cancels a job while the leader cancels it for its dependency. The user's commit comes first, so the leader's
-// write conflicts and is not repeated.
+// A user cancels a job while the leader cancels the same job because its dependency was cancelled. The user's
+// cancellation is committed first, so the leader's write of the cancellation conflicts and is not repeated.
 TEST (Dependencies, UsersCancellationPrevailsIfItIsCommittedFirst)
 {
   Pipeline pipeline;
@@ -165,7 +166,8 @@
   EXPECT_EQ (harness.job ("req-2")->deadline_at, 210 * kS) << "the deadline counts from the submission";
 }
 
-// A raised dispatch watermark is committed evidence that all dependencies were done, so their rows are not read again.
+// A job's stored dispatch watermark limits its starts: only tasks with an index below it are sent to machines. A raised
+// watermark is committed evidence that all dependencies of the job were done, so their rows are not read again.
 TEST (Dependencies, StartedJobNeedsNoReadOfItsDependencies)
 {
   SchedulerHarness harness;
@@ -177,7 +179,7 @@
   EXPECT_EQ (ft_scheduler_next_unread_job (harness.scheduler, 100 * kS), nullptr);
 }
 
-TEST (Dependencies, JobInheritsTheUrgencyOfItsDependent)
+TEST (Dependencies, JobInheritsThePriorityAndDeadlineOfItsDependent)
 {
   Pipeline pipeline;
   FtJobSpec *low = new_job_spec ("req-1", 1);
--- a/tests/test_dependency_graph.cpp
+++ b/tests/test_dependency_graph.cpp
@@ -11,7 +11,7 @@
 
 class DependencyGraph : public testing::Test {
 protected:
-  std::set<std::string> changed; // jobs whose wait or urgency has been reported as changed
+  std::set<std::string> changed; // jobs whose wait or urgency (priority and deadline) was reported as changed
   FtDependencyGraph *graph = ft_dependency_graph_new (
       [] (const char *ref, gpointer data) { ((DependencyGraph *) data)->changed.insert (ref); }, this);
   ~DependencyGraph () override { ft_dependency_graph_free (graph); }
@@ -90,7 +90,7 @@
     ASSERT_EQ (wait ("j" + std::to_string (i)), FT_WAIT_CANCELLED) << i;
 }
 
-TEST_F (DependencyGraph, JobsWaitInAFanOutAndAFanInOfHundreds)
+TEST_F (DependencyGraph, JobsWaitForTheirDependenciesInAFanOutAndFanInOfHundredsOfJobs)
 {
   std::vector<std::string> all;
   add ("first");
@@ -122,8 +122,8 @@
 }
 
 // A dependency that is not in the graph may be open or ended, so its row is read at once, and again after the retry
-// interval.
-TEST_F (DependencyGraph, UnknownDependencyIsReadAndRetried)
+// interval if the dependency is still unknown.
+TEST_F (DependencyGraph, RowOfAnUnknownDependencyIsReadAtOnceAndOnlyOnceInTheRetryInterval)
 {
   add ("c", { "a", "b" });
   std::set<std::string> named;
@@ -140,7 +140,7 @@
       << "a new unknown dependency is returned at once";
 }
 
-TEST_F (DependencyGraph, JobInheritsTheHighestUrgencyOfItsDependents)
+TEST_F (DependencyGraph, JobInheritsTheHighestPriorityAndEarliestDeadlineOfItsDependents)
 {
   add ("a");
   add ("b", { "a" });
--- a/tests/test_dependency_records.cpp
+++ b/tests/test_dependency_records.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-TEST (DependencyRecords, DependenciesSurviveTheOpenRowAndTakeFewBytesEach)
+// The open row of a job is its row in the index of open jobs.
+TEST (DependencyRecords, OpenRowKeepsTheDependenciesAndUsesFewBytesForEach)
 {
   g_autoptr (FtJobSpec) job = new_dependent_spec ("req-1", { "req-000398", "req-000405" });
   json_t *row = ft_row_open (job);
@@ -29,7 +30,7 @@
   EXPECT_LE (ft_row_open_size (wide), 2048u);
 }
 
-TEST (DependencyRecords, JobRowStoresItsEndAndWhetherItHasDependencies)
+TEST (DependencyRecords, JobRowStoresTheEndOfTheJobAndWhetherItHasDependencies)
 {
   g_autoptr (FtJobSpec) job = new_dependent_spec ("req-1", { "req-2" }, 3);
   FtJobRow state;
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// A number of machines, on which a test lets attempts of chosen tasks run, complete or fail.
+// A scheduler with a number of machines, on which a test lets attempts of chosen tasks run, complete or fail.
 struct Fleet : SchedulerHarness {
   gint64 now = 100 * kS;
   guint64 sequence = 1;
