--- a/tests/test_fault_interactions_failover.cpp
+++ b/tests/test_fault_interactions_failover.cpp
@@ -1,4 +1,5 @@
-// Fault interactions in which a leader's process ends while another fault is active.
+// Fault interactions in which a leader's process crashes while another fault is active. A test fails if the checker of
+// the simulated world reports a violation of a rule of the protocol, or if a job has not ended by the end of the run.
 #include "fault_interaction.hpp"
 
 using namespace sim;
@@ -20,7 +21,7 @@
       }
     });
   }
-  // Ends the leader's process within two seconds after a machine's launch, but at most once in 12 s.
+  // Crashes the leader's process within two seconds after a machine's launch, but at most once in 12 s.
   void
   crash_leader_after_launch ()
   {
@@ -46,7 +47,7 @@
     for (int i = 0; i < 3; i++)
       world.nodes[i]->crash (lease + seconds_between (2, 8));
   });
-  // After their return, the controllers end repeatedly and are back within a second each time.
+  // Soon after they have restarted, the controllers crash repeatedly, and each time restart within a second.
   for (int i = 0; i < 3; i++)
     day.restart_quickly (60 * kSecond + lease + 8 * kSecond, i);
   world.at (60 * kSecond + lease, [&] { starts_after = world.checker->starts (); });
@@ -131,7 +132,8 @@
   EXPECT_GT (partly_done, 0u) << "no job was partly done at a takeover";
 }
 
-// New machines boot within two seconds while the store is slow, and the leader's process ends shortly after a launch.
+// New machines boot within two seconds while the store is slow, and the leader's process crashes shortly after a
+// launch.
 TEST_P (FailoverFaults, FailoverWhileNewMachinesGetWork)
 {
   world.cloud.least_boot_s = 0.2;
--- a/tests/test_fault_interactions_machines.cpp
+++ b/tests/test_fault_interactions_machines.cpp
@@ -1,4 +1,6 @@
-// Fault interactions in which machines hang, die, receive nothing or report nothing while another fault is active.
+// Fault interactions in which machines hang, die, receive nothing or report nothing while another fault is active. A
+// test fails if the checker of the simulated world reports a violation of a rule of the protocol, or if a job has not
+// ended by the end of the run.
 #include "fault_interaction.hpp"
 
 using namespace sim;
@@ -7,7 +9,7 @@
 
 class MachineFaults : public FaultInteraction {};
 
-// Machines with cancelled tasks hang, most other machines hang too, and the leader's process ends. The limit on
+// Machines with cancelled tasks hang, most other machines hang too, and the leader's process crashes. The limit on
 // terminations of silent machines must not let a cancelled task run for longer than cancel_s.
 TEST_P (MachineFaults, FailoverWhileMachinesWithCancelledTasksHang)
 {
@@ -81,8 +83,9 @@
   expect_cancellations_confirmed (60 * kSecond, 66 * kSecond);
 }
 
-// Guards against starting tasks again and again, by direct commands, on machines that cannot report: the worker's lease
-// expires each time and ends the tasks.
+// Guards against starting tasks again and again on machines that cannot report. Such a machine receives direct
+// commands, which the leader sends outside the answers to heartbeats, but the worker's lease expires each time and ends
+// the tasks.
 TEST_P (MachineFaults, MachinesThatReceiveCommandsWithoutReportingGetNoWork)
 {
   guint not_reporting = 0;
--- a/tests/test_fault_interactions_messages.cpp
+++ b/tests/test_fault_interactions_messages.cpp
@@ -1,5 +1,6 @@
 // Fault interactions in which heartbeats and commands are late, duplicated or lost, or links are cut, while another
-// fault is active.
+// fault is active. A test fails if the checker of the simulated world reports a violation of a rule of the protocol, or
+// if a job has not ended by the end of the run.
 #include "fault_interaction.hpp"
 
 using namespace sim;
@@ -8,7 +9,7 @@
 
 class MessageFaults : public FaultInteraction {};
 
-// Cut links delay heartbeats to the former leader until a new leader has acted.
+// Cut links delay heartbeats that were sent to the former leader until a new leader has taken over.
 TEST_P (MessageFaults, HeartbeatsDelayedAcrossFailover)
 {
   day.load_long (8, 3, 60);
@@ -29,7 +30,8 @@
   EXPECT_GT (world.counters.heartbeats_after_takeover, 0u) << "no heartbeat was delayed across a takeover";
 }
 
-// Copies of heartbeats arrive after heartbeats of newer incarnations and attempts.
+// Copies of a machine's heartbeats arrive after newer ones, which it sent after a reboot (as a new incarnation) or with
+// newer attempts of its tasks.
 TEST_P (MessageFaults, HeartbeatsDuplicatedAcrossReboots)
 {
   guint reboots = 0;
@@ -64,7 +66,7 @@
     Time when = (30 + 18 * i) * kSecond;
     world.at (when, [&] { crash_leader (0.1, 6); });
     day.cancel_running (when + seconds_between (-1, 1), 1);
-    day.reboot (when + seconds_between (-3, 0)); // the copy of its heartbeat has an earlier incarnation
+    day.reboot (when + seconds_between (-3, 0)); // the copy of the machine's heartbeat names an earlier incarnation
   }
   day.finish ();
   EXPECT_GT (world.counters.replayed_heartbeats, 0u) << "no copy of an old heartbeat was answered by a new leader";
--- a/tests/test_fault_interactions_requests.cpp
+++ b/tests/test_fault_interactions_requests.cpp
@@ -1,4 +1,5 @@
-// Races of users' requests with each other, with the ends of jobs and with failovers.
+// Races of users' requests with each other, with the ends of jobs and with failovers. A test fails if the checker of
+// the simulated world reports a violation of a rule of the protocol, or if a job has not ended by the end of the run.
 #include "fault_interaction.hpp"
 
 using namespace sim;
@@ -31,7 +32,7 @@
   EXPECT_GT (done + cancelled, 0u) << "no cancelled job reached a final state";
 }
 
-// Jobs of one task are submitted four times a second, and every fourth job is cancelled.
+// Jobs of one task are submitted four times a second, and every fourth job is cancelled, while controllers crash.
 TEST_P (RequestRaces, ShortJobsAndCancellationsDuringFailovers)
 {
   for (int i = 0; i < 480; i++) {
@@ -54,7 +55,7 @@
 }
 
 // No fault is active. The start of a task may still be in flight when the cancellation of its job is confirmed, so
-// starts within 2 s after it are allowed.
+// starts within 2 s after the confirmation are allowed.
 TEST_P (RequestRaces, InvalidSubmissionsAndCancellationsOfEndedJobs)
 {
   world.faults.message_loss = world.faults.message_delay = world.faults.wrong_suspicions = 0;
--- a/tests/test_fault_interactions_store.cpp
+++ b/tests/test_fault_interactions_store.cpp
@@ -1,5 +1,6 @@
 // Fault interactions in which the store refuses requests, is down, or answers late or not at all while another fault is
-// active.
+// active. A test fails if the checker of the simulated world reports a violation of a rule of the protocol, or if a job
+// has not ended by the end of the run.
 #include "fault_interaction.hpp"
 
 using namespace sim;
@@ -153,8 +154,8 @@
   EXPECT_GT (hung, 0u) << "no cancelled task was on a machine that hung";
 }
 
-// Most machines hang while the leader cannot reach the store. From the few heartbeats the leader cannot conclude
-// whether it is cut off itself, but the cloud still answers it.
+// Most machines hang while the leader cannot reach the store. So few heartbeats arrive that the leader cannot conclude
+// from them whether it is cut off itself, but the cloud still answers its requests.
 TEST_P (StoreFaults, OutageWhileMostMachinesHang)
 {
   Time when = 60 * kSecond, outage = when + seconds_between (0.3, 0.8);
