--- a/tests/test_flintctl.cpp
+++ b/tests/test_flintctl.cpp
@@ -50,7 +50,7 @@
 
 // ---- wrong arguments ----
 
-TEST (Flintctl, WrongArgumentPrintsOneLineExitsWith2AndSendsNothing)
+TEST (Flintctl, WrongArgumentIsReportedOnOneLineWithExitCode2AndNoRequestIsSent)
 {
   Controller controller;
   const std::string form = " is not an address of the form HOST:PORT";
@@ -107,9 +107,9 @@
   }
 }
 
-// ---- no answer ----
+// ---- controllers that do not answer ----
 
-TEST (Flintctl, UnreachableControllersPrintOneLineAndExitWith3)
+TEST (Flintctl, UnreachableControllersAreReportedOnOneLineWithExitCode3)
 {
   expect_error (flintctl ({ "status", "--node", "127.0.0.1:1" }), kNoAnswer,
                 "flintctl: no controller answered: 127.0.0.1:1");
@@ -129,8 +129,9 @@
   EXPECT_EQ (controller.requests, Words{ "GET /admin/status" });
 }
 
-// Guards against an answer without a JSON object that flintctl reports as done, with "(null)" as its --json output.
-TEST (Flintctl, SuccessWithoutAJsonObjectCountsAsNoAnswer)
+// Guards against reporting a success, with "(null)" as the --json output, if the body of the answer is not a JSON
+// object.
+TEST (Flintctl, SuccessStatusWithoutAJsonObjectInTheBodyCountsAsNoAnswer)
 {
   for (const char *body : { "", "7", "[]", "\"text\"" })
     for (const Words &words : { Words{ "status" }, Words{ "status", "--json" } }) {
@@ -157,7 +158,7 @@
                 "flintctl: 127.0.0.1:1 does not answer\nflintctl: from 1 to 5 (422)");
 }
 
-// ---- the leader ----
+// ---- redirects to the leader ----
 
 TEST (Flintctl, RedirectToTheLeaderIsFollowedOnce)
 {
@@ -186,7 +187,7 @@
 
 // ---- refusals ----
 
-TEST (Flintctl, RefusalPrintsItsReasonOnOneLineAndExitsWith1)
+TEST (Flintctl, RefusalIsReportedWithItsReasonOnOneLineWithExitCode1)
 {
   Controller controller;
   controller.answers["GET /admin/teams"] = { 503, "{\"error\":\"no leader is known at the moment\"}" };
@@ -207,7 +208,7 @@
     expect_error (flintctl (words, controller.addr.c_str ()), kRefused, "flintctl: " + line);
 }
 
-// ---- what is sent ----
+// ---- requests that flintctl sends ----
 
 TEST (Flintctl, SettingsChangeNamesTheVersionThatWasRead)
 {
@@ -227,7 +228,7 @@
   }
 }
 
-TEST (Flintctl, MachineNameIsEscapedInThePath)
+TEST (Flintctl, MachineNameIsEscapedInTheRequestPath)
 {
   Controller controller;
   controller.answers["POST /admin/machines/n 1%?#/drain"] = { 200, "{\"machine\":\"n 1%?#\",\"drained\":true}" };
--- a/tests/test_flintrack_errors.cpp
+++ b/tests/test_flintrack_errors.cpp
@@ -1,11 +1,11 @@
-// Tests of the errors with which flintrack ends before it serves, and of the sample settings in the README.
+// Tests of the errors with which flintrack ends before it serves requests, and of the sample settings in the README.
 #include "program_run.hpp"
 
 using namespace loopback;
 
 namespace {
 
-TEST (FlintrackErrors, WrongArgumentsAndInvalidSettingsFilesPrintOneLine)
+TEST (FlintrackErrors, WrongArgumentsAndInvalidSettingsFilesAreReportedOnOneLine)
 {
   expect_error (run (FLINTRACK_PROGRAM, {}), kUsage, "flintrack: --config FILE is needed; see --help");
   expect_error (run (FLINTRACK_PROGRAM, { "--fast" }), kUsage, "flintrack: Unknown option --fast");
@@ -28,7 +28,7 @@
   g_unlink (file.c_str ());
 }
 
-// The sample settings from the README; empty if the README does not contain them.
+// Returns the sample settings from the README; empty if the README does not contain them.
 std::string
 readme_settings ()
 {
@@ -85,7 +85,7 @@
   return socket;
 }
 
-TEST (FlintrackErrors, OccupiedAddressPrintsOneLineAndExitsWith4)
+TEST (FlintrackErrors, OccupiedAddressIsReportedOnOneLineWithExitCode4)
 {
   for (bool peers : { false, true }) {
     SettingsFile file;
--- a/tests/test_fuzz.cpp
+++ b/tests/test_fuzz.cpp
@@ -1,6 +1,6 @@
 // Fuzz tests of every decoder and of the settings parser. They run on mutations of a small corpus, with fixed seeds and
 // a fixed number of rounds, under the sanitizers. A target fails if it crashes, leaks memory, or accepts a value that
-// does not survive its own encoder.
+// cannot be encoded and decoded again.
 #include <gtest/gtest.h>
 
 #include "world.hpp"
@@ -211,7 +211,8 @@
   }
 }
 
-// Runs the target on mutations of the corpus file of that name, without ".json". At least one mutation must decode.
+// Runs the target on mutations of the corpus file of that name, without ".json". At least one mutation must be
+// decodable.
 void
 run (const char *name, Target target)
 {
@@ -278,6 +279,7 @@
   json_decref (seed);
 }
 
+// Each of these tests runs the decoders of one kind of message on mutations of a valid message.
 TEST (Fuzz, JobSubmission) { run ("job", fuzz_job); }
 TEST (Fuzz, WorkerHeartbeat) { run ("worker_heartbeat", fuzz_worker_heartbeat); }
 TEST (Fuzz, Catalog) { run ("catalog", fuzz_catalog); }
--- a/tests/test_http_server.cpp
+++ b/tests/test_http_server.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-// The error of starting a server at the address, which must fail. The caller owns it.
+// Starts a server at the address, which must fail, and returns the error. The caller owns the error.
 GError *
 start_error (const char *addr)
 {
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST (HttpServer, StartErrorCodeTellsInvalidAddressFromFailedListen)
+TEST (HttpServer, StartErrorCodeDistinguishesInvalidAddressFromFailedListen)
 {
   for (const char *addr : { "", "127.0.0.1", "nowhere:80" }) {
     g_autoptr (GError) error = start_error (addr);
