--- a/tests/test_job.cpp
+++ b/tests/test_job.cpp
@@ -1,4 +1,5 @@
-// Tests of the state transitions of tasks and jobs, and of the done-sets that a job stores.
+// Tests of the state transitions of tasks and jobs, and of the done-set of a job, which records the tasks that are
+// done.
 #include "scheduler_harness.hpp"
 
 namespace {
@@ -19,7 +20,7 @@
   ft_job_free (job);
 }
 
-TEST (Job, DoneSetsAreChunkedToFitTheValueLimit)
+TEST (Job, DoneSetIsDividedIntoChunksThatFitTheValueLimitOfTheStore)
 {
   FtJob *job = ft_job_new (new_job_spec ("req-1", FT_JOB_TASKS_MAX), nullptr, 1, FT_TASK_QUEUED);
   ASSERT_EQ (ft_job_chunk_count (job), (FT_JOB_TASKS_MAX + FT_DONE_CHUNK_TASKS - 1) / FT_DONE_CHUNK_TASKS);
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -1,4 +1,6 @@
-// Tests of the leader's lease: when a controller acquires, renews and yields it, and what its holder may do.
+// Tests of the leader's lease: when a controller acquires, renews and yields it, and what its holder may do. The lease
+// consists of two rows in the store: the fence row changes when a controller acquires the lease, and the renewal row
+// changes at each renewal. A sweep is a read of both rows.
 #include "scheduler_harness.hpp"
 
 namespace {
@@ -15,7 +17,7 @@
     FtLeaseRows rows = { token, (char *) holder, 1, fence, renewal, lease_us, released };
     ft_lease_observe (lease, now, &rows);
   }
-  // Acquires the lease, which no controller holds. `sent_at`: when the claim is reported as sent.
+  // Acquires the lease, which no controller holds. `sent_at`: the reported send time of the claim.
   void
   acquire (gint64 sent_at = 0)
   {
@@ -39,7 +41,7 @@
   EXPECT_TRUE (claim.check_renewal);
 }
 
-TEST (Lease, StoreOutageDoesNotCountAgainstTheHolder)
+TEST (Lease, StoreOutageDoesNotCountAsTimeWithoutRenewal)
 {
   LeaseView view;
   view.observe (0, 4, "other", 10, 20);
@@ -48,7 +50,8 @@
   EXPECT_TRUE (ft_lease_acquire_due (view.lease, 18 * kS));
 }
 
-// Guards against a whole sweep interval without a read of the rows after an outage; with jitter, that was up to 3.75 s.
+// Guards against waiting for a whole sweep interval, which was up to 3.75 s with jitter, before the rows are read again
+// after an outage of the store.
 TEST (Lease, FailedSweepIsRetriedWithinASecond)
 {
   g_autoptr (FtLease) lease = ft_lease_new ("hearth-0", 1, 9 * kS, 3 * kS, 18 * kS, 1);
@@ -76,7 +79,7 @@
   ft_lease_tick (view.lease, 10 * kS);
   EXPECT_EQ (ft_lease_state (view.lease), FT_LEASE_EXPIRED);
   // A holder whose lease has expired answers heartbeats for the answer grace period, which counts from the last renewal
-  // or the last known cancellations, whichever is older.
+  // or from the last read of the cancellations, whichever is older.
   ft_lease_cancellations_known (view.lease, 18 * kS);
   EXPECT_TRUE (ft_lease_may_answer (view.lease, 18 * kS));
   EXPECT_FALSE (ft_lease_may_answer (view.lease, 19 * kS));
@@ -88,12 +91,13 @@
   EXPECT_FALSE (ft_lease_may_answer (view.lease, 21 * kS));
 }
 
-// The answers of a new holder would keep tasks running that were cancelled before it acquired the lease.
+// Until a new holder has read the cancellations, its answers would keep tasks running that were cancelled before it
+// acquired the lease.
 TEST (Lease, NewHolderAnswersNoHeartbeatBeforeItHasReadTheCancellations)
 {
   LeaseView view;
   view.observe (0, 4, "me", 10, 20);
-  for (guint64 revision : { 30u, 40u }) { // revisions of the fence after two acquisitions
+  for (guint64 revision : { 30u, 40u }) { // revisions of the fence row after two acquisitions
     ft_lease_claim (view.lease, 0);
     ft_lease_acquired (view.lease, 0, revision);
     EXPECT_FALSE (ft_lease_may_answer (view.lease, kS));
@@ -107,7 +111,7 @@
 }
 
 // A renewal that succeeds after an outage does not show which jobs were cancelled during the outage.
-TEST (Lease, RenewalWithoutFreshCancellationsPermitsNeitherStartsNorAnswers)
+TEST (Lease, RenewalWithoutARecentReadOfCancellationsPermitsNeitherStartsNorAnswers)
 {
   LeaseView view;
   view.acquire ();
@@ -120,7 +124,7 @@
   ft_lease_cancellations_known (view.lease, 31 * kS);
   EXPECT_TRUE (ft_lease_may_start (view.lease, 32 * kS));
   EXPECT_TRUE (ft_lease_may_answer (view.lease, 32 * kS));
-  // A late answer to an earlier request does not make the known cancellations older.
+  // A late answer to an earlier request for the cancellations does not make the known cancellations older.
   ft_lease_cancellations_known (view.lease, 5 * kS);
   EXPECT_TRUE (ft_lease_may_start (view.lease, 32 * kS));
 }
@@ -159,9 +163,9 @@
 }
 
 // Guards against leaders that replace each other twice a second while controllers refuse each other's connections and
-// so suspect each other. A suspicion that no other peer confirms, or one of a leader with a new fence, permits a claim
-// only when a renewal is overdue.
-TEST (Lease, UnconfirmedSuspicionOrNewLeaderWaitsForAnOverdueRenewal)
+// so suspect each other. A suspicion that no other peer confirms, or one of a leader whose fence row has changed
+// recently, permits a claim only when a renewal is overdue.
+TEST (Lease, UnconfirmedSuspicionOrSuspicionOfANewLeaderPermitsAClaimOnlyIfARenewalIsOverdue)
 {
   LeaseView unconfirmed, new_leader;
   for (LeaseView *view : { &unconfirmed, &new_leader }) {
