--- a/tests/test_admin_api.cpp
+++ b/tests/test_admin_api.cpp
@@ -215,7 +215,7 @@
   }
 };
 
-TEST_F (Administration, ApiAndFlintctlServeOperatorsOnAnyController)
+TEST_F (Administration, OperatorsManageSettingsAndMachinesThroughAnyController)
 {
   Machine machine (controllers.front);
   ASSERT_NO_FATAL_FAILURE (find_leader_through_the_api ());
--- a/tests/test_dependency.cpp
+++ b/tests/test_dependency.cpp
@@ -70,7 +70,9 @@
   EXPECT_NE (second->tasks[0].attempt, nullptr);
 }
 
-TEST (Dependencies, WaitingJobIsExcludedFromPlacementGuaranteesAndStarvation)
+// While a job waits for a dependency, it is not placed, takes nothing of its team's guaranteed share, and does not
+// starve.
+TEST (Dependencies, WaitingJobIsNeitherInThePlacementOrderNorGuaranteedNorStarved)
 {
   Pipeline pipeline;
   pipeline.add (new_job_spec ("req-1", 1), 101 * kS, 5);
--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -109,7 +109,7 @@
   EXPECT_LT (fleet.quarantined (), FT_FAULTY_JOB_MACHINES);
 }
 
-TEST (Fault, CompletedTaskResetsTheFaultsOfItsMachine)
+TEST (Fault, EarlierFailuresOfAMachineNoLongerCountAfterATaskHasCompletedOnIt)
 {
   Fleet fleet (4);
   fleet.add_job ("req-1", 10, 5);
--- a/tests/test_fault_interactions_store.cpp
+++ b/tests/test_fault_interactions_store.cpp
@@ -215,7 +215,7 @@
   EXPECT_TRUE (two_leaders) << "there were never two leaders at the same time";
 }
 
-TEST_P (StoreFaults, SlowAnswersRefusalAndOutageWhileUsersCancel)
+TEST_P (StoreFaults, StoreIsSlowRefusesTheLeaderAndFailsWhileUsersCancelJobs)
 {
   day.load ();
   day.load_long (8, 3, 60);
--- a/tests/test_flintctl.cpp
+++ b/tests/test_flintctl.cpp
@@ -306,7 +306,7 @@
   }
 }
 
-TEST (Flintctl, JsonOutputIsTheWholeAnswerWithIndentation)
+TEST (Flintctl, JsonOutputIsIndentedAndKeepsEveryField)
 {
   Controller controller;
   controller.answers["GET /admin/status"] = { 200, status_json };
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -1,6 +1,6 @@
-// Tests of the leader's lease: when a controller acquires, renews and yields it, and what its holder may do. The lease
-// consists of two rows in the store: the fence row changes when a controller acquires the lease, and the renewal row
-// changes at each renewal. A sweep is a read of both rows.
+// Tests of the leader's lease: when a controller acquires, renews and yields it, and when its holder may start tasks
+// and answer heartbeats. The lease consists of two rows in the store: the fence row changes when a controller acquires
+// the lease, and the renewal row changes at each renewal. A sweep is a read of both rows.
 #include "scheduler_harness.hpp"
 
 namespace {
