--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// A number of machines, on which a test lets attempts of chosen tasks run, complete or fail.
+// A scheduler with a number of machines, on which a test lets attempts of chosen tasks run, complete or fail.
 struct Fleet : SchedulerHarness {
   gint64 now = 100 * kS;
   guint64 sequence = 1;
@@ -109,7 +109,7 @@
   EXPECT_LT (fleet.quarantined (), FT_FAULTY_JOB_MACHINES);
 }
 
-TEST (Fault, CompletedTaskResetsTheFaultsOfItsMachine)
+TEST (Fault, EarlierFailuresOfAMachineNoLongerCountAfterATaskHasCompletedOnIt)
 {
   Fleet fleet (4);
   fleet.add_job ("req-1", 10, 5);
