--- a/tests/build_production.sh
+++ b/tests/build_production.sh
@@ -1,10 +1,10 @@
 #!/bin/sh
-# Builds the version that deploy/service.toml names as in production, from this repository's
-# history: tests run it beside the new one. usage: build_production.sh SOURCE COMMIT FOLDER
+# Builds the version in production, which deploy/service.toml names, from this repository's history.
+# Tests run it together with the current version. usage: build_production.sh SOURCE COMMIT FOLDER
 set -eu
 source=$1 commit=$2 folder=$3
 if ! git -C "$source" cat-file -e "$commit^{commit}" 2>/dev/null; then
-  echo "build_production.sh: commit $commit is not in this clone's history: fetch it whole (git fetch --unshallow)" >&2
+  echo "build_production.sh: commit $commit is not in this clone's history; fetch the whole history (git fetch --unshallow)" >&2
   exit 1
 fi
 rm -rf "$folder"
--- a/tests/capture/capture_main.cpp
+++ b/tests/capture/capture_main.cpp
@@ -1,4 +1,4 @@
-// Prints what wire_capture.hpp makes of an inputs file; built by capture.sh, not a test.
+// Prints the capture that wire_capture.hpp makes of a file of inputs. Built by capture.sh; not a test.
 #include <cstdio>
 
 #include "wire_capture.hpp"
--- a/tests/capture/names_8fb6b9e.hpp
+++ b/tests/capture/names_8fb6b9e.hpp
@@ -1,4 +1,4 @@
-// The names of commit 8fb6b9e for what wire_capture.hpp uses.
+// Maps the current names that wire_capture.hpp uses to the names in commit 8fb6b9e.
 #pragma once
 extern "C" {
 #include "wire/cbor.h"
--- a/tests/capture/wire_capture.hpp
+++ b/tests/capture/wire_capture.hpp
@@ -1,7 +1,8 @@
-// What the wire layer writes and reads for the fixed inputs of corpus/wire_inputs.json, as JSON.
-// Compiled against two versions: by test_wire_capture.cpp against this one, and by capture.sh
-// against the commit whose rows and messages are kept in corpus/wire_8fb6b9e.json; then WIRE_NAMES
-// names a header that includes that version's headers and maps today's names to its own.
+// Captures, as JSON, what the wire layer writes and reads for the fixed inputs in
+// corpus/wire_inputs.json. This code is compiled against two versions of the wire layer:
+// test_wire_capture.cpp compiles it against the current version, and capture.sh against commit
+// 8fb6b9e, whose capture is stored in corpus/wire_8fb6b9e.json. In the second case WIRE_NAMES is a
+// header that includes that version's headers and maps the current names to that version's names.
 #pragma once
 #include "wire_capture_read.hpp"
 #include "wire_capture_written.hpp"
--- a/tests/capture/wire_capture_inputs.hpp
+++ b/tests/capture/wire_capture_inputs.hpp
@@ -1,4 +1,4 @@
-// The inputs of wire_capture.hpp, and how messages are kept in the capture.
+// Access to the inputs of wire_capture.hpp, and the form in which the capture stores messages.
 #pragma once
 #include <functional>
 #include <string>
@@ -18,11 +18,15 @@
 
 namespace wire_capture {
 
+// Wall time for rows that contain one, in milliseconds.
 constexpr gint64 kWallMs = 1796206117529;
+// A row's revision, above 2^53 so that a conversion to a double would change it.
 constexpr guint64 kRevision = 4611686018427387907;
 
+// Receives an input's name, "LIST/INDEX", and the input.
 using Visit = std::function<void (const std::string &, json_t *)>;
 
+// Visits each input of the list with that name.
 inline void
 each (const json_t *inputs, const char *name, const Visit &visit)
 {
@@ -67,7 +71,8 @@
   return g_byte_array_free_to_bytes (g_steal_pointer (&bytes));
 }
 
-// Adds a message as text, in the order of its fields, and as the bytes that go over the network.
+// Adds a message to the capture, as JSON text with its fields in order and as the CBOR bytes that are sent over
+// the network. Takes over the message.
 inline void
 add (json_t *out, const std::string &name, json_t *message)
 {
@@ -78,7 +83,7 @@
   json_decref (message);
 }
 
-// The same of a text that the caller hands over.
+// Adds a text to the capture as add() does. Takes over the text.
 inline void
 add_text (json_t *out, const std::string &name, char *value)
 {
@@ -86,6 +91,7 @@
   g_free (value);
 }
 
+// The job specification in an input; the caller owns it. NULL if the wire layer rejects it.
 inline FtJobSpec *
 job_of (const json_t *input)
 {
--- a/tests/capture/wire_capture_read.hpp
+++ b/tests/capture/wire_capture_read.hpp
@@ -1,4 +1,4 @@
-// What the wire layer reads of the inputs, and of the messages that were written for them.
+// Captures what the wire layer reads from the inputs and from the messages that it has written for them.
 #pragma once
 #include "wire_capture_inputs.hpp"
 
@@ -160,7 +160,8 @@
   return json_pack ("{s:o, s:o}", "read", read, "names", list);
 }
 
-// The message as it came over the network.
+// Decodes a captured message from its CBOR bytes, as if it were received; the caller owns the result. NULL if the
+// capture does not have the message.
 inline json_t *
 decoded (const json_t *written, const std::string &name)
 {
@@ -191,7 +192,7 @@
   }
 }
 
-// The lease's rows as a list of them would bring them.
+// Reads the lease from its two rows, as a list answer would contain them.
 inline void
 read_lease (json_t *out, const json_t *written, const char *renewal)
 {
@@ -205,7 +206,7 @@
   json_decref (renewed);
 }
 
-// What a batch writes, read row by row.
+// Reads each row that a batch writes.
 inline void
 read_batch (json_t *out, const json_t *written)
 {
@@ -230,6 +231,7 @@
   json_decref (batch);
 }
 
+// Reads a worker's heartbeat in two ways: from the decoded tree and directly from the bytes.
 inline void
 read_worker_heartbeat (json_t *out, const std::string &name, const json_t *written)
 {
@@ -237,10 +239,10 @@
   gsize size;
   auto data = (const guint8 *) g_bytes_get_data (bytes, &size);
   json_t *tree = ft_cbor_decode (data, size);
-  g_autoptr (FtWorkerHeartbeat) slow = ft_message_worker_heartbeat (tree),
-                                quick = ft_message_worker_heartbeat_read (data, size);
-  json_object_set_new (out, (name + "/tree").c_str (), describe (slow));
-  json_object_set_new (out, (name + "/stream").c_str (), describe (quick));
+  g_autoptr (FtWorkerHeartbeat) from_tree = ft_message_worker_heartbeat (tree),
+                                from_bytes = ft_message_worker_heartbeat_read (data, size);
+  json_object_set_new (out, (name + "/tree").c_str (), describe (from_tree));
+  json_object_set_new (out, (name + "/stream").c_str (), describe (from_bytes));
   json_decref (tree);
 }
 
@@ -281,7 +283,7 @@
   });
 }
 
-// What is read of the inputs, and of what was written for them.
+// Makes the capture of everything that is read from the inputs and from `written`; the caller owns it.
 inline json_t *
 read (const json_t *inputs, const json_t *written)
 {
--- a/tests/capture/wire_capture_written.hpp
+++ b/tests/capture/wire_capture_written.hpp
@@ -1,4 +1,4 @@
-// The rows and messages that the wire layer makes of the inputs.
+// Captures the rows and messages that the wire layer writes for the inputs.
 #pragma once
 #include "wire_capture_inputs.hpp"
 
@@ -50,7 +50,7 @@
   return machines;
 }
 
-// One transaction with a write of each kind, conditional on two rows as a leader's batch is.
+// Captures one transaction that has a write of each kind and is conditional on two rows, like a leader's batch.
 inline void
 write_batch (json_t *out, const json_t *inputs)
 {
@@ -149,7 +149,8 @@
     add (out, name + "/" + table[i].name, ft_setting_value (&tuning, &table[i]));
 }
 
-// A worker's heartbeat is not written by a controller: its bytes are kept to be read.
+// Makes the capture of everything that is written for the inputs; the caller owns it. Controllers write no worker
+// heartbeats, so that the inputs of this kind are captured as they are, to be read later.
 inline json_t *
 written (const json_t *inputs)
 {
