--- a/tests/fault_interaction.hpp
+++ b/tests/fault_interaction.hpp
@@ -35,7 +35,7 @@
       leader->crash (seconds_between (least_s, most_s));
   }
 
-  // Takes the store down, from now on, for longer than tasks of a cancelled job may remain.
+  // Takes the store down now, for longer than the tasks of a cancelled job may go on running.
   void
   begin_long_outage ()
   {
--- a/tests/sim/checker.cpp
+++ b/tests/sim/checker.cpp
@@ -297,7 +297,8 @@
   return at;
 }
 
-// Checks that half of the largest tenth of a class's jobs are done, and that each of them has begun in time.
+// Checks, for the largest tenth of a class's jobs, that at least half of them are done and that each has
+// begun in time.
 void
 Checker::check_largest (const std::string &job_class, Jobs jobs)
 {
--- a/tests/sim/day.hpp
+++ b/tests/sim/day.hpp
@@ -34,11 +34,12 @@
   void load_large (int jobs);
   // Adds pipelines of four steps, of which the second has several jobs. The first step may depend on a
   // job that was added before, and the last step may be submitted only after the third has ended.
-  // `cancelled_share`: the share of pipelines in which one job is cancelled.
+  // The pipelines begin at random times between `from_s` and `until_s`. `cancelled_share`: the share of
+  // pipelines in which one job is cancelled.
   void load_pipelines (int count, double cancelled_share, double from_s = 5, double until_s = 100);
   // At `when`, users cancel up to `count` jobs that have running tasks, all within 0.2 s.
   void cancel_running (Time when, guint count);
-  // A user polls the job at that interval until the end of the run.
+  // From `from` to the end of the run, a user polls the job at that interval.
   void poll_until_end (const std::string &ref, Time from, Time interval);
 
   // ---- faults of controllers ----
--- a/tests/sim/node_load.cpp
+++ b/tests/sim/node_load.cpp
@@ -12,7 +12,7 @@
 
 namespace sim {
 
-// Rows per page; small, so that every recovery reads several pages.
+// Rows per page; small, so that recoveries read several pages.
 static constexpr guint kPageRows = 7;
 // Pause between the end of a watch and the next one.
 static constexpr Time kWatchPause = kSecond / 4;
@@ -62,7 +62,7 @@
 Node::apply_row (const FtRow *row)
 {
   g_autoptr (GError) error = nullptr;
-  if (!ft_row_take (scheduler_.get (), row, clock (), world_.now / 1000, &error))
+  if (!ft_row_apply (scheduler_.get (), row, clock (), world_.now / 1000, &error))
     ADD_FAILURE () << error->message;
 }
 
