--- a/tests/sim/faults.hpp
+++ b/tests/sim/faults.hpp
@@ -18,6 +18,7 @@
   double lost_answers = 0;       // share of transactions that are applied but get no answer
 
   // Controllers.
+
   // Share of ticks in which a controller suspects the lease's holder, although it may be live.
   double wrong_suspicions = 0.0005;
   bool peers_refuse = false;   // controllers refuse connections from each other
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -113,7 +113,8 @@
   void cancel (const std::string &ref);
   // Requests a job's state once, and reports the answer to the checker.
   void poll (const std::string &ref);
-  // Submits a job that can never run or lacks a field. Returns whether it was accepted, which is wrong.
+  // Submits a job that can never run or lacks a field. Returns whether the job was accepted, which would be
+  // a fault.
   bool submit_invalid (const std::string &ref);
   // Reports to the checker, for each open job, whether a task of it waits although it could run.
   void observe_waiting_jobs ();
@@ -176,8 +177,8 @@
   bool fits (const std::string &ref, const Checker::Job &job, const Worker &worker) const;
 
   EventQueue events_;
-  std::map<std::pair<std::string, std::string>, Time> cuts_; // end of each cut, by sender and receiver
-  std::map<std::string, Heartbeat> kept_heartbeats_;         // by machine name
+  std::map<std::pair<std::string, std::string>, Time> cuts_; // the end of each cut, by sender and receiver
+  std::map<std::string, Heartbeat> kept_heartbeats_;         // the newest heartbeat of each machine, by name
 };
 
 } // namespace sim
