--- a/tests/test_fault.cpp
+++ b/tests/test_fault.cpp
@@ -176,7 +176,7 @@
               [&, i] { world.submit ("req-2" + std::to_string (i), 10, 16, 15, "blue", false, false, true); });
   }
   world.at (30 * sim::kSecond, [&] {
-    world.mistaken.insert ("req-30");
+    world.failing_jobs.insert ("req-30");
     world.submit ("req-30", 40, 1, 10, "blue", false, false, true);
   });
   world.at (150 * sim::kSecond, [&] { world.cancel ("req-30"); });
--- a/tests/test_program_limits.cpp
+++ b/tests/test_program_limits.cpp
@@ -71,7 +71,7 @@
   EXPECT_EQ (call ("GET", controllers.mesh[0], "/admin/status", nullptr, FT_BODY_JSON)->status, 200u);
   // A job runs to its end while all workers and users are connected.
   EXPECT_EQ (call ("POST", front, "/work", job ("req-1", 4))->status, 201u);
-  EXPECT_TRUE (finished (front, "req-1", "done"));
+  EXPECT_TRUE (reaches_state (front, "req-1", "done"));
 }
 
 class StoreLimits : public ThreeControllers {
