--- a/tests/fault_interaction.hpp
+++ b/tests/fault_interaction.hpp
@@ -3,8 +3,8 @@
 //
 // Each test causes one interaction and asserts that it occurred; the checker decides whether the
 // rules held. Random parameters vary with the seed. On odd seeds controllers send each other no
-// advisories, since safety must not depend on them, and on half of the seeds all steady clocks
-// have the largest drift allowed.
+// advisories of cancellations and of a yielded lease, since safety must not depend on these, and
+// on half of the seeds all steady clocks have the largest drift allowed.
 #pragma once
 #include "day.hpp"
 
@@ -65,6 +65,6 @@
   sim::World &world = day.world;
   // Time from a confirmed cancellation to the deadline for the job's tasks.
   const sim::Time cancel = (sim::Time) (world.settings.cancel_s * sim::kSecond);
-  // Lease time of workers.
+  // Lease time of workers: a worker ends its tasks if no heartbeat sent within this time was answered.
   const sim::Time lease = (sim::Time) (world.settings.lease_s * sim::kSecond);
 };
--- a/tests/job_specs.hpp
+++ b/tests/job_specs.hpp
@@ -10,7 +10,8 @@
 // One second in the core's unit of time, microseconds.
 constexpr gint64 kS = FT_SECOND;
 
-// A job whose tasks have 4 CPUs each and are all below its dispatch watermark. The caller owns the result.
+// A job whose tasks have 4 CPUs each. All are below its dispatch watermark, that is, each may have been sent to a
+// machine. The caller owns the result.
 inline FtJobSpec *
 new_job_spec (const char *ref, guint tasks)
 {
@@ -27,7 +28,7 @@
   return spec;
 }
 
-// A job with dependencies, of which no task was ever sent to a machine. The caller owns the result.
+// A job that has dependencies and whose own tasks were never sent to a machine. The caller owns the result.
 inline FtJobSpec *
 new_dependent_spec (const char *ref, std::vector<const char *> dependencies, guint tasks = 1)
 {
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -23,7 +23,7 @@
 private:
   static constexpr int kFirstJob = 1000; // number in the first job's name
   static constexpr guint kTasks = 65;    // tasks of each job
-  static constexpr int kPolls = 29;      // polls per submission, of every third job before the new one
+  static constexpr int kPolls = 29;      // jobs polled at each submission: each third one before the new one
   static constexpr double kTimeoutS = 5; // timeout of a request, in seconds
 
   static void
--- a/tests/loopback/controllers.hpp
+++ b/tests/loopback/controllers.hpp
@@ -1,4 +1,4 @@
-// Controllers as processes, and the settings of their deployment.
+// Runs controllers of the real program as processes, with the settings of their deployment.
 #pragma once
 #include <glib/gstdio.h>
 #include <signal.h>
@@ -14,7 +14,7 @@
   // Limits of the store.
   double rps = 500, write_rps = 300, value_kb = 8;
   int txn_ops = 16;
-  // Announced later limits of the store; none are announced if `next_txn_ops` is 0.
+  // Limits that the settings announce as the store's next ones; none are announced if `next_txn_ops` is 0.
   double next_write_rps = 0, next_value_kb = 0;
   int next_txn_ops = 0;
   double cloud_rps = 3, ram_mb = 200;
--- a/tests/loopback/http.hpp
+++ b/tests/loopback/http.hpp
@@ -49,7 +49,7 @@
   return true;
 }
 
-// The answer to a request; status 0: none came.
+// The answer to a request; status 0 means that no answer came.
 struct Reply {
   bool done = false;
   guint status = 0;
--- a/tests/program_run.hpp
+++ b/tests/program_run.hpp
@@ -18,8 +18,8 @@
 // Arguments of a command line.
 using Words = std::vector<std::string>;
 
-// Runs a program to its end, and the main loop with the stand-ins meanwhile. `nodes`: the value of FLINTCTL_NODES in
-// its environment; nullptr: not set.
+// Runs a program to its end. Until then the main loop runs too, so that the stand-ins serve requests. `nodes`: the
+// value of FLINTCTL_NODES in the program's environment; nullptr: not set.
 inline Result
 run (const char *program, const Words &words, const char *nodes = nullptr)
 {
--- a/tests/scheduler_harness.hpp
+++ b/tests/scheduler_harness.hpp
@@ -143,7 +143,8 @@
   {
     return &scheduler->spot_risk;
   }
-  // Forbids starts, as while the lease is not valid. The next tick or placement pass sets the flag again.
+  // Forbids task starts, as they are forbidden while the lease is not valid. The next tick or placement pass sets
+  // the permission anew.
   void
   forbid_starts ()
   {
