--- a/tests/capture/capture_main.cpp
+++ b/tests/capture/capture_main.cpp
@@ -1,4 +1,4 @@
-// Prints the capture that wire_capture.hpp makes of a file of inputs. Built by capture.sh; not a test.
+// Prints, as JSON, what wire_capture.hpp captures for the inputs in a file. Built by capture.sh; not a test.
 #include <cstdio>
 
 #include "wire_capture.hpp"
--- a/tests/capture/wire_capture_read.hpp
+++ b/tests/capture/wire_capture_read.hpp
@@ -192,7 +192,7 @@
   }
 }
 
-// Reads the lease from its two rows, as a list answer would contain them.
+// Reads the lease from its two rows, in the order in which the store's answer to a list request contains them.
 inline void
 read_lease (json_t *out, const json_t *written, const char *renewal)
 {
