--- a/tests/sim/node.hpp
+++ b/tests/sim/node.hpp
@@ -1,12 +1,12 @@
 // A controller of the simulated world. It consists of flintrack's own lease, scheduler and row
-// encodings, and of glue in place of src/net.
+// encodings, and of code that replaces src/net.
 //
 // A Node makes no decision that src/core or src/wire makes; it only carries requests and answers
 // between them and the simulated store, cloud and machines. The parts are in
 //   node.cpp          start, crash and freeze, timers, one round of the leader's work
 //   node_store.cpp    requests to the store, with losses and delays
-//   node_lease.cpp    sweeps, acquisition, renewal, yielding, advisories between peers
-//   node_load.cpp     recovery of a new leader, the watch, ends of dependencies
+//   node_lease.cpp    the lease: reads of its rows (sweeps), acquisition, renewal, yielding; advisories to peers
+//   node_load.cpp     recovery of a new leader, its watch on open jobs, reads of dependencies that have ended
 //   node_batches.cpp  the scheduler's writes in batches, conflicts, unanswered batches
 //   node_workers.cpp  heartbeats and direct commands
 //   node_cloud.cpp    launching, terminating and listing machines
@@ -54,8 +54,8 @@
   bool alive = false;
   bool runs_previous_version = false; // it writes rows as the previous version did
   Time frozen_until = 0;
-  Time store_refuses_until = 0; // the store refuses the requests of this controller only
-  Time claims_fail_until = 0;   // it sends no claim of the lease and no renewal
+  Time store_refuses_until = 0; // until then the store refuses the requests of this controller only
+  Time claims_fail_until = 0;   // until then it sends no claim of the lease and no renewal
 
   // ---- queries ----
 
@@ -78,10 +78,10 @@
 
   // Answers a worker's heartbeat.
   HeartbeatAnswer heartbeat (const FtWorkerHeartbeat *heartbeat);
-  // Sends the advisory of a cancellation that this controller has committed to its own scheduler and to its
-  // peers.
+  // Tells the leader's scheduler, here or at a peer, that this controller has committed the job's cancellation.
+  // This is only an advisory: it may be lost, and safety does not depend on it.
   void advise_cancellation (const std::string &ref);
-  // Advisory of a peer: the holder of the lease is gone.
+  // Receives a peer's advisory that this peer, the holder of the lease, has yielded it.
   void suspect (const std::string &holder);
 
 private:
--- a/tests/sim/node_batches.cpp
+++ b/tests/sim/node_batches.cpp
@@ -1,5 +1,6 @@
-// The leader's writes. The scheduler's changes are committed in batches; each is conditional on
-// the fence and on the journal row, so that no batch is applied twice or after a later one.
+// The leader's writes. The scheduler's changes are committed in batches. Each batch is conditional
+// on the fence row, which names the lease's holder, and on the journal row, which holds the number
+// of the last batch, so that no batch is applied twice or after a later one.
 #include "node.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +30,7 @@
   header.number = batch;
   header.fence_revision = ft_lease_fence_revision (lease_.get ());
   header.journal_revision = journal_revision_;
-  // The previous version wrote no wall time.
+  // The previous version of the program wrote no wall time into rows; 0 stands for that.
   gint64 wall_ms = runs_previous_version ? 0 : world_.now / 1000;
   return adopt (ft_txn_write_batch (&header, writes.get (), wall_ms));
 }
--- a/tests/sim/node_cloud.cpp
+++ b/tests/sim/node_cloud.cpp
@@ -54,7 +54,7 @@
   if (world_.is_cut (name (), "cloud"))
     return;
   Array list = world_.cloud.list ();
-  // The list describes the moment of the request and arrives after the list's lag.
+  // The list shows the machines as of the request, and arrives 0.5 to 2 times the list lag later.
   schedule_in_term ((Time) (world_.uniform (0.5, 2) * world_.settings.list_lag_s * kSecond), [this, list] {
     if (scheduler_ != nullptr)
       ft_scheduler_machines_listed (scheduler_.get (), list.get (), clock ());
--- a/tests/sim/node_lease.cpp
+++ b/tests/sim/node_lease.cpp
@@ -1,5 +1,6 @@
-// A controller's lease (sweeps, acquisition, renewal, yielding), and the advisories that
-// controllers send each other. Safety never depends on an advisory.
+// A controller's lease (reads of its rows, called sweeps; acquisition, renewal and yielding), and
+// the advisories of cancellations and of a yielded lease that controllers send each other. Safety
+// never depends on an advisory.
 #include "node.hpp"
 
 #include "world.hpp"
@@ -72,7 +73,7 @@
     ft_lease_suspect (lease_.get (), holder, world_.chance (0.5), now);
 }
 
-// ---- the lease's requests ----
+// ---- requests to the store about the lease ----
 
 void
 Node::tick_lease ()
--- a/tests/sim/node_load.cpp
+++ b/tests/sim/node_load.cpp
@@ -95,7 +95,7 @@
   request_watch (FT_PREFIX_OPEN, watch_since_, in_term (on_events));
 }
 
-// ---- ends of dependencies that are not open ----
+// ---- dependencies that are not among the open jobs ----
 
 // Reads the state row of each dependency that the scheduler requests.
 void
