--- a/tests/sim/checker.hpp
+++ b/tests/sim/checker.hpp
@@ -82,7 +82,8 @@
 
   // ---- events of the run ----
 
-  // No fault is active from now on, so that the bounds on waiting and on answers apply.
+  // Called when the last fault has ended: from now on the bounds on the waits of jobs and on the time without an
+  // answered poll apply.
   void faults_over (Time now);
   // Removes the team's limit.
   void remove_limit (const std::string &team);
@@ -116,8 +117,8 @@
   {
     return starts_;
   }
-  // The number of task starts after the job's cancellation was confirmed. They are no violation before the
-  // deadline, but the protocol counts them.
+  // The number of task starts after the cancellation of the task's job was confirmed. Before the deadline such a
+  // start violates no rule, but it is counted.
   guint starts_after_cancellation () const;
   // Whether all direct dependencies of the job are done.
   bool dependencies_done (const Job &job) const;
--- a/tests/sim/cloud.hpp
+++ b/tests/sim/cloud.hpp
@@ -37,8 +37,8 @@
   void launch_machine (const FtCloudCall &call, const std::string &name);
 
   World &world_;
-  // The names of the machines launched for each booking. A repeated call with the same booking is idempotent
-  // and returns the same machines.
+  // The names of the machines launched for each booking, which identifies a launch call. A repeated call with
+  // the same booking returns the same machines, and launches only those that are still missing.
   std::map<std::string, std::vector<std::string> > bookings_;
 };
 
--- a/tests/sim/day.cpp
+++ b/tests/sim/day.cpp
@@ -15,7 +15,7 @@
     node->start ();
 }
 
-// ---- work ----
+// ---- jobs and requests of users ----
 
 void
 Day::poll_until_end (const std::string &ref, Time from, Time interval)
@@ -204,7 +204,7 @@
   return count;
 }
 
-// ---- the end ----
+// ---- the end of the run ----
 
 // The leader's view of a job, for failure messages.
 std::string
@@ -227,7 +227,7 @@
   return search.found;
 }
 
-// Fails the test for each accepted job of which no user has seen the end.
+// Fails the test for each accepted job that no user has seen done or cancelled.
 void
 Day::expect_all_ended ()
 {
--- a/tests/sim/day.hpp
+++ b/tests/sim/day.hpp
@@ -23,9 +23,10 @@
   // guarantees and limits.
   explicit Day (guint32 seed, guint scale = 1);
 
-  // ---- work ----
+  // ---- jobs and requests of users ----
 
-  // Adds 26 jobs of all kinds, submitted in the first 140 s. Each is cancelled with probability 0.25.
+  // Adds 26 jobs with random teams, sizes, run times and placement constraints, submitted in the first 140 s.
+  // Each is cancelled with probability 0.25.
   void load ();
   // Adds jobs whose tasks run for `run_s` seconds on average. They are submitted in the first 8 s, so that
   // their tasks run on machines before most faults begin.
@@ -51,7 +52,7 @@
   void restart_quickly (Time when, int node);
   // Freezes the controller's process while its clock runs on.
   void freeze (Time when, int node, Time length);
-  // The store refuses the requests of the current leader only, which becomes `refused_leader`.
+  // The store refuses the requests of one controller only, the leader at `when`. Sets `refused_leader` to it.
   void refuse_leader (Time when, Time length);
   // All controllers run the previous version, with the store's old limits, and from `when` on they are
   // upgraded one after the other. At `limits_at` the store gets its new limits.
@@ -91,7 +92,7 @@
   // How many cancellations of cancel_running() were confirmed from `from` on and before `to`.
   guint confirmed_between (Time from, Time to) const;
 
-  // ---- the end ----
+  // ---- the end of the run ----
 
   // Runs to the end, and expects that no job is open then and that no rule of the checker is violated.
   // No fault may be active in the second half of the run.
--- a/tests/sim/store.hpp
+++ b/tests/sim/store.hpp
@@ -66,7 +66,7 @@
   Time allowance_at_ = 0;
 };
 
-// An answer of the store that owns its body.
+// An answer of the store, like Store::RawAnswer, but owning its body.
 struct StoreAnswer {
   StoreAnswer (Store::RawAnswer raw) : status (raw.first), body (adopt (raw.second)) {}
   guint status;
--- a/tests/sim/worker.cpp
+++ b/tests/sim/worker.cpp
@@ -313,7 +313,8 @@
   }
 }
 
-// Begins to run a task whose image is fetched. A task whose result is kept completes at once.
+// Begins to run a task whose image is fetched. A task that has completed before, on any
+// machine, completes at once, since its result is kept.
 void
 Worker::begin_task (WorkerTask &task)
 {
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -150,7 +150,8 @@
 
   Time worker_step = kSecond / 10;     // interval between two steps of a worker's loop
   std::map<std::string, double> run_s; // mean run time of a task, in seconds, by job
-  // Tasks, as "JOB/INDEX", whose result is kept. They complete at once when they run again.
+  // The tasks, as "JOB/INDEX", that have completed on any machine. Their results are kept, so that they complete
+  // at once when they run again.
   std::set<std::string> results;
   std::set<std::string> failing_machines; // machines on which every task fails
   std::set<std::string> failing_jobs;     // jobs of which every task fails at once, on any machine
