--- a/src/core/cloud_call.h
+++ b/src/core/cloud_call.h
@@ -7,7 +7,7 @@
 
 typedef struct {
   FtCloudOp op;
-  char *booking, *type, *zone; /* set for a launch, NULL for a return; the booking makes a launch idempotent */
+  char *idempotency_key, *type, *zone; /* set for a launch, NULL for a return; the key makes a launch idempotent */
   gboolean spot;
   guint count;      /* machines to launch */
   GPtrArray *names; /* names of the machines to return, or of the machines that the cloud has launched; owned */
--- a/src/core/cloud_calls.c
+++ b/src/core/cloud_calls.c
@@ -5,7 +5,7 @@
 {
   if (call == NULL)
     return;
-  g_free (call->booking);
+  g_free (call->idempotency_key);
   g_free (call->type);
   g_free (call->zone);
   if (call->names != NULL)
@@ -65,7 +65,7 @@
       continue;
     ft_cloud_pool_request_sent (pool);
     FtCloudCall *call = call_new (FT_CLOUD_SCALE_OUT);
-    call->booking = g_strdup (pool->booking);
+    call->idempotency_key = g_strdup (pool->idempotency_key);
     call->type = g_strdup (pool->type);
     call->zone = g_strdup (pool->zone);
     call->spot = pool->spot;
@@ -93,7 +93,7 @@
       continue;
     FtMachine *machine = ft_machine_table_add (table, name, NULL, pool->type, pool->zone, pool->spot);
     ft_machine_set_reconciled (machine); /* the machine has never been sent a command */
-    g_message ("machine %s: added (launched by request %s)", name, call->booking);
+    g_message ("machine %s: added (launched by request %s)", name, call->idempotency_key);
   }
 }
 
@@ -102,7 +102,7 @@
 {
   gint64 now = table->context->now;
   FtCloudPool *pool = ft_cloud_pools_get (pools, call->type, call->zone, call->spot);
-  if (g_strcmp0 (pool->booking, call->booking) != 0)
+  if (g_strcmp0 (pool->idempotency_key, call->idempotency_key) != 0)
     return FALSE;
   if (result == FT_CLOUD_UNANSWERED) {
     ft_cloud_pool_request_unanswered (pool, now + ft_seconds (FT_LAUNCH_RETRY_S));
--- a/src/core/cloud_pool.c
+++ b/src/core/cloud_pool.c
@@ -5,7 +5,7 @@
 static void
 pool_free (FtCloudPool *pool)
 {
-  g_free (pool->booking);
+  g_free (pool->idempotency_key);
   g_free (pool);
 }
 
@@ -13,7 +13,7 @@
 ft_cloud_pools_init (FtCloudPools *pools)
 {
   pools->pools = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) pool_free);
-  pools->next_booking = 1;
+  pools->next_key_number = 1;
 }
 
 void
@@ -73,10 +73,11 @@
   if (!set_request (pool, FT_LAUNCH_REQUEST_PENDING))
     return;
   pool->requested = count;
-  /* The fencing token makes the booking unique across leaderships. */
-  pool->booking = g_strdup_printf ("flintrack-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, token, pools->next_booking++);
+  /* The fencing token makes the idempotency key unique across leaderships. */
+  pool->idempotency_key
+      = g_strdup_printf ("flintrack-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, token, pools->next_key_number++);
   pool->send_at = now;
-  g_message ("scale out: launch request %s: %u %s in %s%s", pool->booking, count, pool->type, pool->zone,
+  g_message ("scale out: launch request %s: %u %s in %s%s", pool->idempotency_key, count, pool->type, pool->zone,
              pool->spot ? " spot" : "");
 }
 
@@ -97,7 +98,7 @@
 ft_cloud_pool_request_answered (FtCloudPool *pool)
 {
   set_request (pool, FT_LAUNCH_REQUEST_NONE);
-  g_clear_pointer (&pool->booking, g_free);
+  g_clear_pointer (&pool->idempotency_key, g_free);
 }
 
 void
--- a/src/core/cloud_pool.h
+++ b/src/core/cloud_pool.h
@@ -1,8 +1,9 @@
 /* The pools from which the cloud launches machines, and the launch request of each pool.
  *
  * A pool is a machine type in a zone, spot or ordinary. It has at most one launch request at a time. A request that got
- * no answer may have been carried out. It is therefore repeated until it is answered, under the same booking, by which
- * the cloud recognizes the repetition. The scale-out creates requests (scale_out.h); cloud_calls.h sends them. */
+ * no answer may have been carried out. It is therefore repeated until it is answered, under the same idempotency key,
+ * by which the cloud recognizes the repetition. The scale-out creates requests (scale_out.h); cloud_calls.h sends them.
+ */
 #pragma once
 #include <glib.h>
 
@@ -23,14 +24,14 @@
   gint64 refused_until; /* after a refusal: earliest time of the next launch request, in microseconds */
 
   FtLaunchRequest request; /* changed by the functions of this module only */
-  char *booking;           /* identifies the request to the cloud; NULL: there is no request */
+  char *idempotency_key;   /* identifies the request to the cloud; NULL: there is no request */
   guint requested;         /* number of machines in the request */
   gint64 send_at;          /* while PENDING: earliest time at which the request is sent, in microseconds */
 } FtCloudPool;
 
 typedef struct {
-  GHashTable *pools;    /* "TYPE/ZONE/SPOT", SPOT being 0 or 1 -> FtCloudPool, owned */
-  guint64 next_booking; /* number of the next booking of this leadership */
+  GHashTable *pools;       /* "TYPE/ZONE/SPOT", SPOT being 0 or 1 -> FtCloudPool, owned */
+  guint64 next_key_number; /* number of the next idempotency key of this leadership */
 } FtCloudPools;
 
 /* Initializes the set of pools as empty. */
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -24,11 +24,11 @@
   gint64 last_acknowledged_at; /* when a worker's status last showed this leader's token, which proves that
                                   workers receive its answers; 0: never; set by the worker heartbeats */
   gint64 last_tick;            /* time of the scheduler's last tick; 0: none yet */
-  gint64 on_time_since;        /* when this controller was last late itself: heartbeats that were missing before
+  gint64 timers_late_until;    /* when this controller was last late itself: heartbeats that were missing before
                                   this time do not count against a machine */
-  gint64 answering_since;      /* when this leader last left heartbeats unanswered: heartbeats that were missing before
-                                  this time do not count against a machine */
-  gint64 cloud_answered_at;    /* when the cloud last answered; 0: never; set by the autoscaler */
+  gint64 answers_interrupted_until; /* when this leader last left heartbeats unanswered: heartbeats that were missing
+                                       before this time do not count against a machine */
+  gint64 cloud_answered_at;         /* when the cloud last answered; 0: never; set by the autoscaler */
   gint64 cancellations_known_until; /* every cancellation committed before this time is known */
 } FtCoreContext;
 
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -144,7 +144,7 @@
   const FtCoreContext *context = machine->context;
   /* A controller that was late has answered heartbeats too late, which does not count against the machine. */
   return machine->state == FT_MACHINE_UP && ft_machine_not_receiving (machine)
-         && context->now - MAX (machine->reachability.not_receiving_since, context->on_time_since)
+         && context->now - MAX (machine->reachability.not_receiving_since, context->timers_late_until)
                 > ft_seconds (FT_NOT_RECEIVING_SCALE_IN_S);
 }
 
--- a/src/core/reachability.c
+++ b/src/core/reachability.c
@@ -113,7 +113,7 @@
 gint64
 ft_reachability_silent_since (const FtReachability *reachability, const FtCoreContext *context)
 {
-  return MAX (reachability->last_status_at, context->on_time_since);
+  return MAX (reachability->last_status_at, context->timers_late_until);
 }
 
 gboolean
@@ -125,7 +125,7 @@
 gint64
 ft_reachability_no_heartbeat_since (const FtReachability *reachability, const FtCoreContext *context)
 {
-  return MAX (reachability->last_heartbeat_at, MAX (context->on_time_since, context->answering_since));
+  return MAX (reachability->last_heartbeat_at, MAX (context->timers_late_until, context->answers_interrupted_until));
 }
 
 gboolean
--- a/src/core/reachability.h
+++ b/src/core/reachability.h
@@ -5,9 +5,9 @@
  * commands but its heartbeats reach no controller. A worker lease runs from the last answer that the worker may have
  * received.
  *
- * Time counts as silence only if this leader could have received a heartbeat in it: see `on_time_since` and
- * `answering_since` of FtCoreContext. Each machine has one such record (FtMachine.reachability), which only the
- * functions below change. They are called by the modules of heartbeats, heartbeat answers and probes, and on the
+ * Time counts as silence only if this leader could have received a heartbeat in it: see `timers_late_until` and
+ * `answers_interrupted_until` of FtCoreContext. Each machine has one such record (FtMachine.reachability), which only
+ * the functions below change. They are called by the modules of heartbeats, heartbeat answers and probes, and on the
  * scheduler's tick. Times are in microseconds of the steady clock. */
 #pragma once
 #include "core/context.h"
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -158,7 +158,7 @@
   scheduler->context.now = now;
   scheduler->context.may_start = may_start;
   if (scheduler->context.last_tick > 0 && now - scheduler->context.last_tick > ft_seconds (FT_LATE_TICK_S))
-    scheduler->context.on_time_since = now;
+    scheduler->context.timers_late_until = now;
   scheduler->context.last_tick = now;
   ft_zones_update (scheduler->machine_table.zones, scheduler->machine_table.machines, &scheduler->context);
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
@@ -189,7 +189,7 @@
 void
 ft_scheduler_was_late (FtScheduler *scheduler, gint64 now)
 {
-  scheduler->context.on_time_since = now;
+  scheduler->context.timers_late_until = now;
 }
 
 void
@@ -201,7 +201,7 @@
 void
 ft_scheduler_not_answering (FtScheduler *scheduler, gint64 now)
 {
-  scheduler->context.answering_since = now;
+  scheduler->context.answers_interrupted_until = now;
 }
 
 gint64
--- a/src/core/tuning.c
+++ b/src/core/tuning.c
@@ -47,7 +47,7 @@
 ft_tuning_defaults (FtTuning *tuning)
 {
   for (guint i = 0; i < G_N_ELEMENTS (table); i++)
-    ft_tuning_set (tuning, &table[i], table[i].standard);
+    ft_tuning_set (tuning, &table[i], table[i].default_value);
 }
 
 gint64
--- a/src/core/tuning.h
+++ b/src/core/tuning.h
@@ -17,11 +17,11 @@
 /* The description of a setting. */
 typedef struct {
   const char *name, *unit;
-  const char *what;           /* the description that operators see */
-  double least, most;         /* the range of the value */
-  double standard;            /* the default value */
-  gsize offset;               /* offset of the value in FtTuning */
-  const char *const *choices; /* the texts for which the values 0, 1, ... stand; NULL: the value is a number */
+  const char *description;     /* the description that operators see */
+  double min_value, max_value; /* the range of the value */
+  double default_value;        /* the default value */
+  gsize offset;                /* offset of the value in FtTuning */
+  const char *const *choices;  /* the texts for which the values 0, 1, ... stand; NULL: the value is a number */
 } FtTuningInfo;
 
 /* Returns the table of the settings, which is static. Sets `count` to its length. */
--- a/src/core/zone.c
+++ b/src/core/zone.c
@@ -65,7 +65,7 @@
 static gboolean
 all_members_overdue (const FtCoreContext *context, const FtZone *zone)
 {
-  gint64 since = MAX (zone->last_report_at, MAX (context->on_time_since, context->answering_since));
+  gint64 since = MAX (zone->last_report_at, MAX (context->timers_late_until, context->answers_interrupted_until));
   return zone->members >= FT_ZONE_MEMBERS_MIN
          && context->now - MAX (since, context->loaded_at) > ft_reachability_overdue_us (context);
 }
--- a/src/net/admin_settings.c
+++ b/src/net/admin_settings.c
@@ -22,8 +22,8 @@
   json_t *list = json_array ();
   for (guint i = 0; i < length; i++) {
     json_t *item = json_pack ("{s:s, s:o, s:s, s:f, s:f, s:s}", "name", table[i].name, "value",
-                              ft_setting_value (tuning, &table[i]), "unit", table[i].unit, "least", table[i].least,
-                              "most", table[i].most, "what", table[i].what);
+                              ft_setting_value (tuning, &table[i]), "unit", table[i].unit, "least", table[i].min_value,
+                              "most", table[i].max_value, "what", table[i].description);
     json_object_set_new (item, "default", ft_setting_value (&defaults, &table[i]));
     json_array_append_new (list, item);
   }
@@ -68,9 +68,10 @@
     ft_admin_refuse (request, FT_HTTP_NOT_FOUND, "there is no setting %s", name);
     return FALSE;
   }
-  double number = info->standard;
+  double number = info->default_value;
   if (!json_is_null (value) && !ft_setting_parse (info, value, &number)) {
-    ft_admin_refuse (request, FT_HTTP_UNPROCESSABLE, "%s: from %g to %g %s", name, info->least, info->most, info->unit);
+    ft_admin_refuse (request, FT_HTTP_UNPROCESSABLE, "%s: from %g to %g %s", name, info->min_value, info->max_value,
+                     info->unit);
     return FALSE;
   }
   ft_tuning_set (tuning, info, number);
--- a/src/net/leadership.c
+++ b/src/net/leadership.c
@@ -11,12 +11,12 @@
 #include "wire/store.h"
 
 struct _FtLeadership {
-  FtNode *node;             /* borrowed */
-  gboolean sweep_in_flight; /* whether a sweep awaits its answer */
-  guint renewal_term;       /* number of the term whose renewal is in flight; 0: none */
-  gint64 answering_since;   /* when the lease last forbade answering worker heartbeats; 0: never */
-  gint64 on_time_since;     /* when the last delay of this process's timers ended; 0: there was none */
-  gint64 yielded_at;        /* when this controller last resigned or yielded; 0: never */
+  FtNode *node;                     /* borrowed */
+  gboolean sweep_in_flight;         /* whether a sweep awaits its answer */
+  guint renewal_term;               /* number of the term whose renewal is in flight; 0: none */
+  gint64 answers_interrupted_until; /* when the lease last forbade answering worker heartbeats; 0: never */
+  gint64 timers_late_until;         /* when the last delay of this process's timers ended; 0: there was none */
+  gint64 yielded_at;                /* when this controller last resigned or yielded; 0: never */
 };
 
 /* A read, claim, renewal or release of the lease, from sending until its answer. */
@@ -207,12 +207,12 @@
   /* While this controller may not answer heartbeats, workers send them to other controllers, and need
    * FT_CUT_OFF_GRACE_S to return. Without this grace period a leader that had just renewed its lease after
    * an outage of the store released the lease, and no controller led until the next failover was over. */
-  gint64 answering_since = MAX (ft_leader_term_began_at (node->leader), leadership->answering_since);
+  gint64 answering_since = MAX (ft_leader_term_began_at (node->leader), leadership->answers_interrupted_until);
   if (now - answering_since < seconds (FT_CUT_OFF_GRACE_S))
     return FALSE;
   /* The time before the end of the last stall does not count: this process receives no heartbeats while it is
    * stalled, so their absence in that time does not show that the leader is cut off. */
-  gint64 receiving_since = MAX (answering_since, leadership->on_time_since);
+  gint64 receiving_since = MAX (answering_since, leadership->timers_late_until);
   const FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   gint64 last_heartbeat_at = MAX (receiving_since, ft_scheduler_last_heartbeat_at (scheduler));
   return node->config->peers->len > 0 && now - last_heartbeat_at > longest_gap
@@ -260,7 +260,7 @@
 {
   const FtNode *node = leadership->node;
   /* Requests that failed while this process was stalled do not show a network fault. */
-  gint64 steady_since = MAX (ft_leader_term_began_at (node->leader), leadership->on_time_since);
+  gint64 steady_since = MAX (ft_leader_term_began_at (node->leader), leadership->timers_late_until);
   return ft_lease_state (node->lease) == FT_LEASE_HOLDING && now > steady_since + seconds (FT_CUT_OFF_GRACE_S)
          && ft_leadership_store_unreachable_only_here (leadership, now);
 }
@@ -325,7 +325,7 @@
   const FtNode *node = leadership->node;
   if (ft_lease_may_answer (node->lease, now))
     return;
-  leadership->answering_since = now;
+  leadership->answers_interrupted_until = now;
   if (leads (leadership))
     ft_scheduler_not_answering (ft_leader_scheduler (node->leader), now);
 }
@@ -360,7 +360,7 @@
 void
 ft_leadership_note_stall (FtLeadership *leadership, gint64 now)
 {
-  leadership->on_time_since = now;
+  leadership->timers_late_until = now;
 }
 
 /* ---- construction ---- */
--- a/src/wire/cloud.c
+++ b/src/wire/cloud.c
@@ -53,7 +53,7 @@
 json_t *
 ft_cloud_scale_out_body (const FtCloudCall *call)
 {
-  return json_pack ("{s:s, s:s, s:s, s:b, s:i}", FT_WIRE_IDEMPOTENCY_KEY, call->booking, FT_WIRE_MACHINE_TYPE,
+  return json_pack ("{s:s, s:s, s:s, s:b, s:i}", FT_WIRE_IDEMPOTENCY_KEY, call->idempotency_key, FT_WIRE_MACHINE_TYPE,
                     call->type, FT_WIRE_ZONE, call->zone, FT_WIRE_SPOT, call->spot, FT_WIRE_COUNT, (int) call->count);
 }
 
--- a/src/wire/settings_row.c
+++ b/src/wire/settings_row.c
@@ -5,7 +5,7 @@
 static gboolean
 parse_choice (const FtTuningInfo *info, const char *text, double *out)
 {
-  for (guint i = 0; text != NULL && i <= info->most; i++)
+  for (guint i = 0; text != NULL && i <= info->max_value; i++)
     if (strcmp (info->choices[i], text) == 0) {
       *out = i;
       return TRUE;
@@ -19,7 +19,7 @@
   if (info->choices != NULL)
     return parse_choice (info, json_string_value (value), out);
   double number = json_number_value (value);
-  if (!json_is_number (value) || !(number >= info->least && number <= info->most))
+  if (!json_is_number (value) || !(number >= info->min_value && number <= info->max_value))
     return FALSE;
   *out = number;
   return TRUE;
--- a/tests/capture/names_8fb6b9e.hpp
+++ b/tests/capture/names_8fb6b9e.hpp
@@ -38,6 +38,7 @@
 #define ft_row_cancellation_time ft_row_withdrawn_at
 #define ft_row_open_state_revision ft_row_open_stamp
 #define has_dependencies has_needs
+#define idempotency_key booking
 #define revision stamp
 #define supports_dependencies knows_needs
 #define watermark sent
--- a/tests/capture/wire_capture_written.hpp
+++ b/tests/capture/wire_capture_written.hpp
@@ -106,7 +106,7 @@
 {
   g_autoptr (FtCloudCall) call = g_new0 (FtCloudCall, 1);
   call->op = FT_CLOUD_SCALE_OUT;
-  call->booking = g_strdup ("41-7");
+  call->idempotency_key = g_strdup ("41-7");
   call->type = g_strdup ("g8");
   call->zone = g_strdup ("a");
   call->spot = TRUE;
--- a/tests/scheduler_harness.hpp
+++ b/tests/scheduler_harness.hpp
@@ -149,11 +149,11 @@
   {
     scheduler->context.may_start = FALSE;
   }
-  // Sets the time since which the leader's own process has run without delays.
+  // Sets the time until which the leader's own process was late.
   void
-  set_on_time_since (gint64 since)
+  set_timers_late_until (gint64 until)
   {
-    scheduler->context.on_time_since = since;
+    scheduler->context.timers_late_until = until;
   }
   // The name of the machine to which the task is assigned; "" if there is none.
   std::string
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -32,7 +32,7 @@
 FtCloudResult
 Cloud::launch (const FtCloudCall &call, bool late)
 {
-  auto &names = bookings_[call.booking];
+  auto &names = launched_names_[call.idempotency_key];
   for (guint i = 0; names.size () < call.count && i < call.count && alive_machines () < capacity; i++) {
     g_autofree char *name = g_strdup_printf ("n-%06u", launched++);
     names.push_back (name);
@@ -41,7 +41,7 @@
   }
   if (!names.empty ())
     return FT_CLOUD_OK;
-  bookings_.erase (call.booking);
+  launched_names_.erase (call.idempotency_key);
   return FT_CLOUD_REFUSED;
 }
 
@@ -63,10 +63,10 @@
 void
 Cloud::record_launched_names (FtCloudCall &call) const
 {
-  auto booking = bookings_.find (call.booking != nullptr ? call.booking : "");
-  if (call.op != FT_CLOUD_SCALE_OUT || call.names->len > 0 || booking == bookings_.end ())
+  auto launched = launched_names_.find (call.idempotency_key != nullptr ? call.idempotency_key : "");
+  if (call.op != FT_CLOUD_SCALE_OUT || call.names->len > 0 || launched == launched_names_.end ())
     return;
-  for (const std::string &name : booking->second)
+  for (const std::string &name : launched->second)
     g_ptr_array_add (call.names, g_strdup (name.c_str ()));
 }
 
--- a/tests/sim/cloud.hpp
+++ b/tests/sim/cloud.hpp
@@ -37,9 +37,9 @@
   void launch_machine (const FtCloudCall &call, const std::string &name);
 
   World &world_;
-  // The names of the machines launched for each booking. A repeated call with the same booking is idempotent
+  // The names of the machines launched for each idempotency key. A repeated call with the same key is idempotent
   // and returns the same machines.
-  std::map<std::string, std::vector<std::string> > bookings_;
+  std::map<std::string, std::vector<std::string> > launched_names_;
 };
 
 } // namespace sim
--- a/tests/test_module_reachability.cpp
+++ b/tests/test_module_reachability.cpp
@@ -97,10 +97,10 @@
   context.now = 200 * kS;
   EXPECT_TRUE (ft_reachability_not_reporting (&machine, &context));
   EXPECT_TRUE (silent (false, true));
-  context.answering_since = 199 * kS;
+  context.answers_interrupted_until = 199 * kS;
   EXPECT_FALSE (ft_reachability_not_reporting (&machine, &context));
   EXPECT_TRUE (silent (false, true));
-  context.on_time_since = 199 * kS;
+  context.timers_late_until = 199 * kS;
   EXPECT_FALSE (silent (false, true));
 }
 
--- a/tests/test_scheduler_heartbeats.cpp
+++ b/tests/test_scheduler_heartbeats.cpp
@@ -17,10 +17,10 @@
   FtMachine *machine = harness.machine ("n-1");
   EXPECT_TRUE (ft_machine_not_receiving (machine));
   EXPECT_FALSE (ft_machine_usable (machine));
-  harness.set_on_time_since (at - 5 * kS); // until then, this process itself was late
+  harness.set_timers_late_until (at - 5 * kS); // until then, this process itself was late
   ft_scheduler_tick (harness.scheduler, at, TRUE);
   EXPECT_EQ (machine->state, FT_MACHINE_UP);
-  harness.set_on_time_since (0);
+  harness.set_timers_late_until (0);
   ft_scheduler_tick (harness.scheduler, at, TRUE);
   EXPECT_EQ (machine->state, FT_MACHINE_UP)
       << "the store has not answered since 100 s, so this leader may be partitioned itself";
--- a/tests/test_tuning.cpp
+++ b/tests/test_tuning.cpp
@@ -26,8 +26,8 @@
   guint count;
   const FtTuningInfo *all = ft_tuning_table (&count);
   for (guint i = 0; i < count; i++) {
-    EXPECT_GE (all[i].standard, all[i].least) << all[i].name;
-    EXPECT_LE (all[i].standard, all[i].most) << all[i].name;
+    EXPECT_GE (all[i].default_value, all[i].min_value) << all[i].name;
+    EXPECT_LE (all[i].default_value, all[i].max_value) << all[i].name;
     EXPECT_EQ (ft_tuning_find (all[i].name), &all[i]);
   }
 }
--- a/tests/test_zone.cpp
+++ b/tests/test_zone.cpp
@@ -122,7 +122,7 @@
       if (call->op == FT_CLOUD_SCALE_OUT) {
         launched[call->zone] += call->count;
         for (guint n = 0; n < call->count; n++)
-          g_ptr_array_add (call->names, g_strdup_printf ("%s-%u", call->booking, n));
+          g_ptr_array_add (call->names, g_strdup_printf ("%s-%u", call->idempotency_key, n));
       }
       ft_scheduler_cloud_done (zones.scheduler, call, FT_CLOUD_OK, zones.now);
       ft_cloud_call_free (call);
