--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -29,7 +29,8 @@
 {
   const FtCoreContext *context = autoscaler->context;
   double heartbeats_s = context->settings->heartbeat_s * FT_HEARTBEAT_GAP_INTERVALS + FT_WORKER_TIMEOUT_S;
-  return ft_recovery_is_done (autoscaler->recovery) || context->now - context->took_over_at > ft_seconds (heartbeats_s);
+  return ft_recovery_is_done (autoscaler->recovery)
+         || context->now - context->term_began_at > ft_seconds (heartbeats_s);
 }
 
 /* Adds the time since the last call to the machine-hours of the spot machines that are up. */
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -12,7 +12,7 @@
   FtCatalog *catalog;          /* the cloud's machine types */
   guint64 token;               /* this leader's fencing token */
   gint64 now;                  /* time of the event that is being handled */
-  gint64 took_over_at;         /* when this leadership began */
+  gint64 term_began_at;        /* when this leadership began */
   gint64 loaded_at;            /* when the leader finished reading the store's rows after the failover */
   gint64 answer_grace_us;      /* how long a leader whose lease has expired may continue to answer heartbeats */
   GRand *random;               /* source of all random choices; seeded, so that a run can be repeated */
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -45,8 +45,8 @@
 ft_direct_commands_next (FtMachineQueues *queues)
 {
   FtMachine *machine;
-  while ((machine = g_queue_pop_head (&queues->directs)) != NULL) {
-    machine->requests.direct_queued = FALSE;
+  while ((machine = g_queue_pop_head (&queues->direct_requests)) != NULL) {
+    machine->requests.direct_request_queued = FALSE;
     machine->context->examined_count++;
     FtDirectRequest *direct = request_to (machine);
     if (direct != NULL)
--- a/src/core/direct_commands.h
+++ b/src/core/direct_commands.h
@@ -1,8 +1,8 @@
 /* Direct commands: starts and stops that are sent to a machine without waiting for its next heartbeat.
  *
- * Machines that may need a direct request are in FtMachineQueues.directs. A machine has at most one request in flight.
- * A start that got no answer may still be executed late, as long as the machine's incarnation lasts. The attempt
- * records this in `direct_start`. */
+ * Machines that may need a direct request are in FtMachineQueues.direct_requests. A machine has at most one request in
+ * flight. A start that got no answer may still be executed late, as long as the machine's incarnation lasts. The
+ * attempt records this in `direct_start`. */
 #pragma once
 #include "core/direct_command.h"
 #include "core/machine.h"
--- a/src/core/interruption_notice.c
+++ b/src/core/interruption_notice.c
@@ -11,8 +11,8 @@
   const FtJobSpec *spec = attempt->job->spec;
   gint64 now = attempt->machine->context->now;
   double ran_s = attempt->running ? (double) (now - attempt->running_at) / FT_SECOND : 0;
-  if (spec->checkpoint_s > 0 && attempt->running)
-    ft_attempt_request_stop (attempt, spec->save_s);
+  if (spec->checkpoint_interval_s > 0 && attempt->running)
+    ft_attempt_request_stop (attempt, spec->checkpoint_duration_s);
   else if (ran_s + notice_s < FT_NOTICE_RESTART_SHARE * spec->estimate_s)
     ft_attempt_request_stop (attempt, 0);
 }
--- a/src/core/machine.c
+++ b/src/core/machine.c
@@ -8,7 +8,7 @@
 void
 ft_machine_queues_init (FtMachineQueues *queues)
 {
-  g_queue_init (&queues->directs);
+  g_queue_init (&queues->direct_requests);
   g_queue_init (&queues->probes);
   g_queue_init (&queues->terminating);
 }
@@ -16,7 +16,7 @@
 void
 ft_machine_queues_clear (FtMachineQueues *queues)
 {
-  g_queue_clear (&queues->directs);
+  g_queue_clear (&queues->direct_requests);
   g_queue_clear (&queues->probes);
   g_queue_clear (&queues->terminating);
 }
@@ -59,10 +59,10 @@
 void
 ft_machine_queue_direct_request (FtMachine *machine)
 {
-  if (machine->requests.direct_queued || machine->state == FT_MACHINE_GONE)
+  if (machine->requests.direct_request_queued || machine->state == FT_MACHINE_GONE)
     return;
-  machine->requests.direct_queued = TRUE;
-  g_queue_push_tail (&machine->queues->directs, machine);
+  machine->requests.direct_request_queued = TRUE;
+  g_queue_push_tail (&machine->queues->direct_requests, machine);
 }
 
 void
@@ -79,8 +79,8 @@
 {
   if (machine->requests.probe_queued)
     g_queue_remove (&machine->queues->probes, machine);
-  if (machine->requests.direct_queued)
-    g_queue_remove (&machine->queues->directs, machine);
+  if (machine->requests.direct_request_queued)
+    g_queue_remove (&machine->queues->direct_requests, machine);
   g_hash_table_unref (machine->attempts);
   g_hash_table_unref (machine->images);
   g_free (machine->name);
--- a/src/core/machine.h
+++ b/src/core/machine.h
@@ -32,9 +32,9 @@
 /* Queues of machines that need a request. Each queue holds a machine at most once. The scheduler owns the queues;
  * this module fills them. */
 typedef struct {
-  GQueue directs;     /* FtMachine that may need a direct request; consumed by ft_direct_commands_next() */
-  GQueue probes;      /* FtMachine that may need a probe; consumed by ft_probes_next() */
-  GQueue terminating; /* FtMachine in FT_MACHINE_TERMINATING; read by ft_cloud_calls_next() */
+  GQueue direct_requests; /* FtMachine that may need a direct request; consumed by ft_direct_commands_next() */
+  GQueue probes;          /* FtMachine that may need a probe; consumed by ft_probes_next() */
+  GQueue terminating;     /* FtMachine in FT_MACHINE_TERMINATING; read by ft_cloud_calls_next() */
 } FtMachineQueues;
 
 /* Initializes the queues as empty. */
@@ -47,11 +47,12 @@
  * two are independent of each other. They are also independent of the queues: work that is decided on while a command
  * is in flight puts the machine into a queue again. */
 typedef struct {
-  gboolean direct_queued;     /* the machine is in FtMachineQueues.directs; set by ft_machine_queue_direct_request() */
-  gboolean probe_queued;      /* the machine is in FtMachineQueues.probes; set by ft_machine_queue_probe() */
-  gboolean command_in_flight; /* a direct request or a probe has been sent and is not answered */
-  gboolean return_in_flight;  /* a cloud call to return the machine has been sent and is not answered */
-  gint64 return_at;           /* earliest time of the next cloud call to return the machine, in microseconds */
+  gboolean direct_request_queued; /* the machine is in FtMachineQueues.direct_requests; set by
+                                     ft_machine_queue_direct_request() */
+  gboolean probe_queued;          /* the machine is in FtMachineQueues.probes; set by ft_machine_queue_probe() */
+  gboolean command_in_flight;     /* a direct request or a probe has been sent and is not answered */
+  gboolean return_in_flight;      /* a cloud call to return the machine has been sent and is not answered */
+  gint64 return_at;               /* earliest time of the next cloud call to return the machine, in microseconds */
 } FtMachineRequests;
 
 /* Reasons against new starts on a machine, beside its state and its reachability. They are independent of each other:
@@ -82,7 +83,7 @@
   gboolean counted_unreconciled; /* the recovery counts the machine among the unreconciled ones */
   gboolean reconciled;           /* the machine has reported with this leader's token, or certainly runs no task */
   FtRegistryRow *row;            /* the registry row that names the machine; NULL: none yet */
-  FtRegistryRow *split_row;      /* the stored row that names the machine until `row` is stored; NULL: none */
+  FtRegistryRow *previous_row;   /* the stored row that names the machine until `row` is stored; NULL: none */
   gboolean registered;           /* a committed registry row names the machine */
   gboolean listed_running;       /* the cloud's list showed the machine as running before its first heartbeat */
   FtMachineRequests requests;
--- a/src/core/placement.c
+++ b/src/core/placement.c
@@ -120,7 +120,7 @@
   for (guint i = 0; i < job->spec->tasks; i++) {
     FtAttempt *attempt = job->tasks[i].attempt;
     if (attempt != NULL && !ft_attempt_has_exited (attempt))
-      ft_attempt_request_stop (attempt, job->spec->checkpoint_s > 0 ? job->spec->save_s : 0);
+      ft_attempt_request_stop (attempt, job->spec->checkpoint_interval_s > 0 ? job->spec->checkpoint_duration_s : 0);
   }
   return FALSE;
 }
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -10,7 +10,7 @@
 {
   const FtJob *victim_job = victim->job;
   double ran = victim->running ? (double) (now - victim->running_at) / FT_SECOND : 0;
-  if (victim_job->spec->checkpoint_s <= 0 && ran > FT_PREEMPT_RAN_SHARE * victim_job->spec->estimate_s)
+  if (victim_job->spec->checkpoint_interval_s <= 0 && ran > FT_PREEMPT_RAN_SHARE * victim_job->spec->estimate_s)
     return FALSE;
   double left = (double) (victim_job->deadline_at - now) / FT_SECOND;
   return victim_job->deadline_at == 0 || left < 0 || left > FT_PREEMPT_SLACK * victim_job->spec->estimate_s;
@@ -91,7 +91,8 @@
       break;
     g_message ("task %s/%u: stopped on %s (preempted for job %s)", victim->job_ref, victim->index,
                victim->machine->name, job->spec->ref);
-    ft_attempt_request_stop (victim, victim->job->spec->checkpoint_s > 0 ? victim->job->spec->save_s : 0);
+    ft_attempt_request_stop (
+        victim, victim->job->spec->checkpoint_interval_s > 0 ? victim->job->spec->checkpoint_duration_s : 0);
     preemption->stops_pending++;
   }
 }
--- a/src/core/registry.c
+++ b/src/core/registry.c
@@ -188,10 +188,10 @@
 
 /* Records that the machine no longer needs the row from which a split has moved it. */
 static void
-leave_split_row (FtRegistry *registry, FtMachine *machine)
+leave_previous_row (FtRegistry *registry, FtMachine *machine)
 {
-  FtRegistryRow *row = machine->split_row;
-  machine->split_row = NULL;
+  FtRegistryRow *row = machine->previous_row;
+  machine->previous_row = NULL;
   if (row != NULL && --row->moving == 0)
     queue_row_now (registry, row);
 }
@@ -205,8 +205,8 @@
   for (guint i = 0; i < row->machines->len; i++) {
     FtMachine *machine = g_ptr_array_index (row->machines, i);
     if (row->stored) {
-      leave_split_row (registry, machine);
-      machine->split_row = row;
+      leave_previous_row (registry, machine);
+      machine->previous_row = row;
       row->moving++;
     }
     join_open_row (registry, machine);
@@ -224,7 +224,7 @@
   if (g_hash_table_contains (registry->machine_table->drained, machine->name))
     g_queue_push_tail (&registry->drain_deletions, g_strdup (machine->name));
   machine->registered = FALSE;
-  leave_split_row (registry, machine);
+  leave_previous_row (registry, machine);
   if (row == NULL)
     return;
   machine->row = NULL;
@@ -283,7 +283,7 @@
   FtMachine *machine = g_hash_table_lookup (registry->machine_table->machines, name);
   if (machine == NULL || machine->row != row)
     return;
-  leave_split_row (registry, machine);
+  leave_previous_row (registry, machine);
   if (machine->registered)
     return;
   machine->registered = TRUE;
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -49,7 +49,7 @@
   scheduler->context.catalog = ft_catalog_ref (catalog);
   scheduler->context.token = token;
   scheduler->context.answer_grace_us = answer_grace_us;
-  scheduler->context.now = scheduler->context.took_over_at = scheduler->context.cancellations_known_until = now;
+  scheduler->context.now = scheduler->context.term_began_at = scheduler->context.cancellations_known_until = now;
   scheduler->context.random = g_rand_new_with_seed (seed);
   ft_tuning_defaults (&scheduler->context.tuning);
   ft_quota_init (&scheduler->quota, settings);
@@ -119,7 +119,7 @@
   ft_registry_load_entry (&scheduler->registry, row, machine);
   /* A former leader that has lost contact with the store may continue to answer the machine's heartbeats until its
    * answer grace period is over. */
-  gint64 answered_until = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
+  gint64 answered_until = scheduler->context.term_began_at + scheduler->context.answer_grace_us;
   ft_reachability_registered (&machine->reachability, answered_until, scheduler->context.now);
 }
 
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -57,7 +57,7 @@
 
 /* The progress of an open job. */
 typedef struct {
-  gboolean known; /* the job is open at this leader; if it is not, all other fields are 0 */
+  gboolean open_at_leader; /* the job is open at this leader; if it is not, all other fields are 0 */
   gboolean cancelled;
   guint done, running; /* number of tasks */
 } FtJobProgress;
--- a/src/core/scheduler_jobs.c
+++ b/src/core/scheduler_jobs.c
@@ -65,7 +65,7 @@
   const FtJob *job = ft_job_table_find (&scheduler->job_table, ref);
   if (job == NULL)
     return progress;
-  progress.known = TRUE;
+  progress.open_at_leader = TRUE;
   progress.cancelled = job->state == FT_JOB_CANCELLING;
   progress.done = ft_job_finished_tasks (job);
   progress.running = ft_job_bound_tasks (job) - job->counts[FT_TASK_STARTING];
--- a/src/core/spot_risk.c
+++ b/src/core/spot_risk.c
@@ -27,6 +27,7 @@
 {
   double task_hours = spec->tasks * spec->estimate_s / FT_HOUR_S;
   double chance = 1 - exp (-ft_spot_risk_rate (risk) * task_hours);
-  double repeated_s = spec->checkpoint_s > 0 ? MIN (spec->checkpoint_s, spec->estimate_s) : spec->estimate_s;
+  double repeated_s
+      = spec->checkpoint_interval_s > 0 ? MIN (spec->checkpoint_interval_s, spec->estimate_s) : spec->estimate_s;
   return chance * repeated_s;
 }
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -84,25 +84,25 @@
   char *team;
   FtJobKind kind;
   FtPriority priority;
-  guint tasks;              /* number of tasks */
-  double cpus;              /* CPUs of each task */
-  double gpus;              /* GPUs of each task */
-  double memory_gb;         /* memory of each task, in GB */
-  char *image;              /* container image of the tasks */
-  double image_gb;          /* size of the image, in GB */
-  GStrv types;              /* allowed machine types; NULL: any */
-  char *zone;               /* required zone; NULL: any */
-  gboolean one_zone;        /* all tasks must run in the same zone */
-  gboolean spread;          /* at most half of the tasks, rounded up, may run in the same zone */
-  gboolean spot;            /* the tasks may run on spot machines */
-  double estimate_s;        /* expected run time of a task, in seconds */
-  double checkpoint_s;      /* seconds between two checkpoints of a task; 0: it takes none */
-  double save_s;            /* seconds that a task needs to write a checkpoint */
-  double deadline_s;        /* seconds from the submission to the deadline; 0: no deadline */
-  gint64 submitted_wall_ms; /* time of day at which the job was accepted, in milliseconds */
-  GStrv dependencies;       /* refs of the jobs that must be done before this one starts; NULL: none */
-  guint dispatch_watermark; /* no task with this index or a higher one has ever been sent to a machine; the leader
-                               commits a raised watermark before it sends a task below it */
+  guint tasks;                  /* number of tasks */
+  double cpus;                  /* CPUs of each task */
+  double gpus;                  /* GPUs of each task */
+  double memory_gb;             /* memory of each task, in GB */
+  char *image;                  /* container image of the tasks */
+  double image_gb;              /* size of the image, in GB */
+  GStrv types;                  /* allowed machine types; NULL: any */
+  char *zone;                   /* required zone; NULL: any */
+  gboolean one_zone;            /* all tasks must run in the same zone */
+  gboolean spread;              /* at most half of the tasks, rounded up, may run in the same zone */
+  gboolean spot;                /* the tasks may run on spot machines */
+  double estimate_s;            /* expected run time of a task, in seconds */
+  double checkpoint_interval_s; /* seconds between two checkpoints of a task; 0: it takes none */
+  double checkpoint_duration_s; /* seconds that a task needs to write a checkpoint */
+  double deadline_s;            /* seconds from the submission to the deadline; 0: no deadline */
+  gint64 submitted_wall_ms;     /* time of day at which the job was accepted, in milliseconds */
+  GStrv dependencies;           /* refs of the jobs that must be done before this one starts; NULL: none */
+  guint dispatch_watermark;     /* no task with this index or a higher one has ever been sent to a machine; the leader
+                                   commits a raised watermark before it sends a task below it */
 } FtJobSpec;
 
 /* Frees a job spec; NULL is ignored. */
--- a/src/wire/job_rows.c
+++ b/src/wire/job_rows.c
@@ -145,8 +145,8 @@
       (int) spec->priority, FIELD_TASKS, (int) spec->tasks, FIELD_CPUS, spec->cpus, FIELD_GPUS, spec->gpus,
       FIELD_MEMORY, spec->memory_gb, FIELD_IMAGE, spec->image, FIELD_IMAGE_SIZE, spec->image_gb, FIELD_TYPES,
       text_list (spec->types), FIELD_ZONE, spec->zone, FIELD_ONE_ZONE, spec->one_zone, FIELD_SPREAD, spec->spread,
-      FIELD_SPOT, spec->spot, FIELD_ESTIMATE, spec->estimate_s, FIELD_CHECKPOINT_INTERVAL, spec->checkpoint_s,
-      FIELD_CHECKPOINT_DURATION, spec->save_s, FIELD_DEADLINE, spec->deadline_s, FIELD_SUBMITTED,
+      FIELD_SPOT, spec->spot, FIELD_ESTIMATE, spec->estimate_s, FIELD_CHECKPOINT_INTERVAL, spec->checkpoint_interval_s,
+      FIELD_CHECKPOINT_DURATION, spec->checkpoint_duration_s, FIELD_DEADLINE, spec->deadline_s, FIELD_SUBMITTED,
       (json_int_t) spec->submitted_wall_ms, FIELD_DISPATCH_WATERMARK, (int) spec->dispatch_watermark);
   if (spec->dependencies == NULL)
     return row;
@@ -221,8 +221,8 @@
                   { FIELD_MEMORY, &spec->memory_gb },
                   { FIELD_IMAGE_SIZE, &spec->image_gb },
                   { FIELD_ESTIMATE, &spec->estimate_s },
-                  { FIELD_CHECKPOINT_INTERVAL, &spec->checkpoint_s },
-                  { FIELD_CHECKPOINT_DURATION, &spec->save_s },
+                  { FIELD_CHECKPOINT_INTERVAL, &spec->checkpoint_interval_s },
+                  { FIELD_CHECKPOINT_DURATION, &spec->checkpoint_duration_s },
                   { FIELD_DEADLINE, &spec->deadline_s } };
   for (guint i = 0; i < G_N_ELEMENTS (amounts); i++)
     if (!ft_field_amount (value, amounts[i].name, 0, G_MAXDOUBLE, amounts[i].target))
--- a/src/wire/messages.c
+++ b/src/wire/messages.c
@@ -123,8 +123,8 @@
          && ft_field_amount (body, FT_WIRE_MEMORY, 0, FT_AMOUNT_MAX, &spec->memory_gb)
          && ft_field_amount (body, FT_WIRE_IMAGE_SIZE, 0, FT_AMOUNT_MAX, &spec->image_gb)
          && ft_field_amount (body, FT_WIRE_ESTIMATE, 0, FT_AMOUNT_MAX, &spec->estimate_s)
-         && ft_field_amount (body, FT_WIRE_CHECKPOINT_INTERVAL, 0, FT_AMOUNT_MAX, &spec->checkpoint_s)
-         && ft_field_amount (body, FT_WIRE_CHECKPOINT_DURATION, 0, FT_AMOUNT_MAX, &spec->save_s)
+         && ft_field_amount (body, FT_WIRE_CHECKPOINT_INTERVAL, 0, FT_AMOUNT_MAX, &spec->checkpoint_interval_s)
+         && ft_field_amount (body, FT_WIRE_CHECKPOINT_DURATION, 0, FT_AMOUNT_MAX, &spec->checkpoint_duration_s)
          && (ft_field_is_null (body, FT_WIRE_DEADLINE)
              || ft_field_amount (body, FT_WIRE_DEADLINE, 0, FT_AMOUNT_MAX, &spec->deadline_s));
 }
--- a/tests/capture/names_8fb6b9e.hpp
+++ b/tests/capture/names_8fb6b9e.hpp
@@ -21,6 +21,8 @@
 #define FT_WRITE_REGISTRY_ROW_DELETE FT_WRITE_ROSTER_DROP
 #define FT_WRITE_WATERMARK FT_WRITE_SENT
 #define cancellations withdrawals
+#define checkpoint_duration_s save_s
+#define checkpoint_interval_s checkpoint_s
 #define dependencies awaits
 #define dispatch_watermark sent
 #define exit_reason why
--- a/tests/capture/wire_capture_read.hpp
+++ b/tests/capture/wire_capture_read.hpp
@@ -26,9 +26,10 @@
                     "priority", (int) spec->priority, "tasks", (int) spec->tasks, "cpus", spec->cpus, "gpus",
                     spec->gpus, "memory", spec->memory_gb, "image", spec->image, "image_gb", spec->image_gb, "types",
                     texts_of (spec->types), "zone", spec->zone, "one_zone", spec->one_zone, "spread", spec->spread,
-                    "spot", spec->spot, "estimate", spec->estimate_s, "checkpoint", spec->checkpoint_s, "save",
-                    spec->save_s, "deadline", spec->deadline_s, "submitted", (json_int_t) spec->submitted_wall_ms,
-                    "dependencies", texts_of (spec->dependencies), "watermark", (int) spec->dispatch_watermark);
+                    "spot", spec->spot, "estimate", spec->estimate_s, "checkpoint", spec->checkpoint_interval_s, "save",
+                    spec->checkpoint_duration_s, "deadline", spec->deadline_s, "submitted",
+                    (json_int_t) spec->submitted_wall_ms, "dependencies", texts_of (spec->dependencies), "watermark",
+                    (int) spec->dispatch_watermark);
 }
 
 inline json_t *
--- a/tests/test_fault_interactions_store.cpp
+++ b/tests/test_fault_interactions_store.cpp
@@ -65,7 +65,7 @@
     if (!taker->leads () || ft_scheduler_is_loaded (taker->scheduler ()))
       return;
     between = std::all_of (day.refs.begin (), day.refs.end (), [&] (const std::string &ref) {
-      return ft_scheduler_job_progress (taker->scheduler (), ref.c_str ()).known;
+      return ft_scheduler_job_progress (taker->scheduler (), ref.c_str ()).open_at_leader;
     });
     if (!between) {
       world.after (kSecond / 1000, [&, taker] { await_cancellations (taker); });
@@ -100,7 +100,7 @@
   std::function<void (Node *)> await_rows = [&] (Node *taker) {
     if (!taker->leads ())
       return;
-    bool first_page_read = ft_scheduler_job_progress (taker->scheduler (), day.refs[0].c_str ()).known;
+    bool first_page_read = ft_scheduler_job_progress (taker->scheduler (), day.refs[0].c_str ()).open_at_leader;
     if (first_page_read && acquired == 0) {
       acquired = world.now;
       taker->store_refuses_until = acquired + 7 * kSecond;
--- a/tests/test_module_attempt.cpp
+++ b/tests/test_module_attempt.cpp
@@ -54,7 +54,7 @@
     EXPECT_TRUE (ft_attempt_stop_requested (attempt));
     EXPECT_EQ (attempt->grace_s, expected);
   }
-  EXPECT_TRUE (machine->requests.direct_queued);
+  EXPECT_TRUE (machine->requests.direct_request_queued);
   ft_attempt_clear_stop (attempt);
   EXPECT_FALSE (ft_attempt_stop_requested (attempt));
 }
--- a/tests/test_scheduler_recovery.cpp
+++ b/tests/test_scheduler_recovery.cpp
@@ -15,7 +15,7 @@
   EXPECT_EQ (commit_ends (101 * kS), 0u);
   ft_scheduler_job_cancelled (harness.scheduler, "req-1", kS, 102 * kS);
   EXPECT_EQ (commit_ends (102 * kS), 1u);
-  EXPECT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").known);
+  EXPECT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").open_at_leader);
 }
 
 // The watch may deliver an event that is older than the commit of a job's end. The event must not add the job again.
@@ -26,9 +26,10 @@
   FtTaskStatus status = task_status ("req-1", 0, harness.attempt, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   g_autoptr (GArray) rest = harness.exchange (102 * kS, 3, { status });
   harness.commit_writes (102 * kS);
-  ASSERT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").known) << "the end of the job is committed";
+  ASSERT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").open_at_leader)
+      << "the end of the job is committed";
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 1), 5, 103 * kS, 0);
-  EXPECT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").known);
+  EXPECT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").open_at_leader);
   g_autoptr (GArray) again = harness.exchange (103 * kS, 4);
   EXPECT_EQ (count_commands (again, FT_COMMAND_START), 0u);
 }
--- a/tests/test_spot_risk.cpp
+++ b/tests/test_spot_risk.cpp
@@ -25,7 +25,7 @@
   EXPECT_LT (ft_spot_risk_delay_s (&risk, one), 1);
   EXPECT_GT (ft_spot_risk_delay_s (&risk, many), 30);
   EXPECT_LE (ft_spot_risk_delay_s (&risk, many), 60);
-  many->checkpoint_s = 10;
+  many->checkpoint_interval_s = 10;
   EXPECT_LE (ft_spot_risk_delay_s (&risk, many), 10) << "a task repeats only its work since the last checkpoint";
 }
 
@@ -39,12 +39,12 @@
   }
   // Adds a job with that many tasks and returns the machine on which its first task is placed.
   std::string
-  place_job (guint tasks, double checkpoint_s)
+  place_job (guint tasks, double checkpoint_interval_s)
   {
     FtJobSpec *wanted = new_job_spec ("req-1", tasks);
     wanted->cpus = 1;
     wanted->estimate_s = 60;
-    wanted->checkpoint_s = checkpoint_s;
+    wanted->checkpoint_interval_s = checkpoint_interval_s;
     wanted->priority = FT_PRIORITY_NORMAL;
     ft_scheduler_job_added (scheduler, wanted, 5, 101 * kS, 0);
     ft_scheduler_place (scheduler, 101 * kS, TRUE);
