--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -62,8 +62,8 @@
   autoscaler->next_autoscale = context->now + ft_seconds (FT_AUTOSCALE_EVERY_S);
   observe_spot_machines (autoscaler);
   ft_scale_out_plan (autoscaler->placement, autoscaler->machine_table, &autoscaler->pools);
-  gboolean any_jobs = g_hash_table_size (autoscaler->job_table->jobs) > 0;
-  ft_scale_in_idle (autoscaler->machine_table, &autoscaler->pools, any_jobs);
+  gboolean has_open_jobs = g_hash_table_size (autoscaler->job_table->jobs) > 0;
+  ft_scale_in_idle (autoscaler->machine_table, &autoscaler->pools, has_open_jobs);
 }
 
 FtCloudCall *
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -69,7 +69,7 @@
   X ("lease_time", lease_s, "s", 2.0, 60.0, FT_LEASE_S, "how long a leader may act after a renewal was sent")          \
   X ("sweep_period", sweep_s, "s", 0.5, 30.0, FT_SWEEP_S, "how often a follower looks at the lease")                   \
   X ("sweep_jitter", sweep_jitter, "share", 0.0, 0.5, FT_SWEEP_JITTER, "by how much each sweep is moved at random")    \
-  X ("renewal_fraction", renew_fraction, "count", 2.0, 10.0, FT_RENEW_FRACTION, "renewals sent in one lease time")     \
+  X ("renewal_fraction", renewals_per_lease, "count", 2.0, 10.0, FT_RENEW_FRACTION, "renewals sent in one lease time") \
   X ("sample_size", sample_size, "machines", 1.0, 500.0, FT_SAMPLE_SIZE, "machines with room compared in placing")     \
   X ("idle_time_spot", idle_spot_s, "s", 0.0, 3600.0, FT_IDLE_SPOT_S, "idle time before a spot machine is returned")   \
   X ("idle_time_ordinary", idle_ordinary_s, "s", 0.0, 3600.0, FT_IDLE_ORDINARY_S, "the same for an ordinary machine")  \
@@ -159,7 +159,7 @@
 /* Seconds by which an answer of the key-value store must be newer than the last report from an unreachable zone
  * before machines of the zone are terminated for silence: the newer answer shows that this leader is not cut off
  * together with the zone. */
-#define FT_ZONE_STORE_SEEN_S 1.0
+#define FT_ZONE_STORE_ANSWERED_LATER_S 1.0
 /* Successive task failures that must count against a machine before it is quarantined: a single failure may be
  * chance. */
 #define FT_QUARANTINE_FAULTS 2
@@ -208,7 +208,7 @@
 #define FT_STORE_UNREACHABLE_REPORTING_RATIO 2
 /* Seconds since its last answer after which the cloud counts as unreachable: the leader calls it every 4 s with a
  * time limit of 5 s. */
-#define FT_CLOUD_SEEN_S 12.0
+#define FT_CLOUD_ANSWERED_WITHIN_S 12.0
 /* Lowest fetch rate of images, in GB per second, that placement assumes: a catalog may give no rate. */
 #define FT_FETCH_RATE_MIN 1e-3
 /* Share of the fetch time of an image that remains on average on a machine that is already fetching the image. */
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -85,7 +85,7 @@
 }
 
 void
-ft_direct_commands_settle (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result)
+ft_direct_commands_apply_result (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result)
 {
   for (guint i = 0; i < direct->commands->len; i++) {
     const FtCommand *command = &g_array_index (direct->commands, FtCommand, i);
--- a/src/core/direct_commands.h
+++ b/src/core/direct_commands.h
@@ -15,4 +15,4 @@
 gboolean ft_direct_commands_wanted (const FtMachine *machine);
 
 /* Records the result of a request to the machine in the attempts whose starts it carried. */
-void ft_direct_commands_settle (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result);
+void ft_direct_commands_apply_result (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result);
--- a/src/core/job_table.c
+++ b/src/core/job_table.c
@@ -202,7 +202,7 @@
 }
 
 void
-ft_job_table_cancellation_advised (FtJobTable *table, const char *ref)
+ft_job_table_advisory_cancellation (FtJobTable *table, const char *ref)
 {
   FtJob *job = ft_job_table_find (table, ref);
   if (job != NULL)
--- a/src/core/job_table.h
+++ b/src/core/job_table.h
@@ -55,7 +55,7 @@
 
 /* Cancels the job, since a peer reports it as cancelled. The report is advisory: the job's tasks are stopped, but its
  * rows stay in the store until the row of the cancellation has been read. */
-void ft_job_table_cancellation_advised (FtJobTable *table, const char *ref);
+void ft_job_table_advisory_cancellation (FtJobTable *table, const char *ref);
 
 /* Cancels the job: none of its tasks is started any more, and its attempts are stopped. `at` is the time at which the
  * cancellation was committed, as far as is known, in microseconds. */
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -4,14 +4,14 @@
 #include "core/lease_suspicion.h"
 
 struct _FtLease {
-  char *member;           /* name of this controller */
-  guint64 incarnation;    /* random number of this process */
-  gint64 lease_us;        /* lease time that the next claim or renewal writes */
-  gint64 sweep_us;        /* time between two reads of the rows by a follower */
-  gint64 answer_grace_us; /* longest time since contact with the store in which heartbeats may be answered */
-  gint64 sent_lease_us;   /* lease time that the last claim or renewal wrote */
-  double jitter;          /* share by which the time between two sweeps varies at random */
-  double renew_fraction;  /* number of renewals within one lease time */
+  char *member;              /* name of this controller */
+  guint64 incarnation;       /* random number of this process */
+  gint64 lease_us;           /* lease time that the next claim or renewal writes */
+  gint64 sweep_us;           /* time between two reads of the rows by a follower */
+  gint64 answer_grace_us;    /* longest time since contact with the store in which heartbeats may be answered */
+  gint64 sent_lease_us;      /* lease time that the last claim or renewal wrote */
+  double jitter;             /* share by which the time between two sweeps varies at random */
+  double renewals_per_lease; /* number of renewals within one lease time */
   GRand *random;
   FtLeaseState state; /* changed by set_state() only */
 
@@ -52,18 +52,18 @@
   lease->sweep_us = sweep_us;
   lease->answer_grace_us = answer_grace_us;
   lease->jitter = FT_SWEEP_JITTER;
-  lease->renew_fraction = FT_RENEW_FRACTION;
+  lease->renewals_per_lease = FT_RENEW_FRACTION;
   lease->random = g_rand_new_with_seed (seed);
   return lease;
 }
 
 void
-ft_lease_set_times (FtLease *lease, gint64 lease_us, gint64 sweep_us, double jitter, double renew_fraction)
+ft_lease_set_times (FtLease *lease, gint64 lease_us, gint64 sweep_us, double jitter, double renewals_per_lease)
 {
   lease->lease_us = lease_us;
   lease->sweep_us = sweep_us;
   lease->jitter = jitter;
-  lease->renew_fraction = renew_fraction;
+  lease->renewals_per_lease = renewals_per_lease;
 }
 
 gint64
@@ -223,7 +223,8 @@
 static gint64
 renewal_overdue_us (const FtLease *lease, gint64 lease_us)
 {
-  return (gint64) ((double) lease_us / lease->renew_fraction * (1 + FT_CLOCK_DRIFT) + FT_SUSPECT_MARGIN_S * FT_SECOND);
+  return (gint64) ((double) lease_us / lease->renewals_per_lease * (1 + FT_CLOCK_DRIFT)
+                   + FT_SUSPECT_MARGIN_S * FT_SECOND);
 }
 
 gboolean
@@ -269,7 +270,7 @@
   lease->valid_until
       = MAX (lease->valid_until, sent_at + (gint64) (lease->sent_lease_us * (1 - FT_CLOCK_DRIFT)) - margin);
   lease->last_contact = MAX (lease->last_contact, sent_at);
-  lease->next_renewal = sent_at + (gint64) (lease->lease_us / lease->renew_fraction);
+  lease->next_renewal = sent_at + (gint64) (lease->lease_us / lease->renewals_per_lease);
 }
 
 void
@@ -302,7 +303,7 @@
 ft_lease_renew_sent (FtLease *lease, gint64 now)
 {
   lease->sent_lease_us = lease->lease_us;
-  lease->next_renewal = now + (gint64) (lease->lease_us / lease->renew_fraction);
+  lease->next_renewal = now + (gint64) (lease->lease_us / lease->renewals_per_lease);
 }
 
 void
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -55,9 +55,9 @@
 
 /* Changes the settings of the lease; allowed in any state. A holder works with the lease time that its last renewal
  * wrote, and a follower with the longer one of its own lease time and that of the renewal row. `jitter` is the share by
- * which the time between two reads of the rows varies at random. `renew_fraction` is the number of renewals that are
- * sent within one lease time. */
-void ft_lease_set_times (FtLease *lease, gint64 lease_us, gint64 sweep_us, double jitter, double renew_fraction);
+ * which the time between two reads of the rows varies at random. `renewals_per_lease` is the number of renewals that
+ * are sent within one lease time. */
+void ft_lease_set_times (FtLease *lease, gint64 lease_us, gint64 sweep_us, double jitter, double renewals_per_lease);
 /* Returns the lease time that a claim or a renewal sent now has to write, in microseconds. */
 gint64 ft_lease_time (const FtLease *lease);
 
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -69,7 +69,8 @@
 static gboolean
 cloud_answers (const FtCoreContext *context)
 {
-  return context->cloud_answered_at > 0 && context->now - context->cloud_answered_at < ft_seconds (FT_CLOUD_SEEN_S);
+  return context->cloud_answered_at > 0
+         && context->now - context->cloud_answered_at < ft_seconds (FT_CLOUD_ANSWERED_WITHIN_S);
 }
 
 /* Whether the store has been unreachable for so long that any task may have been cancelled without this leader's
@@ -101,7 +102,7 @@
 zone_alone_lost (const FtCoreContext *context, const FtZone *zone)
 {
   gint64 silent_since = MAX (zone->last_report_at, context->loaded_at);
-  return context->cancellations_known_until > silent_since + ft_seconds (FT_ZONE_STORE_SEEN_S);
+  return context->cancellations_known_until > silent_since + ft_seconds (FT_ZONE_STORE_ANSWERED_LATER_S);
 }
 
 /* Whether one more machine may be terminated for silence in the current window. Starts a new window if the current one
--- a/src/core/scale_in.c
+++ b/src/core/scale_in.c
@@ -5,7 +5,7 @@
 /* Whether the machine may be returned: it has been idle for long enough, and has run for the shortest time that the
  * cloud charges. */
 static gboolean
-may_return (const FtMachine *machine)
+is_scale_in_candidate (const FtMachine *machine)
 {
   const FtCoreContext *context = machine->context;
   double idle_s = machine->spot ? context->tuning.idle_spot_s : context->tuning.idle_ordinary_s;
@@ -28,10 +28,10 @@
 }
 
 void
-ft_scale_in_idle (FtMachineTable *table, const FtCloudPools *pools, gboolean any_jobs)
+ft_scale_in_idle (FtMachineTable *table, const FtCloudPools *pools, gboolean has_open_jobs)
 {
   FtCapacitySupply supply = ft_capacity_supply_compute (table, pools, NULL);
-  double standby = any_jobs ? FT_STANDBY_MACHINES : 0;
+  double standby = has_open_jobs ? FT_STANDBY_MACHINES : 0;
   double spare = supply.free - ft_capacity_headroom (table->context) * supply.in_use - standby;
   if (spare < 1)
     return;
@@ -40,7 +40,7 @@
   gpointer value;
   g_hash_table_iter_init (&it, table->machines);
   while (g_hash_table_iter_next (&it, NULL, &value))
-    if (may_return (value))
+    if (is_scale_in_candidate (value))
       g_ptr_array_add (idle, value);
   g_ptr_array_sort (idle, compare_return_order);
   for (guint i = 0; i < idle->len && spare >= 1; i++, spare--)
--- a/src/core/scale_in.h
+++ b/src/core/scale_in.h
@@ -7,6 +7,6 @@
 #include "core/cloud_pool.h"
 #include "core/machine_table.h"
 
-/* Terminates machines that have been idle for long enough and exceed the reserve. `any_jobs`: whether there are open
- * jobs, in which case FT_STANDBY_MACHINES stay idle in addition to the reserve. */
-void ft_scale_in_idle (FtMachineTable *table, const FtCloudPools *pools, gboolean any_jobs);
+/* Terminates machines that have been idle for long enough and exceed the reserve. `has_open_jobs`: whether there are
+ * open jobs, in which case FT_STANDBY_MACHINES stay idle in addition to the reserve. */
+void ft_scale_in_idle (FtMachineTable *table, const FtCloudPools *pools, gboolean has_open_jobs);
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -193,7 +193,7 @@
 }
 
 void
-ft_scheduler_cancellations_known (FtScheduler *scheduler, gint64 at)
+ft_scheduler_set_cancellations_known_until (FtScheduler *scheduler, gint64 at)
 {
   scheduler->context.cancellations_known_until = MAX (scheduler->context.cancellations_known_until, at);
 }
--- a/src/core/scheduler.h
+++ b/src/core/scheduler.h
@@ -76,11 +76,11 @@
 GArray *ft_scheduler_answer (FtScheduler *scheduler, const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* Returns the next command or probe to send to a worker, which the caller frees; NULL: there is none. */
-FtDirectRequest *ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now);
+FtDirectRequest *ft_scheduler_next_direct_request (FtScheduler *scheduler, gint64 now);
 /* A direct request has ended. `heartbeat`: the status in the worker's answer; may be NULL. Returns FALSE if the status
  * shows a higher token: the caller must step down. */
-gboolean ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirectRequest *direct, FtDirectResult result,
-                                   const FtWorkerHeartbeat *heartbeat, gint64 now);
+gboolean ft_scheduler_direct_request_done (FtScheduler *scheduler, const FtDirectRequest *direct, FtDirectResult result,
+                                           const FtWorkerHeartbeat *heartbeat, gint64 now);
 
 /* ---- cloud ---- */
 /* The cloud has answered with its complete list of machines (FtListedMachine). */
@@ -119,9 +119,9 @@
 void ft_scheduler_place (FtScheduler *scheduler, gint64 now, gboolean may_start);
 /* A peer reports that the job is cancelled. The report is advisory: the job's tasks are stopped, but its rows stay
  * until the cancellation is read from the store. */
-void ft_scheduler_cancellation_advised (FtScheduler *scheduler, const char *ref, gint64 now);
+void ft_scheduler_advisory_cancellation (FtScheduler *scheduler, const char *ref, gint64 now);
 /* All cancellations that were committed before `at` have been passed to ft_scheduler_job_cancelled(). */
-void ft_scheduler_cancellations_known (FtScheduler *scheduler, gint64 at);
+void ft_scheduler_set_cancellations_known_until (FtScheduler *scheduler, gint64 at);
 /* This controller does not answer heartbeats at present, so that missing heartbeats prove nothing about a machine. */
 void ft_scheduler_not_answering (FtScheduler *scheduler, gint64 now);
 /* This controller was late in processing heartbeats, so that the silence of a machine up to `now` proves nothing. */
--- a/src/core/scheduler_jobs.c
+++ b/src/core/scheduler_jobs.c
@@ -52,10 +52,10 @@
 }
 
 void
-ft_scheduler_cancellation_advised (FtScheduler *scheduler, const char *ref, gint64 now)
+ft_scheduler_advisory_cancellation (FtScheduler *scheduler, const char *ref, gint64 now)
 {
   scheduler->context.now = now;
-  ft_job_table_cancellation_advised (&scheduler->job_table, ref);
+  ft_job_table_advisory_cancellation (&scheduler->job_table, ref);
 }
 
 FtJobProgress
--- a/src/core/scheduler_workers.c
+++ b/src/core/scheduler_workers.c
@@ -46,7 +46,7 @@
 }
 
 FtDirectRequest *
-ft_scheduler_next_direct (FtScheduler *scheduler, gint64 now)
+ft_scheduler_next_direct_request (FtScheduler *scheduler, gint64 now)
 {
   scheduler->context.now = now;
   /* A probe that gets no answer stays in flight for a long time, so commands are sent first. */
@@ -62,12 +62,12 @@
   ft_machine_queue_direct_request (machine); /* commands may have become due while the request was in flight */
   if (result == FT_DIRECT_UNANSWERED)
     ft_probes_unanswered (machine);
-  ft_direct_commands_settle (machine, direct, result);
+  ft_direct_commands_apply_result (machine, direct, result);
 }
 
 gboolean
-ft_scheduler_direct_done (FtScheduler *scheduler, const FtDirectRequest *direct, FtDirectResult result,
-                          const FtWorkerHeartbeat *heartbeat, gint64 now)
+ft_scheduler_direct_request_done (FtScheduler *scheduler, const FtDirectRequest *direct, FtDirectResult result,
+                                  const FtWorkerHeartbeat *heartbeat, gint64 now)
 {
   scheduler->context.now = now;
   FtMachine *machine = ft_machine_table_find (&scheduler->machine_table, direct->machine);
--- a/src/core/tuning.c
+++ b/src/core/tuning.c
@@ -66,7 +66,7 @@
     return g_strdup_printf ("lease_time above %.1f s: a leader without the state service could start tasks of jobs "
                             "whose withdrawal it cannot see in time",
                             MAX (grace_s, FT_LEASE_S));
-  double left_s = tuning->lease_s - tuning->lease_s / tuning->renew_fraction - FT_LEASE_MARGIN_S;
+  double left_s = tuning->lease_s - tuning->lease_s / tuning->renewals_per_lease - FT_LEASE_MARGIN_S;
   if (left_s < FT_RENEW_SLACK_S)
     return g_strdup_printf ("lease_time and renewal_fraction leave %.2f s after a renewal that is lost; %.2f s are "
                             "needed, or a healthy leader loses its lease",
--- a/src/core/tuning.h
+++ b/src/core/tuning.h
@@ -7,7 +7,7 @@
 
 /* The values, in the units of the table. */
 typedef struct {
-  double lease_s, sweep_s, sweep_jitter, renew_fraction;
+  double lease_s, sweep_s, sweep_jitter, renewals_per_lease;
   double sample_size;
   double idle_spot_s, idle_ordinary_s, headroom_per_boot_s;
   double spot_share;
--- a/src/net/controller.c
+++ b/src/net/controller.c
@@ -51,7 +51,7 @@
   const FtNode *node = data;
   FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   ft_lease_set_times (node->lease, (gint64) (tuning->lease_s * FT_SECOND), (gint64) (tuning->sweep_s * FT_SECOND),
-                      tuning->sweep_jitter, tuning->renew_fraction);
+                      tuning->sweep_jitter, tuning->renewals_per_lease);
   if (scheduler != NULL)
     ft_scheduler_set_tuning (scheduler, tuning);
 }
--- a/src/net/leader_commands.c
+++ b/src/net/leader_commands.c
@@ -45,7 +45,8 @@
     ft_metrics_count (node->metrics, FT_COUNT_DIRECT_UNANSWERED);
   else
     ft_metrics_record_latency (node->metrics, FT_LATENCY_DIRECT, g_get_monotonic_time () - request->created_at);
-  if (!ft_scheduler_direct_done (request->term->scheduler, direct, result, heartbeat, g_get_monotonic_time ())) {
+  if (!ft_scheduler_direct_request_done (request->term->scheduler, direct, result, heartbeat,
+                                         g_get_monotonic_time ())) {
     request->superseded_reason = "a worker has seen a higher fencing token";
     return FT_LEADER_OUTCOME_SUPERSEDED;
   }
@@ -100,7 +101,7 @@
 ft_leader_commands_send (FtLeaderCommands *commands, gint64 now)
 {
   while (commands->in_flight < FT_DIRECT_MAX) {
-    FtDirectRequest *direct = ft_scheduler_next_direct (commands->term->scheduler, now);
+    FtDirectRequest *direct = ft_scheduler_next_direct_request (commands->term->scheduler, now);
     if (direct == NULL)
       return;
     CommandRequest *request = ft_leader_request_new (commands->term, &command_kind, commands);
--- a/src/net/leader_rows.c
+++ b/src/net/leader_rows.c
@@ -85,7 +85,7 @@
 ft_leader_rows_cancellations_known (FtLeaderRows *rows, gint64 at)
 {
   ft_lease_cancellations_known (rows->term->node->lease, at);
-  ft_scheduler_cancellations_known (rows->term->scheduler, at);
+  ft_scheduler_set_cancellations_known_until (rows->term->scheduler, at);
 }
 
 void
--- a/src/net/node_peers.c
+++ b/src/net/node_peers.c
@@ -41,7 +41,7 @@
 {
   FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   if (scheduler != NULL)
-    ft_scheduler_cancellation_advised (scheduler, ref, g_get_monotonic_time ());
+    ft_scheduler_advisory_cancellation (scheduler, ref, g_get_monotonic_time ());
 }
 
 static void
--- a/tests/sim/node_lease.cpp
+++ b/tests/sim/node_lease.cpp
@@ -23,7 +23,7 @@
     return;
   auto receive = [ref] (Node *node) {
     if (node->alive && node->leads ())
-      ft_scheduler_cancellation_advised (node->scheduler (), ref.c_str (), node->clock ());
+      ft_scheduler_advisory_cancellation (node->scheduler (), ref.c_str (), node->clock ());
   };
   receive (this);
   for (auto &peer : world_.nodes)
--- a/tests/sim/node_load.cpp
+++ b/tests/sim/node_load.cpp
@@ -71,7 +71,7 @@
 Node::cancellations_known (Time at)
 {
   ft_lease_cancellations_known (lease_.get (), at);
-  ft_scheduler_cancellations_known (scheduler_.get (), at);
+  ft_scheduler_set_cancellations_known_until (scheduler_.get (), at);
 }
 
 // Watches the rows of open jobs. At most one request is in flight.
--- a/tests/sim/node_workers.cpp
+++ b/tests/sim/node_workers.cpp
@@ -44,7 +44,7 @@
 void
 Node::send_direct_commands ()
 {
-  while (FtDirectRequest *direct = ft_scheduler_next_direct (scheduler_.get (), clock ()))
+  while (FtDirectRequest *direct = ft_scheduler_next_direct_request (scheduler_.get (), clock ()))
     send_direct_command (DirectCommand (direct, ft_direct_request_free));
 }
 
@@ -89,7 +89,7 @@
 Node::direct_command_finished (const DirectCommand &direct, guint status, const FtWorkerHeartbeat *heartbeat)
 {
   FtDirectResult result = status == 200 ? FT_DIRECT_OK : status == 409 ? FT_DIRECT_CONFLICT : FT_DIRECT_UNANSWERED;
-  if (ft_scheduler_direct_done (scheduler_.get (), direct.get (), result, heartbeat, clock ()))
+  if (ft_scheduler_direct_request_done (scheduler_.get (), direct.get (), result, heartbeat, clock ()))
     run_leader ();
   else
     step_down ();
--- a/tests/test_dependency.cpp
+++ b/tests/test_dependency.cpp
@@ -94,7 +94,7 @@
   pipeline.add (new_job_spec ("req-1", 1), 101 * kS, 5);
   pipeline.add (new_dependent_spec ("req-2", { "req-1" }), 101 * kS, 6);
   pipeline.add (new_dependent_spec ("req-3", { "req-2" }), 101 * kS, 7);
-  ft_scheduler_cancellation_advised (pipeline.scheduler, "req-1", 102 * kS);
+  ft_scheduler_advisory_cancellation (pipeline.scheduler, "req-1", 102 * kS);
   g_autoptr (GPtrArray) none = pipeline.writes (102 * kS);
   EXPECT_FALSE (pipeline.has (none, FT_WRITE_JOB_CANCELLED, "req-2"))
       << "an advisory is no evidence of a committed cancellation";
--- a/tests/test_module_job_table.cpp
+++ b/tests/test_module_job_table.cpp
@@ -53,7 +53,7 @@
 {
   FtJob *job = add_job (new_job_spec ("req-1", 1));
   FtJob *dependent = add_job (new_dependent_spec ("req-2", { "req-1" }));
-  ft_job_table_cancellation_advised (&job_table, "req-1");
+  ft_job_table_advisory_cancellation (&job_table, "req-1");
   EXPECT_EQ (job->state, FT_JOB_CANCELLING);
   EXPECT_FALSE (job->cancellation_read);
   EXPECT_FALSE (dependent->dependency_cancelled);
--- a/tests/test_scheduler_commands.cpp
+++ b/tests/test_scheduler_commands.cpp
@@ -14,7 +14,7 @@
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 1), 5, 100 * kS, 0);
   g_autoptr (GArray) first = harness.exchange (101 * kS, 1);
   EXPECT_EQ (first->len, 0u);
-  EXPECT_EQ (ft_scheduler_next_direct (harness.scheduler, 101 * kS), nullptr);
+  EXPECT_EQ (ft_scheduler_next_direct_request (harness.scheduler, 101 * kS), nullptr);
   harness.commit_writes (101 * kS);
   g_autoptr (GArray) second = harness.exchange (102 * kS, 2);
   EXPECT_EQ (count_commands (second, FT_COMMAND_START), 1u);
@@ -48,9 +48,9 @@
   OneMachine harness;
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 1), 5, 101 * kS, 0);
   ft_scheduler_place (harness.scheduler, 101 * kS, TRUE);
-  FtDirectRequest *direct = ft_scheduler_next_direct (harness.scheduler, 101 * kS);
+  FtDirectRequest *direct = ft_scheduler_next_direct_request (harness.scheduler, 101 * kS);
   ASSERT_NE (direct, nullptr);
-  ft_scheduler_direct_done (harness.scheduler, direct, FT_DIRECT_UNANSWERED, nullptr, 103 * kS);
+  ft_scheduler_direct_request_done (harness.scheduler, direct, FT_DIRECT_UNANSWERED, nullptr, 103 * kS);
   ft_direct_request_free (direct);
   FtJob *job = harness.job ("req-1");
   ft_attempt_request_stop (job->tasks[0].attempt, 0);
--- a/tests/test_scheduler_heartbeats.cpp
+++ b/tests/test_scheduler_heartbeats.cpp
@@ -24,7 +24,7 @@
   ft_scheduler_tick (harness.scheduler, at, TRUE);
   EXPECT_EQ (machine->state, FT_MACHINE_UP)
       << "the store has not answered since 100 s, so this leader may be partitioned itself";
-  ft_scheduler_cancellations_known (harness.scheduler, at);
+  ft_scheduler_set_cancellations_known_until (harness.scheduler, at);
   ft_scheduler_tick (harness.scheduler, at, TRUE);
   EXPECT_EQ (machine->state, FT_MACHINE_TERMINATING);
 }
@@ -45,7 +45,7 @@
   harness.second_machine_up (at);
   ft_scheduler_tick (harness.scheduler, at, TRUE);
   EXPECT_EQ (harness.machine ("n-1")->state, FT_MACHINE_UP) << "the store has not answered since 100 s";
-  ft_scheduler_cancellations_known (harness.scheduler, at);
+  ft_scheduler_set_cancellations_known_until (harness.scheduler, at);
   ft_scheduler_tick (harness.scheduler, at, TRUE);
   EXPECT_EQ (harness.machine ("n-1")->state, FT_MACHINE_TERMINATING);
 }
@@ -113,7 +113,7 @@
   send_all_commands ()
   {
     for (bool more = true; more;) {
-      FtDirectRequest *direct = ft_scheduler_next_direct (scheduler, now);
+      FtDirectRequest *direct = ft_scheduler_next_direct_request (scheduler, now);
       more = direct != nullptr;
       ft_direct_request_free (direct);
     }
@@ -132,7 +132,7 @@
   guint before = ft_scheduler_examined (scheduler);
   ft_scheduler_place (scheduler, fleet.now, TRUE); // no pass runs, since the pause after the last pass is not over
   g_autoptr (GArray) commands = ft_scheduler_answer (scheduler, fleet.report (7, 2), fleet.now);
-  EXPECT_EQ (ft_scheduler_next_direct (scheduler, fleet.now), nullptr);
+  EXPECT_EQ (ft_scheduler_next_direct_request (scheduler, fleet.now), nullptr);
   fleet.commit_writes (fleet.now);
   EXPECT_LE (ft_scheduler_examined (scheduler) - before, 64u);
   // A tick, which includes a placement pass over the full fleet, examines machines, jobs and attempts at most 40 times
@@ -151,7 +151,7 @@
   FtTaskStatus status = task_status ("req-1", 0, harness.attempt, FT_TASK_PHASE_RUNNING, FT_EXIT_NONE);
   g_autoptr (GArray) more = harness.exchange (102 * kS, 3, { status });
   for (gint64 at = 103; at < 160; at++) {
-    ft_scheduler_cancellations_known (harness.scheduler, at * kS);
+    ft_scheduler_set_cancellations_known_until (harness.scheduler, at * kS);
     ft_scheduler_tick (harness.scheduler, at * kS, TRUE);
   }
   EXPECT_EQ (ft_scheduler_job_progress (harness.scheduler, "req-1").running, 1u);
--- a/tests/test_scheduler_recovery.cpp
+++ b/tests/test_scheduler_recovery.cpp
@@ -10,7 +10,7 @@
   ft_scheduler_loaded (harness.scheduler, 100 * kS);
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 2), 5, 100 * kS, 0);
   auto commit_ends = [&] (gint64 at) { return harness.commit_and_count (FT_WRITE_JOB_STOPPED, at); };
-  ft_scheduler_cancellation_advised (harness.scheduler, "req-1", 101 * kS);
+  ft_scheduler_advisory_cancellation (harness.scheduler, "req-1", 101 * kS);
   EXPECT_TRUE (ft_scheduler_job_progress (harness.scheduler, "req-1").cancelled);
   EXPECT_EQ (commit_ends (101 * kS), 0u);
   ft_scheduler_job_cancelled (harness.scheduler, "req-1", kS, 102 * kS);
@@ -69,7 +69,7 @@
   // The task is placed at once, but its start is not sent before the dispatch watermark that covers it is committed.
   g_autoptr (GArray) none = harness.exchange (101 * kS, 2);
   EXPECT_EQ (none->len, 0u);
-  EXPECT_EQ (ft_scheduler_next_direct (harness.scheduler, 101 * kS), nullptr);
+  EXPECT_EQ (ft_scheduler_next_direct_request (harness.scheduler, 101 * kS), nullptr);
   harness.commit_writes (101 * kS);
   g_autoptr (GArray) starts = harness.exchange (102 * kS, 3);
   ASSERT_EQ (count_commands (starts, FT_COMMAND_START), 1u);
--- a/tests/test_tuning.cpp
+++ b/tests/test_tuning.cpp
@@ -14,7 +14,7 @@
   EXPECT_NE (lease_error, nullptr);
   tuning.lease_s = 2;
   tuning.sweep_s = 1;
-  tuning.renew_fraction = 2;
+  tuning.renewals_per_lease = 2;
   EXPECT_EQ (ft_tuning_check (&tuning, &world.settings), nullptr);
   tuning.sweep_s = 3;
   g_autofree char *sweep_error = ft_tuning_check (&tuning, &world.settings);
--- a/tests/test_zone.cpp
+++ b/tests/test_zone.cpp
@@ -41,7 +41,7 @@
     for (int i = 0; now < end; i++) {
       now += kS / 2;
       if (store_answers)
-        ft_scheduler_cancellations_known (scheduler, now);
+        ft_scheduler_set_cancellations_known_until (scheduler, now);
       for (const std::string &zone : reporting_zones)
         if (i % 4 == 0)
           report (zone);
