--- a/src/core/autoscaler.c
+++ b/src/core/autoscaler.c
@@ -29,7 +29,8 @@
 {
   const FtCoreContext *context = autoscaler->context;
   double heartbeats_s = context->settings->heartbeat_s * FT_HEARTBEAT_GAP_INTERVALS + FT_WORKER_TIMEOUT_S;
-  return ft_recovery_is_done (autoscaler->recovery) || context->now - context->took_over_at > ft_seconds (heartbeats_s);
+  return ft_recovery_is_done (autoscaler->recovery)
+         || context->now - context->term_began_at > ft_seconds (heartbeats_s);
 }
 
 /* Adds the time since the last call to the machine-hours of the spot machines that are up. */
@@ -61,8 +62,8 @@
   autoscaler->next_autoscale = context->now + ft_seconds (FT_AUTOSCALE_EVERY_S);
   observe_spot_machines (autoscaler);
   ft_scale_out_plan (autoscaler->placement, autoscaler->machine_table, &autoscaler->pools);
-  gboolean any_jobs = g_hash_table_size (autoscaler->job_table->jobs) > 0;
-  ft_scale_in_idle (autoscaler->machine_table, &autoscaler->pools, any_jobs);
+  gboolean has_open_jobs = g_hash_table_size (autoscaler->job_table->jobs) > 0;
+  ft_scale_in_idle (autoscaler->machine_table, &autoscaler->pools, has_open_jobs);
 }
 
 FtCloudCall *
--- a/src/core/direct_commands.c
+++ b/src/core/direct_commands.c
@@ -45,8 +45,8 @@
 ft_direct_commands_next (FtMachineQueues *queues)
 {
   FtMachine *machine;
-  while ((machine = g_queue_pop_head (&queues->directs)) != NULL) {
-    machine->requests.direct_queued = FALSE;
+  while ((machine = g_queue_pop_head (&queues->direct_requests)) != NULL) {
+    machine->requests.direct_request_queued = FALSE;
     machine->context->examined_count++;
     FtDirectRequest *direct = request_to (machine);
     if (direct != NULL)
@@ -85,7 +85,7 @@
 }
 
 void
-ft_direct_commands_settle (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result)
+ft_direct_commands_apply_result (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result)
 {
   for (guint i = 0; i < direct->commands->len; i++) {
     const FtCommand *command = &g_array_index (direct->commands, FtCommand, i);
--- a/src/core/direct_commands.h
+++ b/src/core/direct_commands.h
@@ -1,8 +1,8 @@
 /* Direct commands: starts and stops that are sent to a machine without waiting for its next heartbeat.
  *
- * Machines that may need a direct request are in FtMachineQueues.directs. A machine has at most one request in flight.
- * A start that got no answer may still be executed late, as long as the machine's incarnation lasts. The attempt
- * records this in `direct_start`. */
+ * Machines that may need a direct request are in FtMachineQueues.direct_requests. A machine has at most one request in
+ * flight. A start that got no answer may still be executed late, as long as the machine's incarnation lasts. The
+ * attempt records this in `direct_start`. */
 #pragma once
 #include "core/direct_command.h"
 #include "core/machine.h"
@@ -15,4 +15,4 @@
 gboolean ft_direct_commands_wanted (const FtMachine *machine);
 
 /* Records the result of a request to the machine in the attempts whose starts it carried. */
-void ft_direct_commands_settle (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result);
+void ft_direct_commands_apply_result (FtMachine *machine, const FtDirectRequest *direct, FtDirectResult result);
--- a/src/core/machine_eviction.c
+++ b/src/core/machine_eviction.c
@@ -69,7 +69,8 @@
 static gboolean
 cloud_answers (const FtCoreContext *context)
 {
-  return context->cloud_answered_at > 0 && context->now - context->cloud_answered_at < ft_seconds (FT_CLOUD_SEEN_S);
+  return context->cloud_answered_at > 0
+         && context->now - context->cloud_answered_at < ft_seconds (FT_CLOUD_ANSWERED_WITHIN_S);
 }
 
 /* Whether the store has been unreachable for so long that any task may have been cancelled without this leader's
@@ -101,7 +102,7 @@
 zone_alone_lost (const FtCoreContext *context, const FtZone *zone)
 {
   gint64 silent_since = MAX (zone->last_report_at, context->loaded_at);
-  return context->cancellations_known_until > silent_since + ft_seconds (FT_ZONE_STORE_SEEN_S);
+  return context->cancellations_known_until > silent_since + ft_seconds (FT_ZONE_STORE_ANSWERED_LATER_S);
 }
 
 /* Whether one more machine may be terminated for silence in the current window. Starts a new window if the current one
@@ -144,7 +145,7 @@
   const FtCoreContext *context = machine->context;
   /* A controller that was late has answered heartbeats too late, which does not count against the machine. */
   return machine->state == FT_MACHINE_UP && ft_machine_not_receiving (machine)
-         && context->now - MAX (machine->reachability.not_receiving_since, context->on_time_since)
+         && context->now - MAX (machine->reachability.not_receiving_since, context->timers_late_until)
                 > ft_seconds (FT_NOT_RECEIVING_SCALE_IN_S);
 }
 
--- a/src/core/scheduler.c
+++ b/src/core/scheduler.c
@@ -49,7 +49,7 @@
   scheduler->context.catalog = ft_catalog_ref (catalog);
   scheduler->context.token = token;
   scheduler->context.answer_grace_us = answer_grace_us;
-  scheduler->context.now = scheduler->context.took_over_at = scheduler->context.cancellations_known_until = now;
+  scheduler->context.now = scheduler->context.term_began_at = scheduler->context.cancellations_known_until = now;
   scheduler->context.random = g_rand_new_with_seed (seed);
   ft_tuning_defaults (&scheduler->context.tuning);
   ft_quota_init (&scheduler->quota, settings);
@@ -119,7 +119,7 @@
   ft_registry_load_entry (&scheduler->registry, row, machine);
   /* A former leader that has lost contact with the store may continue to answer the machine's heartbeats until its
    * answer grace period is over. */
-  gint64 answered_until = scheduler->context.took_over_at + scheduler->context.answer_grace_us;
+  gint64 answered_until = scheduler->context.term_began_at + scheduler->context.answer_grace_us;
   ft_reachability_registered (&machine->reachability, answered_until, scheduler->context.now);
 }
 
@@ -158,7 +158,7 @@
   scheduler->context.now = now;
   scheduler->context.may_start = may_start;
   if (scheduler->context.last_tick > 0 && now - scheduler->context.last_tick > ft_seconds (FT_LATE_TICK_S))
-    scheduler->context.on_time_since = now;
+    scheduler->context.timers_late_until = now;
   scheduler->context.last_tick = now;
   ft_zones_update (scheduler->machine_table.zones, scheduler->machine_table.machines, &scheduler->context);
   g_hash_table_iter_init (&it, scheduler->machine_table.machines);
@@ -189,11 +189,11 @@
 void
 ft_scheduler_was_late (FtScheduler *scheduler, gint64 now)
 {
-  scheduler->context.on_time_since = now;
+  scheduler->context.timers_late_until = now;
 }
 
 void
-ft_scheduler_cancellations_known (FtScheduler *scheduler, gint64 at)
+ft_scheduler_set_cancellations_known_until (FtScheduler *scheduler, gint64 at)
 {
   scheduler->context.cancellations_known_until = MAX (scheduler->context.cancellations_known_until, at);
 }
@@ -201,7 +201,7 @@
 void
 ft_scheduler_not_answering (FtScheduler *scheduler, gint64 now)
 {
-  scheduler->context.answering_since = now;
+  scheduler->context.answers_interrupted_until = now;
 }
 
 gint64
--- a/src/core/scheduler_jobs.c
+++ b/src/core/scheduler_jobs.c
@@ -52,10 +52,10 @@
 }
 
 void
-ft_scheduler_cancellation_advised (FtScheduler *scheduler, const char *ref, gint64 now)
+ft_scheduler_advisory_cancellation (FtScheduler *scheduler, const char *ref, gint64 now)
 {
   scheduler->context.now = now;
-  ft_job_table_cancellation_advised (&scheduler->job_table, ref);
+  ft_job_table_advisory_cancellation (&scheduler->job_table, ref);
 }
 
 FtJobProgress
@@ -65,7 +65,7 @@
   const FtJob *job = ft_job_table_find (&scheduler->job_table, ref);
   if (job == NULL)
     return progress;
-  progress.known = TRUE;
+  progress.open_at_leader = TRUE;
   progress.cancelled = job->state == FT_JOB_CANCELLING;
   progress.done = ft_job_finished_tasks (job);
   progress.running = ft_job_bound_tasks (job) - job->counts[FT_TASK_STARTING];
--- a/tests/test_scheduler_recovery.cpp
+++ b/tests/test_scheduler_recovery.cpp
@@ -10,12 +10,12 @@
   ft_scheduler_loaded (harness.scheduler, 100 * kS);
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 2), 5, 100 * kS, 0);
   auto commit_ends = [&] (gint64 at) { return harness.commit_and_count (FT_WRITE_JOB_STOPPED, at); };
-  ft_scheduler_cancellation_advised (harness.scheduler, "req-1", 101 * kS);
+  ft_scheduler_advisory_cancellation (harness.scheduler, "req-1", 101 * kS);
   EXPECT_TRUE (ft_scheduler_job_progress (harness.scheduler, "req-1").cancelled);
   EXPECT_EQ (commit_ends (101 * kS), 0u);
   ft_scheduler_job_cancelled (harness.scheduler, "req-1", kS, 102 * kS);
   EXPECT_EQ (commit_ends (102 * kS), 1u);
-  EXPECT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").known);
+  EXPECT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").open_at_leader);
 }
 
 // The watch may deliver an event that is older than the commit of a job's end. The event must not add the job again.
@@ -26,9 +26,10 @@
   FtTaskStatus status = task_status ("req-1", 0, harness.attempt, FT_TASK_PHASE_EXITED, FT_EXIT_DONE);
   g_autoptr (GArray) rest = harness.exchange (102 * kS, 3, { status });
   harness.commit_writes (102 * kS);
-  ASSERT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").known) << "the end of the job is committed";
+  ASSERT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").open_at_leader)
+      << "the end of the job is committed";
   ft_scheduler_job_added (harness.scheduler, new_job_spec ("req-1", 1), 5, 103 * kS, 0);
-  EXPECT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").known);
+  EXPECT_FALSE (ft_scheduler_job_progress (harness.scheduler, "req-1").open_at_leader);
   g_autoptr (GArray) again = harness.exchange (103 * kS, 4);
   EXPECT_EQ (count_commands (again, FT_COMMAND_START), 0u);
 }
@@ -68,7 +69,7 @@
   // The task is placed at once, but its start is not sent before the dispatch watermark that covers it is committed.
   g_autoptr (GArray) none = harness.exchange (101 * kS, 2);
   EXPECT_EQ (none->len, 0u);
-  EXPECT_EQ (ft_scheduler_next_direct (harness.scheduler, 101 * kS), nullptr);
+  EXPECT_EQ (ft_scheduler_next_direct_request (harness.scheduler, 101 * kS), nullptr);
   harness.commit_writes (101 * kS);
   g_autoptr (GArray) starts = harness.exchange (102 * kS, 3);
   ASSERT_EQ (count_commands (starts, FT_COMMAND_START), 1u);
