--- a/src/net/ancestors.c
+++ b/src/net/ancestors.c
@@ -6,23 +6,23 @@
 #include "net/store_client.h"
 #include "wire/store.h"
 
-/* A breadth-first traversal of the dependency graph, from jobs to those that they need. Vertices are
- * jobs, edges their dependencies; each job is visited once. Freed when its result is reported. */
+/* A breadth-first traversal of the dependency graph, from jobs to their dependencies. Each job is visited
+ * once. The traversal is freed when its result is reported. */
 typedef struct {
   FtNode *node;
-  GQueue frontier;        /* discovered refs that are still to be visited; owned */
-  GHashTable *discovered; /* refs that were ever in `frontier`; owned */
-  GPtrArray *open;        /* of them, those that were found open; borrowed from `discovered` */
+  GQueue frontier;        /* refs that were discovered but not visited yet; owned */
+  GHashTable *discovered; /* set of all refs that were ever in `frontier`; owned */
+  GPtrArray *open;        /* refs of the visited jobs that are open; borrowed from `discovered` */
   guint visits_in_flight;
-  gint64 began;
-  gint64 oldest_read_at;    /* of the readings that the result rests on */
-  FtAncestorsResult result; /* the weightiest so far */
-  char *decisive_ref;       /* the job that decided it; NULL: none */
+  gint64 started_at;        /* monotonic, microseconds */
+  gint64 oldest_read_at;    /* time of the oldest read on which the result rests; monotonic, microseconds */
+  FtAncestorsResult result; /* the result of highest precedence so far */
+  char *decisive_ref;       /* ref of the job that led to `result`; NULL: none */
   FtAncestorsDone done;
   gpointer data;
 } Traversal;
 
-/* The visit of one job: a comparison of its revision, and reads if that does not suffice. */
+/* The visit of one job. It compares the revision of the job's row, and reads rows if that is not enough. */
 typedef struct {
   Traversal *traversal;
   char *ref;
@@ -34,7 +34,7 @@
   return ft_job_cache_find (traversal->node->job_cache, ref);
 }
 
-/* Whether a check of that age may still be relied on. */
+/* Whether the job's last check is recent enough to be used. */
 static gboolean
 is_fresh (const FtNode *node, const FtCachedJob *job, gint64 now)
 {
@@ -42,9 +42,9 @@
   return job->checked_at > 0 && now - job->checked_at < fresh_us;
 }
 
-/* Of a job that has dependencies; NULL: they were not read yet. */
+/* Returns the state of a job's dependencies. `dependencies` is NULL if they have not been read yet. */
 static FtDependencyState
-dependency_state (const FtNode *node, const GStrv dependencies)
+compute_dependency_state (const FtNode *node, const GStrv dependencies)
 {
   FtJobEnd end;
   if (dependencies == NULL)
@@ -55,9 +55,10 @@
   return FT_DEPENDENCIES_MET;
 }
 
-/* Neither the jobs that were found open nor any of their ancestors were cancelled. */
+/* Records in the job cache that neither the open jobs of the traversal nor any of their ancestors are
+ * cancelled. */
 static void
-cache_open_ancestors (const Traversal *traversal)
+cache_checked_jobs (const Traversal *traversal)
 {
   for (guint i = 0; i < traversal->open->len; i++) {
     FtCachedJob *job = cached_job (traversal, g_ptr_array_index (traversal->open, i));
@@ -65,7 +66,7 @@
       continue;
     job->checked_at = MAX (job->checked_at, traversal->oldest_read_at);
     if (job->dependency_state != FT_DEPENDENCIES_NONE)
-      job->dependency_state = dependency_state (traversal->node, job->dependencies);
+      job->dependency_state = compute_dependency_state (traversal->node, job->dependencies);
   }
 }
 
@@ -73,7 +74,7 @@
 traversal_finish (Traversal *traversal)
 {
   if (traversal->result == FT_ANCESTORS_OPEN)
-    cache_open_ancestors (traversal);
+    cache_checked_jobs (traversal);
   traversal->done (traversal->result, traversal->decisive_ref, traversal->data);
   g_queue_clear_full (&traversal->frontier, g_free);
   g_ptr_array_unref (traversal->open);
@@ -82,9 +83,9 @@
   g_free (traversal);
 }
 
-/* Results outweigh one another in the order of FtAncestorsResult. */
+/* Replaces the traversal's result if the new one has a higher precedence; see FtAncestorsResult. */
 static void
-decide (Traversal *traversal, FtAncestorsResult result, const char *ref)
+raise_result (Traversal *traversal, FtAncestorsResult result, const char *ref)
 {
   if (result <= traversal->result)
     return;
@@ -117,7 +118,7 @@
 static void
 visit_failed (Visit *visit)
 {
-  decide (visit->traversal, FT_ANCESTORS_UNKNOWN, NULL);
+  raise_result (visit->traversal, FT_ANCESTORS_UNKNOWN, NULL);
   visit_complete (visit);
 }
 
@@ -131,7 +132,7 @@
     discover (traversal, job->dependencies[i]);
 }
 
-static void read_own_row (Visit *visit);
+static void read_state_row (Visit *visit);
 
 static void
 on_open_row (FtStoreResult result, const json_t *body, gpointer data)
@@ -139,7 +140,7 @@
   Visit *visit = data;
   FtRow row;
   if (result == FT_STORE_NOT_FOUND) {
-    read_own_row (visit); /* it has ended since, and its open row was deleted */
+    read_state_row (visit); /* the job has ended meanwhile, and its open row was deleted */
     return;
   }
   FtCachedJob *job = cached_job (visit->traversal, visit->ref);
@@ -155,7 +156,8 @@
   visit_complete (visit);
 }
 
-/* The job's own row is open; which jobs it needs stands in its open row. */
+/* Continues the visit of a job whose state row is open. Its dependencies are in its open row, which is read
+ * unless the job cache has them. */
 static void
 visit_found_open (Visit *visit, const FtCachedJob *job)
 {
@@ -169,14 +171,14 @@
 }
 
 static void
-on_own_row (FtStoreResult result, const json_t *body, gpointer data)
+on_state_row (FtStoreResult result, const json_t *body, gpointer data)
 {
   Visit *visit = data;
   FtNode *node = visit->traversal->node;
   FtRow row;
   FtJobRow state;
   if (result == FT_STORE_NOT_FOUND) {
-    decide (visit->traversal, FT_ANCESTORS_MISSING, visit->ref);
+    raise_result (visit->traversal, FT_ANCESTORS_MISSING, visit->ref);
     visit_complete (visit);
   } else if (result != FT_STORE_OK || !ft_store_row (body, &row) || !ft_row_job_parse (row.value, &state)) {
     visit_failed (visit);
@@ -185,16 +187,16 @@
   } else {
     ft_job_cache_add_ended (node->job_cache, visit->ref, state.end, state.tasks);
     if (state.end == FT_JOB_END_CANCELLED)
-      decide (visit->traversal, FT_ANCESTORS_CANCELLED, visit->ref);
+      raise_result (visit->traversal, FT_ANCESTORS_CANCELLED, visit->ref);
     visit_complete (visit);
   }
 }
 
 static void
-read_own_row (Visit *visit)
+read_state_row (Visit *visit)
 {
   g_autofree char *key = ft_key_job (visit->ref);
-  ft_store_client_get (visit->traversal->node->store, key, FT_STORE_PRIORITY_READ, on_own_row, visit);
+  ft_store_client_get (visit->traversal->node->store, key, FT_STORE_PRIORITY_READ, on_state_row, visit);
 }
 
 static void
@@ -207,21 +209,21 @@
   else if (result == FT_POLL_OPEN && job != NULL)
     visit_found_open (visit, job);
   else
-    read_own_row (visit);
+    read_state_row (visit);
 }
 
-/* Whether the job need not be visited: its end is known, or it was checked of late. */
+/* Whether the job needs no visit, because the job cache has its end or a recent check. */
 static gboolean
 is_decided_by_cache (Traversal *traversal, const char *ref)
 {
   FtJobEnd end;
   if (ft_job_cache_find_end (traversal->node->job_cache, ref, &end, NULL)) {
     if (end == FT_JOB_END_CANCELLED)
-      decide (traversal, FT_ANCESTORS_CANCELLED, ref);
+      raise_result (traversal, FT_ANCESTORS_CANCELLED, ref);
     return TRUE;
   }
   const FtCachedJob *job = cached_job (traversal, ref);
-  if (job == NULL || !is_fresh (traversal->node, job, traversal->began))
+  if (job == NULL || !is_fresh (traversal->node, job, traversal->started_at))
     return FALSE;
   traversal->oldest_read_at = MIN (traversal->oldest_read_at, job->checked_at);
   return TRUE;
@@ -235,21 +237,22 @@
   visit->ref = g_strdup (ref);
   traversal->visits_in_flight++;
   if (!ft_polls_add (traversal->node->polls, ref, on_revision_compared, visit))
-    read_own_row (visit);
+    read_state_row (visit);
 }
 
 static gboolean
-is_too_late (const Traversal *traversal)
+is_past_deadline (const Traversal *traversal)
 {
-  return g_get_monotonic_time () - traversal->began > (gint64) (FT_USER_DEADLINE_S * FT_SECOND);
+  return g_get_monotonic_time () - traversal->started_at > (gint64) (FT_USER_DEADLINE_S * FT_SECOND);
 }
 
-/* Visits the jobs of the frontier, several at a time, so that they share comparisons of revisions. */
+/* Visits the jobs of the frontier, up to FT_ANCESTORS_READS_MAX at a time, so that one transaction compares
+ * the revisions of several jobs. Finishes the traversal when no visit is in flight. */
 static void
 advance (Traversal *traversal)
 {
-  if (is_too_late (traversal))
-    decide (traversal, FT_ANCESTORS_UNKNOWN, NULL);
+  if (is_past_deadline (traversal))
+    raise_result (traversal, FT_ANCESTORS_UNKNOWN, NULL);
   while (traversal->result < FT_ANCESTORS_UNKNOWN && traversal->visits_in_flight < FT_ANCESTORS_READS_MAX
          && !g_queue_is_empty (&traversal->frontier)) {
     g_autofree char *ref = g_queue_pop_head (&traversal->frontier);
@@ -267,7 +270,7 @@
   traversal->node = node;
   traversal->discovered = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   traversal->open = g_ptr_array_new ();
-  traversal->began = traversal->oldest_read_at = g_get_monotonic_time ();
+  traversal->started_at = traversal->oldest_read_at = g_get_monotonic_time ();
   traversal->done = done;
   traversal->data = data;
   return traversal;
@@ -282,8 +285,8 @@
   advance (traversal);
 }
 
-/* Whether the job needs no traversal, by what the cache has of it; if nothing that it needs can be
- * cancelled any more, that counts as a check. */
+/* Whether the job cache shows that the job needs no traversal. A job without dependencies, or whose
+ * dependencies are all done, has no ancestor that can still be cancelled: it counts as checked now. */
 static gboolean
 is_open_by_cache (const FtNode *node, FtCachedJob *job, gint64 now)
 {
--- a/src/net/ancestors.h
+++ b/src/net/ancestors.h
@@ -1,20 +1,21 @@
-/* Whether a job's ancestors, the jobs that it needs directly or through others, allow it to go on.
+/* Checks whether any ancestor of a job is cancelled. The ancestors of a job are its dependencies and,
+ * recursively, the dependencies of these.
  *
- * The answer is read from committed rows, not from what a leader has cleaned up, so that a
- * cancellation reaches users in time also while nobody leads. It may rest on rows that were read up
- * to FT_ANCESTORS_FRESH of cancel_s ago. Used by submissions and by polls. */
+ * The check reads committed rows and does not rely on a leader to cancel the dependents of a cancelled job.
+ * Users therefore see a cancellation in time even while no controller leads. A result may rest on rows that
+ * were read up to FT_ANCESTORS_FRESH * cancel_s seconds ago. Used by submissions and polls. */
 #pragma once
 #include "net/node.h"
 
 /**
  * FtAncestorsResult:
- * @FT_ANCESTORS_OPEN: none of them is cancelled, and all were accepted
- * @FT_ANCESTORS_CANCELLED: one of them is cancelled, and all that were named were accepted
- * @FT_ANCESTORS_UNKNOWN: the key-value store did not answer in time
- * @FT_ANCESTORS_MISSING: one of them was never accepted
+ * @FT_ANCESTORS_OPEN: no checked job is cancelled, and all of them were accepted
+ * @FT_ANCESTORS_CANCELLED: a checked job is cancelled, and all of them were accepted
+ * @FT_ANCESTORS_UNKNOWN: the rows could not be read in time
+ * @FT_ANCESTORS_MISSING: a checked job was never accepted
  *
- * In the order in which one outweighs another: a job that was never accepted is reported whatever
- * else was found.
+ * The result of a check. The values are in ascending order of precedence: if several apply, the check
+ * reports the last of them.
  */
 typedef enum {
   FT_ANCESTORS_OPEN,
@@ -25,27 +26,31 @@
 
 /**
  * FtAncestorsDone:
- * @result: what was found
- * @ref: (nullable): the job that is cancelled or missing, borrowed for the call
- * @data: what was passed with the check
+ * @result: the result of the check
+ * @ref: (transfer none) (nullable): the ref of the cancelled or missing job, valid during the call; %NULL
+ *   with any other result
+ * @data: the `data` argument of the check
  *
- * Called once for each check, possibly before the function that begins it returns.
+ * Called once for each check, possibly before the function that starts the check returns.
  */
 typedef void (*FtAncestorsDone) (FtAncestorsResult result, const char *ref, gpointer data);
 
 /**
  * ft_ancestors_check_named:
- * @dependencies: (nullable): the jobs that a submission names; not kept
+ * @dependencies: (transfer none) (nullable): the refs of a submission's dependencies, %NULL-terminated;
+ *   copied
  * @done: called once
+ * @data: passed to @done
  *
- * Checks the named jobs and their ancestors.
+ * Checks the given jobs and their ancestors.
  */
 void ft_ancestors_check_named (FtNode *node, const char *const *dependencies, FtAncestorsDone done, gpointer data);
 
 /**
  * ft_ancestors_check:
- * @ref: an accepted job whose own row is open as of now
+ * @ref: the ref of an accepted job whose row has just been found open
  * @done: called once
+ * @data: passed to @done
  *
  * Checks the job and its ancestors.
  */
--- a/src/net/cancellation.c
+++ b/src/net/cancellation.c
@@ -5,18 +5,19 @@
 #include "net/store_client.h"
 #include "wire/store.h"
 
-/* A cancellation that is being committed. */
+/* The callback data of a cancellation whose commit is in flight. */
 typedef struct {
   FtUserRequest *request;
   FtCancellationDone done;
 } Cancellation;
 
+/* Logs and counts a committed cancellation, and notifies the scheduler and the peers. */
 static void
-announce (const FtUserRequest *request)
+publish_cancellation (const FtUserRequest *request)
 {
   FtNode *node = request->node;
   gboolean by_dependency = request->cancel_reason == FT_CANCEL_BY_DEPENDENCY;
-  g_message ("job %s: cancelled%s", request->ref, by_dependency ? ", since one of its ancestors is" : "");
+  g_message ("job %s: cancelled%s", request->ref, by_dependency ? ", because one of its ancestors is cancelled" : "");
   ft_metrics_count (node->metrics, by_dependency ? FT_COUNT_CANCELLED_BY_DEPENDENCY : FT_COUNT_CANCELLED);
   ft_node_job_cancelled (node, request->ref);
 }
@@ -27,7 +28,7 @@
   g_autofree Cancellation *cancellation = data;
   (void) body;
   if (result == FT_STORE_OK)
-    announce (cancellation->request);
+    publish_cancellation (cancellation->request);
   cancellation->done (cancellation->request, result);
 }
 
--- a/src/net/cancellation.h
+++ b/src/net/cancellation.h
@@ -1,14 +1,17 @@
-/* Cancellation of a job, by its user or because one of its ancestors was cancelled. It is committed
- * as a compare-and-swap on the job's row, so that exactly one of its end by completion and its
- * cancellation is ever committed, whichever controller leads. */
+/* Cancellation of a job by its user or because one of its ancestors is cancelled. The cancellation is
+ * committed as a compare-and-swap on the job's row. A job may complete at the same time: exactly one of its
+ * completion and its cancellation is committed, whichever controller leads. */
 #pragma once
 #include "net/store_client.h"
 #include "net/user_request.h"
 
 /**
  * FtCancellationDone:
- * @request: (transfer full): the request of the cancellation
- * @result: %FT_STORE_OK: the job is cancelled; else see ft_job_status_read_after_commit()
+ * @request: (transfer full): the request that cancels the job
+ * @result: %FT_STORE_OK if the cancellation is committed; otherwise the callback should call
+ *   ft_job_status_read_after_commit()
+ *
+ * Called once for each ft_cancellation_commit().
  */
 typedef void (*FtCancellationDone) (FtUserRequest *request, FtStoreResult result);
 
@@ -17,9 +20,10 @@
  * @request: (transfer full): a request with a reason to cancel its job
  * @revision: the revision at which the job's row was read as open
  * @tasks: the job's number of tasks
- * @done: called once, with the request
+ * @done: called once, with @request
  *
- * Commits the cancellation, with the row by which the leader learns of it. Once it is committed, this
- * controller's scheduler and the peers are advised of it before @done is called.
+ * Commits the cancellation together with the row that the leader watches for cancellations. After the
+ * commit, and before @done is called, the function notifies this controller's scheduler, if it leads, and
+ * makes the next peer heartbeats report the cancellation.
  */
 void ft_cancellation_commit (FtUserRequest *request, guint64 revision, guint tasks, FtCancellationDone done);
--- a/src/net/job_answer.h
+++ b/src/net/job_answer.h
@@ -1,4 +1,4 @@
-/* The answers' bodies for jobs that have ended, which are final and so may be served from memory. */
+/* Bodies of the answers about ended jobs. A job's end is final, so they may be built from the job cache. */
 #pragma once
 #include <jansson.h>
 
@@ -7,19 +7,20 @@
 
 /**
  * ft_job_answer_ended:
- * @ref: the job
- * @end: how it ended
- * @tasks: its number of tasks, which counts if it is done
+ * @ref: the job's ref
+ * @end: how the job ended
+ * @tasks: the job's number of tasks; ignored if the job was cancelled
  *
- * Returns: (transfer full): the answer's body for a job that has ended
+ * Returns: (transfer full): the body of the answer about an ended job
  */
 json_t *ft_job_answer_ended (const char *ref, FtJobEnd end, guint tasks);
 
 /**
  * ft_job_answer_cached:
- * @node: the controller, whose job cache is asked
- * @ref: the job
+ * @node: the controller, whose job cache is used
+ * @ref: the job's ref
  *
- * Returns: (transfer full) (nullable): the answer's body if the job is known to have ended, else %NULL
+ * Returns: (transfer full) (nullable): the body of the answer if the job cache has the job's end; otherwise
+ *   %NULL
  */
 json_t *ft_job_answer_cached (const FtNode *node, const char *ref);
--- a/src/net/job_cache.c
+++ b/src/net/job_cache.c
@@ -4,9 +4,9 @@
 #include "core/recent_map.h"
 
 struct _FtJobCache {
-  GHashTable *open;   /* ref -> FtCachedJob, owned */
-  GQueue order;       /* refs in the order in which they were added; also of jobs forgotten since */
-  FtRecentMap *ended; /* ref -> end and number of tasks, see pack() */
+  GHashTable *open;   /* ref -> FtCachedJob; both owned */
+  GQueue order;       /* refs in order of insertion; also refs that were removed from `open` since */
+  FtRecentMap *ended; /* ref -> end and number of tasks, packed by pack_end() */
 };
 
 static void
@@ -38,7 +38,7 @@
 }
 
 static void
-drop_oldest (FtJobCache *cache)
+evict_oldest (FtJobCache *cache)
 {
   g_autofree char *oldest = g_queue_pop_head (&cache->order);
   g_hash_table_remove (cache->open, oldest);
@@ -50,7 +50,7 @@
   FtCachedJob *job = ft_job_cache_find (cache, ref);
   if (job == NULL) {
     while (g_queue_get_length (&cache->order) >= FT_JOB_CACHE_OPEN_MAX)
-      drop_oldest (cache);
+      evict_oldest (cache);
     job = g_new0 (FtCachedJob, 1);
     g_queue_push_tail (&cache->order, g_strdup (ref));
     g_hash_table_insert (cache->open, g_strdup (ref), job);
@@ -75,9 +75,9 @@
   g_hash_table_remove (cache->open, ref);
 }
 
-/* The number of tasks and, in the lowest bit, the end. */
+/* Returns a number that holds the end in its lowest bit and the number of tasks in the other bits. */
 static guint
-pack (FtJobEnd end, guint tasks)
+pack_end (FtJobEnd end, guint tasks)
 {
   return tasks * 2 + (end == FT_JOB_END_DONE);
 }
@@ -85,7 +85,7 @@
 void
 ft_job_cache_add_ended (FtJobCache *cache, const char *ref, FtJobEnd end, guint tasks)
 {
-  ft_recent_map_add (cache->ended, ref, pack (end, tasks));
+  ft_recent_map_add (cache->ended, ref, pack_end (end, tasks));
   ft_job_cache_remove_open (cache, ref);
 }
 
--- a/src/net/job_status.c
+++ b/src/net/job_status.c
@@ -15,17 +15,18 @@
 
 /* ---- answers ---- */
 
-/* An open job's counts are for display: the leader's own, or those of its last summary. */
+/* Returns the body of the answer about an open job. Its task counts are for display only: on the leader they
+ * come from the scheduler, on other controllers from the leader's last peer heartbeat. */
 static json_t *
 open_body (FtNode *node, const char *ref)
 {
   FtJobProgress progress = { 0 };
-  const FtJobProgress *summary = ft_peers_job_progress (node->peers, ref);
+  const FtJobProgress *reported = ft_peers_job_progress (node->peers, ref);
   FtScheduler *scheduler = ft_leader_scheduler (node->leader);
   if (scheduler != NULL)
     progress = ft_scheduler_view (scheduler, ref);
-  else if (summary != NULL)
-    progress = *summary;
+  else if (reported != NULL)
+    progress = *reported;
   const char *state = progress.running > 0 ? "running" : "queued";
   return ft_message_job_state (ref, state, progress.done, progress.running, TRUE);
 }
@@ -44,7 +45,7 @@
   (void) ref;
   json_t *ended = ft_job_answer_cached (request->node, request->ref);
   if (ended != NULL) {
-    ft_user_request_answer (request, FT_HTTP_OK, ended); /* another request has found it ended meanwhile */
+    ft_user_request_answer (request, FT_HTTP_OK, ended); /* another request has read the job's end meanwhile */
   } else if (result == FT_ANCESTORS_OPEN) {
     ft_user_request_answer (request, FT_HTTP_OK, open_body (request->node, request->ref));
   } else if (result == FT_ANCESTORS_CANCELLED) {
@@ -55,7 +56,7 @@
   }
 }
 
-/* Its own row is open, but one of its ancestors may have been cancelled. */
+/* Answers a request whose job's row is open. Checks the ancestors first, since one may have been cancelled. */
 static void
 answer_open (FtUserRequest *request)
 {
@@ -64,7 +65,7 @@
 
 /* ---- reading the row ---- */
 
-/* A cancelled job's number of tasks does not show in its answer. */
+/* Passes 0 as the number of tasks, since the answer about a cancelled job does not contain it. */
 static void
 on_cancelled (FtUserRequest *request, FtStoreResult result)
 {
@@ -81,7 +82,7 @@
   FtRow row;
   FtJobRow state;
   if (result == FT_STORE_NOT_FOUND) {
-    /* A submission whose commit got no answer may still be applied: not yet accepted. */
+    /* A submission without an answer to its commit is not accepted yet, but the commit may still be applied. */
     ft_user_request_answer (request, request->spec != NULL ? FT_HTTP_UNAVAILABLE : FT_HTTP_NOT_FOUND, NULL);
     return;
   }
@@ -101,15 +102,16 @@
 ft_job_status_read (FtUserRequest *request)
 {
   g_autofree char *key = ft_key_job (request->ref);
-  gboolean cancels = request->cancel_reason != FT_CANCEL_NONE;
+  gboolean is_cancellation = request->cancel_reason != FT_CANCEL_NONE;
   if (ft_user_request_is_past_deadline (request))
     ft_user_request_answer_unavailable (request);
   else
-    ft_store_client_get (request->node->store, key, cancels ? FT_STORE_PRIORITY_CANCEL : FT_STORE_PRIORITY_READ,
+    ft_store_client_get (request->node->store, key, is_cancellation ? FT_STORE_PRIORITY_CANCEL : FT_STORE_PRIORITY_READ,
                          on_row_read, request);
 }
 
-/* A submission reads once after its commit; only cancellations can go round in circles. */
+/* A submission commits only once, so it reads the row only once after that. A cancellation commits again
+ * whenever the job is still open, so its attempts are limited. */
 static gboolean
 may_read_again (FtUserRequest *request)
 {
--- a/src/net/polls.c
+++ b/src/net/polls.c
@@ -7,14 +7,15 @@
 
 struct _FtPolls {
   FtNode *node;         /* borrowed */
-  GQueue waiting;       /* Poll, oldest first, for a transaction that is still to be sent */
-  GPtrArray *in_flight; /* Poll of the transaction under way; NULL: none */
+  GQueue waiting;       /* Poll, oldest first; they wait for the next transaction */
+  GPtrArray *in_flight; /* Poll of the transaction in flight; NULL: no transaction is in flight */
 };
 
+/* A poll of one job, waiting or in flight. */
 typedef struct {
   char *ref;
-  guint64 revision; /* of the job's row when it was read as open */
-  gint64 began;
+  guint64 revision;  /* revision at which the job's row was read as open */
+  gint64 arrived_at; /* monotonic, microseconds */
   FtPollDone done;
   gpointer data;
 } Poll;
@@ -57,12 +58,13 @@
 
 static void send_next (FtPolls *polls);
 
-/* A conflict names the rows that have changed. About the others it says nothing: they go back to
- * the head of the queue, in their order, and are compared again at once. */
+/* The answer to a transaction that failed with a conflict names the rows that have changed. It proves nothing
+ * about the other rows, so their polls return to the head of the queue, in the same order, and are compared
+ * again at once. */
 static void
 finish_changed (FtPolls *polls, GPtrArray *compared, const json_t *body)
 {
-  gboolean any = FALSE;
+  gboolean any_changed = FALSE;
   for (guint i = compared->len; i > 0; i--) {
     Poll *poll = g_ptr_array_index (compared, i - 1);
     g_autofree char *key = ft_key_job (poll->ref);
@@ -70,13 +72,13 @@
       g_queue_push_head (&polls->waiting, poll);
       continue;
     }
-    any = TRUE;
+    any_changed = TRUE;
     ft_job_cache_remove_open (polls->node->job_cache, poll->ref);
     poll_finish (poll, FT_POLL_CHANGED);
   }
   Poll *poll;
-  while (!any && (poll = g_queue_pop_head (&polls->waiting)) != NULL)
-    poll_finish (poll, FT_POLL_FAILED); /* a conflict that names no row proves nothing */
+  while (!any_changed && (poll = g_queue_pop_head (&polls->waiting)) != NULL)
+    poll_finish (poll, FT_POLL_FAILED); /* the answer names no compared row, so it proves nothing */
 }
 
 static void
@@ -94,24 +96,24 @@
 }
 
 static gboolean
-is_too_late (const Poll *poll)
+is_past_deadline (const Poll *poll)
 {
-  return g_get_monotonic_time () - poll->began > (gint64) (FT_USER_DEADLINE_S * FT_SECOND);
+  return g_get_monotonic_time () - poll->arrived_at > (gint64) (FT_USER_DEADLINE_S * FT_SECOND);
 }
 
-/* Sends what waits, as much as a transaction may hold. One transaction is under way at a time: the
- * polls that arrive meanwhile share the next one. */
+/* Sends as many waiting polls as fit into one transaction. Only one transaction is in flight at a time; the
+ * polls that arrive meanwhile share the next transaction. */
 static void
 send_next (FtPolls *polls)
 {
   if (polls->in_flight != NULL || g_queue_is_empty (&polls->waiting))
     return;
   json_auto_t *txn = ft_txn_new_check ();
-  guint most = FT_CONDITIONS_PER_CHANGE * polls->node->config->core.txn_ops;
+  guint max_conditions = FT_CONDITIONS_PER_CHANGE * polls->node->config->core.txn_ops;
   polls->in_flight = g_ptr_array_new ();
   Poll *poll;
-  while (polls->in_flight->len < most && (poll = g_queue_pop_head (&polls->waiting)) != NULL) {
-    if (is_too_late (poll)) {
+  while (polls->in_flight->len < max_conditions && (poll = g_queue_pop_head (&polls->waiting)) != NULL) {
+    if (is_past_deadline (poll)) {
       poll_finish (poll, FT_POLL_FAILED);
       continue;
     }
@@ -134,7 +136,7 @@
   Poll *poll = g_new0 (Poll, 1);
   poll->ref = g_strdup (ref);
   poll->revision = job->revision;
-  poll->began = g_get_monotonic_time ();
+  poll->arrived_at = g_get_monotonic_time ();
   poll->done = done;
   poll->data = data;
   g_queue_push_tail (&polls->waiting, poll);
--- a/src/net/polls.h
+++ b/src/net/polls.h
@@ -1,51 +1,60 @@
-/* Polls of open jobs, many at a time: one transaction without changes compares the revisions of many
- * jobs' rows with those at which they were last read as open, and so answers many polls.
+/* Batched polls of open jobs. One read-only transaction compares the current revisions of many jobs' rows
+ * with the revisions at which the rows were last read as open, and so answers many polls.
  *
- * Linearizability: a job's row changes once in its life, from open to its end, so that an unchanged
- * revision proves that the job is open. A poll is only ever put into a transaction that is sent
- * after the poll arrived, and is answered from that transaction's answer or from a read sent later
- * still. The state that it reports was therefore the job's state at some time between its arrival
- * and its answer, and no poll that arrives after another one was answered can report an older state
- * than it. Polls never join a transaction that is already under way, which could have been executed
- * before they arrived. */
+ * Polls are linearizable. A job's row changes once, from open to ended, so an unchanged revision proves that
+ * the job is open. A poll joins only a transaction that is sent after the poll has arrived. It is answered
+ * from that transaction's answer or from a later read. The reported state was therefore the job's state at
+ * some time between the poll's arrival and its answer, and a poll that arrives after another poll was
+ * answered never reports an older state. A poll never joins a transaction in flight, since the store may
+ * have executed it before the poll arrived. */
 #pragma once
 #include "net/node.h"
 
 /**
  * FtPollResult:
- * @FT_POLL_OPEN: the row is as it was read: the job is open
- * @FT_POLL_CHANGED: the row has changed: it is to be read
- * @FT_POLL_FAILED: the key-value store did not answer in time
+ * @FT_POLL_OPEN: the row has not changed, so the job is open
+ * @FT_POLL_CHANGED: the row has changed; the caller must read it
+ * @FT_POLL_FAILED: the key-value store did not answer in time, or its answer was not usable
+ *
+ * The result of a poll.
  */
 typedef enum { FT_POLL_OPEN, FT_POLL_CHANGED, FT_POLL_FAILED } FtPollResult;
 
-/* Called once for each poll that was taken on, from the main loop. */
+/**
+ * FtPollDone:
+ * @result: the result of the poll
+ * @data: the `data` argument of ft_polls_add()
+ *
+ * Called once for each poll for which ft_polls_add() returned %TRUE, possibly before it returns.
+ */
 typedef void (*FtPollDone) (FtPollResult result, gpointer data);
 
 /**
  * ft_polls_new:
- * @node: borrowed; its store client and job cache are used
+ * @node: borrowed; must outlive the polls, which use its store client and job cache
  *
- * Returns: (transfer full): no polls
+ * Returns: (transfer full): an empty queue of polls
  */
 FtPolls *ft_polls_new (FtNode *node);
 
 /**
  * ft_polls_free:
- * @polls: (transfer full) (nullable): freed, together with its polls, whose callbacks are not called
+ * @polls: (transfer full) (nullable): the queue of polls
  *
- * The store client, which may still hold a request of theirs, must be freed before.
+ * Frees the queue and its polls without calling their callbacks. The store client must be freed first, since
+ * it may still hold a request whose callback uses the queue.
  */
 void ft_polls_free (FtPolls *polls);
 
 /**
  * ft_polls_add:
- * @ref: the job
- * @done: called once if this returns %TRUE
+ * @ref: the job's ref; copied
+ * @done: called once if the function returns %TRUE
+ * @data: passed to @done
  *
- * Asks whether the job's row is as the job cache has it.
+ * Adds a poll, which compares the current revision of the job's row with the revision in the job cache.
  *
- * Returns: %FALSE, and @done is not called, if the cache does not have it as open or FT_POLLS_MAX
- *   polls wait
+ * Returns: %FALSE, without calling @done, if the job cache does not have the job as open or FT_POLLS_MAX
+ *   polls are already waiting
  */
 gboolean ft_polls_add (FtPolls *polls, const char *ref, FtPollDone done, gpointer data);
--- a/src/net/submission.c
+++ b/src/net/submission.c
@@ -15,8 +15,8 @@
 #include "wire/messages.h"
 #include "wire/store.h"
 
-/* The steps stand in the order in which a submission takes them; each hands the request on to the
- * next, or answers it. */
+/* The functions below are in the order in which a submission passes through them. Each step passes the
+ * request to the next step or answers it. */
 static void check_dependencies (FtUserRequest *request);
 static void commit_open (FtUserRequest *request);
 static void commit_cancelled (FtUserRequest *request);
@@ -33,26 +33,26 @@
   return TRUE;
 }
 
-/* ---- validate: can the job ever run, as far as its submission alone says ---- */
+/* ---- validate: whether the job can ever run, judged by its submission alone ---- */
 
 static FtAdmission
-validate (const FtNode *node, const FtJobSpec *spec, const char **why)
+validate (const FtNode *node, const FtJobSpec *spec, const char **reason)
 {
   if (ft_row_open_size (spec) > node->config->core.value_kb * 1024) {
-    *why = "it is too large for a row of the state service: fewer or shorter names are needed";
+    *reason = "it is too large for a row of the state service: fewer or shorter names are needed";
     return FT_ADMIT_NEVER;
   }
-  return ft_admission_check (&node->config->core, ft_catalog_cache_get (node->catalog_cache), spec, why);
+  return ft_admission_check (&node->config->core, ft_catalog_cache_get (node->catalog_cache), spec, reason);
 }
 
 static void
-refuse (FtUserRequest *request, const char *why)
+refuse (FtUserRequest *request, const char *reason)
 {
-  g_message ("job %s: refused: %s", request->ref, why);
-  ft_user_request_answer (request, FT_HTTP_UNPROCESSABLE, json_pack ("{s:s}", "error", why));
+  g_message ("job %s: refused: %s", request->ref, reason);
+  ft_user_request_answer (request, FT_HTTP_UNPROCESSABLE, json_pack ("{s:s}", "error", reason));
 }
 
-/* ---- admit: can this controller take it now ---- */
+/* ---- admit: whether this controller can accept the job now ---- */
 
 static gboolean
 is_overloaded (const FtNode *node)
@@ -64,8 +64,8 @@
          || (scheduler != NULL && ft_scheduler_open_tasks (scheduler) > FT_OPEN_TASKS_MAX);
 }
 
-/* A job with dependencies is safe only with controllers that know of them: an older leader would
- * start it at once. */
+/* A job with dependencies must not be accepted while a peer runs an older version that ignores
+ * dependencies: if that peer became the leader, it would start the job at once. */
 static gboolean
 must_wait_for_upgrade (const FtNode *node, const FtJobSpec *spec)
 {
@@ -76,16 +76,16 @@
 ft_submission_handle (FtUserRequest *request)
 {
   FtNode *node = request->node;
-  const char *why;
+  const char *reason;
   if (!parse (request)) {
     ft_user_request_answer (request, FT_HTTP_BAD_REQUEST, NULL);
     return;
   }
   if (ft_idempotent_request_answer_from_cache (request))
     return;
-  FtAdmission admission = validate (node, request->spec, &why);
+  FtAdmission admission = validate (node, request->spec, &reason);
   if (admission == FT_ADMIT_NEVER) {
-    refuse (request, why);
+    refuse (request, reason);
     return;
   }
   if (admission == FT_ADMIT_NOT_YET || is_overloaded (node) || must_wait_for_upgrade (node, request->spec)) {
@@ -108,8 +108,8 @@
   } else if (result == FT_ANCESTORS_CANCELLED) {
     commit_cancelled (request);
   } else if (result == FT_ANCESTORS_MISSING) {
-    g_autofree char *why = g_strdup_printf ("it needs job %s, which was never accepted", ref);
-    refuse (request, why);
+    g_autofree char *reason = g_strdup_printf ("it needs job %s, which was never accepted", ref);
+    refuse (request, reason);
   } else {
     ft_user_request_answer_unavailable (request);
   }
@@ -119,15 +119,16 @@
 check_dependencies (FtUserRequest *request)
 {
   const char *const *dependencies = (const char *const *) request->spec->dependencies;
-  /* Its ancestors, if any, are found uncancelled as of a time that the check does not report. */
-  request->ancestors_checked_at = dependencies == NULL ? request->began : 0;
+  /* With dependencies, 0 (unknown): the check does not report as of which time the ancestors were not
+   * cancelled. */
+  request->ancestors_checked_at = dependencies == NULL ? request->started_at : 0;
   ft_ancestors_check_named (request->node, dependencies, on_dependencies_checked, request);
 }
 
 /* ---- commit and answer: an open job ---- */
 
 static void
-remember_open (FtUserRequest *request, guint64 revision)
+cache_open_job (FtUserRequest *request, guint64 revision)
 {
   gboolean has_dependencies = request->spec->dependencies != NULL;
   FtCachedJob *job = ft_job_cache_add_open (request->node->job_cache, request->ref, revision, has_dependencies);
@@ -146,7 +147,7 @@
     return;
   }
   if (ft_store_revision (body, &revision))
-    remember_open (request, revision);
+    cache_open_job (request, revision);
   ft_user_request_answer (request, FT_HTTP_CREATED, ft_message_job_state (request->ref, "queued", 0, 0, FALSE));
 }
 
@@ -169,14 +170,15 @@
     ft_job_status_read_after_commit (request, result);
     return;
   }
-  g_message ("job %s: accepted as cancelled, since one of its ancestors is", request->ref);
+  g_message ("job %s: accepted as cancelled, because one of its ancestors is cancelled", request->ref);
   ft_metrics_count (request->node->metrics, FT_COUNT_CANCELLED_BY_DEPENDENCY);
   ft_job_cache_add_ended (request->node->job_cache, request->ref, FT_JOB_END_CANCELLED, tasks);
   json_t *state = ft_job_answer_ended (request->ref, FT_JOB_END_CANCELLED, tasks);
   ft_user_request_answer (request, FT_HTTP_CREATED, state);
 }
 
-/* Accepted, and ended at once: no leader needs to know of it, so that it has no open row. */
+/* Accepts the job and ends it as cancelled in the same transaction. The transaction writes no row among the
+ * open jobs, since the leader has nothing to do for the job. */
 static void
 commit_cancelled (FtUserRequest *request)
 {
--- a/src/net/user_api.c
+++ b/src/net/user_api.c
@@ -5,13 +5,14 @@
 #include "net/job_status.h"
 #include "net/submission.h"
 
-/* Segments of the longest path, and one more for what is too long. */
+/* Maximum number of segments into which a path is split: one more than the longest route has, so that a longer
+ * path matches no route. */
 #define USER_PATH_SEGMENTS_MAX 4
 
-/* A route is known by the number of its path's segments: /work, /work/REF, /work/REF/ACTION. */
+/* The number of path segments identifies a route: /work, /work/REF, /work/REF/ACTION. */
 typedef struct {
-  guint segments;
-  const char *action; /* the third segment, if it has one */
+  guint segments;     /* number of path segments */
+  const char *action; /* the third segment; NULL: the path has fewer */
   const char *method;
   void (*handle) (FtUserRequest *request);
 } Route;
--- a/src/net/user_request.c
+++ b/src/net/user_request.c
@@ -22,13 +22,13 @@
 void
 ft_user_request_start_deadline (FtUserRequest *request)
 {
-  request->began = g_get_monotonic_time ();
+  request->started_at = g_get_monotonic_time ();
 }
 
 gboolean
 ft_user_request_is_past_deadline (const FtUserRequest *request)
 {
-  return g_get_monotonic_time () - request->began > (gint64) (FT_USER_DEADLINE_S * FT_SECOND);
+  return g_get_monotonic_time () - request->started_at > (gint64) (FT_USER_DEADLINE_S * FT_SECOND);
 }
 
 static FtCounter
@@ -51,7 +51,7 @@
   FtMetrics *metrics = request->node->metrics;
   if (request->spec != NULL && (status == FT_HTTP_OK || status == FT_HTTP_CREATED)) {
     ft_metrics_count (metrics, FT_COUNT_ACCEPTED);
-    ft_metrics_record_latency (metrics, FT_LATENCY_SUBMIT, g_get_monotonic_time () - request->began);
+    ft_metrics_record_latency (metrics, FT_LATENCY_SUBMIT, g_get_monotonic_time () - request->started_at);
   } else {
     ft_metrics_count (metrics, counter_of (status));
   }
--- a/src/net/user_request.h
+++ b/src/net/user_request.h
@@ -1,37 +1,37 @@
-/* A user's request while it is being answered: a submission, a poll or a cancellation.
+/* A user's request from its arrival to its answer: a submission, a poll or a cancellation.
  *
- * A request has exactly one owner at any time. Whoever is handed an FtUserRequest, as an argument
- * or as the data of a callback, either hands it on or answers it; answering frees it, so that
- * nothing can answer it a second time. The underlying HTTP request is reached through
- * ft_user_request_answer() and its variants alone.
+ * A request has exactly one owner at any time. A function that receives an FtUserRequest, as an argument
+ * or as callback data, must either pass it to another function or answer it. Answering frees the request,
+ * so that it is answered only once. Only ft_user_request_answer() and its variants answer the underlying
+ * HTTP request.
  *
  * Private to the user endpoint: user_api.c, submission.c, cancellation.c, job_status.c and
- * idempotent_request.c. Used on the main loop's thread only. */
+ * idempotent_request.c. Used only on the main loop's thread. */
 #pragma once
 #include "net/http.h"
 #include "net/node.h"
 
 /**
  * FtCancelReason:
- * @FT_CANCEL_NONE: the job is not to be cancelled
- * @FT_CANCEL_BY_USER: its user cancels it
- * @FT_CANCEL_BY_DEPENDENCY: one of its ancestors was found cancelled
+ * @FT_CANCEL_NONE: the request does not cancel the job
+ * @FT_CANCEL_BY_USER: the job's user has requested the cancellation
+ * @FT_CANCEL_BY_DEPENDENCY: one of the job's ancestors is cancelled
  *
- * Why a request cancels the job if it finds it open.
+ * The reason why a request cancels its job if the job is open.
  */
 typedef enum { FT_CANCEL_NONE, FT_CANCEL_BY_USER, FT_CANCEL_BY_DEPENDENCY } FtCancelReason;
 
 /**
  * FtUserRequest:
  * @node: the controller; borrowed
- * @http: private to user_request.c
- * @ref: the job; owned; %NULL until a submission's body was parsed
+ * @http: the underlying HTTP request, owned; private to user_request.c
+ * @ref: the job's ref, owned; %NULL until the body of a submission has been parsed
  * @spec: the submitted job, owned; %NULL for polls and cancellations
- * @cancel_reason: why the job is cancelled if it is open
- * @cancel_tries: cancellations committed without success so far
- * @ancestors_checked_at: monotonic time until which none of a submitted job's ancestors was cancelled;
- *   0 if that is not known
- * @began: monotonic time from which its deadline and its latency count
+ * @cancel_reason: the reason to cancel the job if it is open
+ * @cancel_tries: number of commits of the cancellation that failed with a conflict or got no answer
+ * @ancestors_checked_at: monotonic time in microseconds at which none of a submitted job's ancestors was
+ *   cancelled; 0 if unknown
+ * @started_at: monotonic time in microseconds from which the deadline and the latency of the request count
  */
 typedef struct {
   FtNode *node;
@@ -41,66 +41,69 @@
   FtCancelReason cancel_reason;
   guint cancel_tries;
   gint64 ancestors_checked_at;
-  gint64 began;
+  gint64 started_at;
 } FtUserRequest;
 
 /**
  * ft_user_request_new:
- * @node: the controller; outlives the request
- * @http: taken: it is answered when the user's request is
- * @ref: (nullable): the job, if the path names one; copied
+ * @node: the controller; must outlive the request
+ * @http: (transfer full): the HTTP request, answered together with the user's request
+ * @ref: (nullable): the job's ref if the path contains one; copied
  *
- * Returns: (transfer full): a request that is to be answered exactly once
+ * Returns: (transfer full): the request, which its owner must answer exactly once
  */
 FtUserRequest *ft_user_request_new (FtNode *node, FtHttpRequest *http, const char *ref);
 
 /**
  * ft_user_request_body:
  *
- * Returns: (nullable): the decoded body, borrowed; %NULL if it is missing, malformed or too large
+ * Returns: (transfer none) (nullable): the decoded body, valid until the request is answered; %NULL if it
+ *   is missing, malformed or larger than FT_BODY_MAX
  */
 const json_t *ft_user_request_body (FtUserRequest *request);
 
 /**
  * ft_user_request_start_deadline:
  *
- * Called when the request is about to wait for the key-value store: its deadline and its latency
- * count from here.
+ * Starts the deadline and the latency measurement of the request. Called just before the request waits
+ * for the key-value store.
  */
 void ft_user_request_start_deadline (FtUserRequest *request);
 
 /**
  * ft_user_request_is_past_deadline:
  *
- * Returns: whether FT_USER_DEADLINE_S have passed since the clock was started
+ * Returns: whether FT_USER_DEADLINE_S has passed since ft_user_request_start_deadline()
  */
 gboolean ft_user_request_is_past_deadline (const FtUserRequest *request);
 
 /**
  * ft_user_request_answer:
- * @request: (transfer full): freed
+ * @request: (transfer full): freed by the call
  * @status: the answer's HTTP status
  * @body: (transfer full) (nullable): the answer's body
  *
- * Answers the request and counts it: as accepted, with its latency, if it is a submission that
- * succeeded; else as unavailable, refused or polled by its status.
+ * Answers the request and counts it in the metrics. A successful submission counts as accepted, and its
+ * latency is recorded. Every other request counts by its status: 503 as unavailable, 400 and 422 as
+ * refused, any other status as a poll.
  */
 void ft_user_request_answer (FtUserRequest *request, FtHttpStatus status, json_t *body);
 
 /**
  * ft_user_request_answer_unavailable:
- * @request: (transfer full): freed
+ * @request: (transfer full): freed by the call
  *
- * Answers 503 with Retry-After: nothing is promised, and the user is to try again.
+ * Answers 503 with Retry-After: the outcome is unknown or nothing was done, and the user should retry.
  */
 void ft_user_request_answer_unavailable (FtUserRequest *request);
 
 /**
  * ft_user_request_answer_uncounted:
- * @request: (transfer full): freed
+ * @request: (transfer full): freed by the call
  * @status: the answer's HTTP status
  * @body: (transfer full) (nullable): the answer's body
  *
- * Answers without counting: for answers that are given at once, from memory or for an invalid path.
+ * Answers the request without counting it in the metrics. Used for answers that need no request to the
+ * key-value store: from the job cache, or for an invalid ref.
  */
 void ft_user_request_answer_uncounted (FtUserRequest *request, FtHttpStatus status, json_t *body);
