--- a/src/net/admin_endpoints.h
+++ b/src/net/admin_endpoints.h
@@ -15,7 +15,7 @@
  */
 void ft_admin_refuse (FtHttpRequest *request, FtHttpStatus status, const char *format, ...) G_GNUC_PRINTF (3, 4);
 
-/* admin_status.c */
+/* ---- defined in admin_status.c ---- */
 
 /**
  * ft_admin_get_status:
@@ -52,7 +52,7 @@
  */
 void ft_admin_get_list (FtNode *node, FtHttpRequest *request, const char *name);
 
-/* admin_settings.c */
+/* ---- defined in admin_settings.c ---- */
 
 /**
  * ft_admin_get_settings:
@@ -71,7 +71,7 @@
  */
 void ft_admin_put_settings (FtNode *node, FtHttpRequest *request);
 
-/* admin_drains.c */
+/* ---- defined in admin_drains.c ---- */
 
 /**
  * ft_admin_drain:
--- a/src/net/admin_status.c
+++ b/src/net/admin_status.c
@@ -140,7 +140,7 @@
   ft_scheduler_each_machine (scheduler, add_machine, list);
 }
 
-/* A list of the leader and the function that appends its items to a JSON array. */
+/* A list that the leader serves, and the function that appends its items to a JSON array. */
 typedef struct {
   const char *name;
   void (*add) (FtScheduler *scheduler, json_t *list);
--- a/src/net/catalog_cache.h
+++ b/src/net/catalog_cache.h
@@ -9,7 +9,7 @@
 /**
  * FtCatalogCache:
  *
- * One per process, owned by the node.
+ * The cache of the catalog. There is one per process; the node owns it.
  */
 typedef struct _FtCatalogCache FtCatalogCache;
 
--- a/src/net/controller.c
+++ b/src/net/controller.c
@@ -23,7 +23,7 @@
 
 /* Maximum number of connections to one worker; it is small because there are thousands of workers. */
 #define CONNECTIONS_PER_WORKER 2
-/* Divisor of `max_connections` that gives the maximum number of connections to all workers. */
+/* FtConfig's `max_connections` divided by this is the maximum number of connections to all workers. */
 #define WORKER_CONNECTIONS_DIVISOR 4
 /* Maximum number of connections to the cloud; it is small because cloud calls are rare. */
 #define CLOUD_CONNECTIONS 4
--- a/src/net/controller.h
+++ b/src/net/controller.h
@@ -6,7 +6,7 @@
 /**
  * FtController:
  *
- * One per process, owned by main().
+ * The controller. There is one per process; main.c owns it.
  */
 typedef struct _FtController FtController;
 
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -229,8 +229,8 @@
 /**
  * ft_http_client_new:
  * @max_per_host: the maximum number of connections to one host
- * @max_connections: the maximum number of connections in total; a request for which neither limit
- *   leaves room waits for a free connection
+ * @max_connections: the maximum number of connections to all hosts. While either limit is reached, further
+ *   requests wait for a free connection.
  *
  * Returns: (transfer full): a client that has no connections yet
  */
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -78,7 +78,7 @@
 }
 
 /* Handling one event may close the socket of a later event in the same batch, and a new socket may get
- * the same descriptor. That later event is then passed for the wrong socket, which libcurl tolerates. */
+ * the same descriptor. libcurl then gets that later event for the wrong socket, which it tolerates. */
 static gboolean
 on_sockets_ready (gint fd, GIOCondition condition, gpointer data)
 {
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,4 +1,4 @@
-/* The HTTP server: libmicrohttpd, driven by the main loop through libmicrohttpd's epoll descriptor.
+/* The HTTP server: libmicrohttpd, whose epoll descriptor is a source of the main loop.
  *
  * libsoup's server needs one main loop source for each connection, which is expensive because several
  * hundred workers keep their connections open. docs/design.md has the measurement. */
@@ -13,7 +13,7 @@
 G_DEFINE_QUARK (ft - http - error - quark, ft_http_error)
 
 struct _FtHttpServer {
-  gboolean stopping; /* the server answers every request with 503 */
+  gboolean stopping; /* TRUE while the server stops: it answers every request with 503 */
   struct MHD_Daemon *daemon;
   FtBodyKind kind;
   FtHttpHandler handler;
--- a/src/net/job_cache.h
+++ b/src/net/job_cache.h
@@ -13,7 +13,7 @@
 /**
  * FtJobCache:
  *
- * One per process, owned by the node.
+ * The cache of jobs. There is one per process; the node owns it.
  */
 typedef struct _FtJobCache FtJobCache;
 
--- a/src/net/job_status.h
+++ b/src/net/job_status.h
@@ -14,7 +14,7 @@
  * ft_job_status_handle_poll:
  * @request: (transfer full): a poll
  *
- * Answers GET /work/REF.
+ * Answers GET /work/REF with the state of the job.
  */
 void ft_job_status_handle_poll (FtUserRequest *request);
 
@@ -44,8 +44,8 @@
  *
  * Finds out by ft_job_status_read() what has happened to the job. After a conflict, the job's row has
  * changed, possibly by an earlier attempt of the same request. If the commit got no answer, it may have
- * been applied. A cancellation commits at most FT_CANCEL_TRIES times. After any other result the commit
- * counts as not applied, and the request is answered with 503.
+ * been applied. A cancellation commits at most FT_CANCEL_TRIES times. Any other result is answered with 503: the
+ * commit was not applied, except that this is unknown after %FT_STORE_FAILED.
  */
 void ft_job_status_read_after_commit (FtUserRequest *request, FtStoreResult result);
 
--- a/src/net/malformed.h
+++ b/src/net/malformed.h
@@ -7,7 +7,7 @@
 /**
  * FtMalformedLog:
  *
- * One per process, owned by the node.
+ * The log of malformed messages. There is one per process; the node owns it.
  */
 typedef struct _FtMalformedLog FtMalformedLog;
 
--- a/src/net/metrics.h
+++ b/src/net/metrics.h
@@ -7,7 +7,7 @@
 /**
  * FtMetrics:
  *
- * One per process, owned by the node.
+ * The counters and latency histograms. There is one per process; the node owns it.
  */
 typedef struct _FtMetrics FtMetrics;
 
--- a/src/net/submission.c
+++ b/src/net/submission.c
@@ -119,8 +119,8 @@
 check_dependencies (FtUserRequest *request)
 {
   const char *const *dependencies = (const char *const *) request->spec->dependencies;
-  /* With dependencies, 0 (unknown): the check does not report as of which time the ancestors were not
-   * cancelled. */
+  /* For a job with dependencies the time is 0 (unknown), since the check does not report when the rows of the
+   * ancestors were read. */
   request->ancestors_checked_at = dependencies == NULL ? request->started_at : 0;
   ft_ancestors_check_named (request->node, dependencies, on_dependencies_checked, request);
 }
