--- a/tests/sim/handles.hpp
+++ b/tests/sim/handles.hpp
@@ -1,7 +1,7 @@
 // Owning handles for the C objects that the simulation passes around.
 //
-// Simulated messages are closures that may be delivered late, twice or never, so
-// most objects are shared: the last closure that holds a handle frees the object.
+// Simulated messages are closures that may be delivered late, twice or never. Most objects
+// are therefore shared: the last closure that holds a handle frees the object.
 #pragma once
 #include <glib.h>
 #include <jansson.h>
@@ -20,7 +20,7 @@
 using PointerArray = std::shared_ptr<GPtrArray>;
 using Heartbeat = std::shared_ptr<FtWorkerHeartbeat>;
 
-// Each takes over the caller's reference; a null pointer gives an empty handle.
+// Each adopt() takes over the caller's reference; a null pointer gives an empty handle.
 
 inline Json
 adopt (json_t *value)
--- a/tests/sim/node.cpp
+++ b/tests/sim/node.cpp
@@ -8,14 +8,15 @@
 
 namespace sim {
 
+// Interval between two ticks of a controller.
 static constexpr Time kTick = kSecond / 5;
 
-// The limits of a steady clock's drift.
+// Rates of the slowest and the fastest steady clock within the allowed drift.
 static constexpr double kSlowestClock = 0.9995, kFastestClock = 1.0005;
 
 Node::Node (World &world, int index) : world_ (world), index_ (index) {}
 
-// ---- life and faults ----
+// ---- start and faults ----
 
 void
 Node::start ()
@@ -55,7 +56,7 @@
     frozen_until = until;
 }
 
-// ---- questions ----
+// ---- queries ----
 
 std::string
 Node::name () const
@@ -95,7 +96,7 @@
 
 // ---- timers ----
 
-// Does something later; while it stands still, not before it goes on.
+// Schedules an action; if the controller is frozen when it is due, the action runs when it resumes.
 void
 Node::schedule (Time delay, EventQueue::Action action)
 {
@@ -107,7 +108,7 @@
   });
 }
 
-// The same, unless its leadership is over by then.
+// Schedules an action that is dropped if the current term has ended by then.
 void
 Node::schedule_in_term (Time delay, EventQueue::Action action)
 {
@@ -117,7 +118,7 @@
   });
 }
 
-// Drops an answer that comes when its leadership is over.
+// Wraps a reply so that an answer which comes after the end of the current term is dropped.
 Node::Reply
 Node::in_term (Reply reply)
 {
@@ -127,7 +128,8 @@
   };
 }
 
-// Lets the scheduler place tasks and carries out what it wants done.
+// Runs one round of the leader's work: a placement pass, then the writes, reads, commands and cloud
+// calls that the scheduler requests.
 void
 Node::run_leader ()
 {
--- a/tests/sim/worker.cpp
+++ b/tests/sim/worker.cpp
@@ -7,10 +7,11 @@
 
 namespace sim {
 
-// A change is reported at once, but not sooner than this after the last heartbeat.
+// A change triggers a heartbeat at once, but not sooner than this after the previous heartbeat.
 static constexpr Time kLeastHeartbeatInterval = kSecond / 2;
+// Time after which a heartbeat without an answer counts as unanswered.
 static constexpr Time kAnswerTimeout = 4 * kSecond;
-// How soon it sees that no connection can be opened.
+// Time until the worker notices that it cannot connect.
 static constexpr Time kConnectionRefusedAfter = kSecond / 2;
 static constexpr int kControllers = 3;
 
@@ -87,7 +88,7 @@
   tasks_.clear ();
 }
 
-// One step of the agent's loop.
+// Runs one step of the agent's loop.
 void
 Worker::tick ()
 {
@@ -107,7 +108,8 @@
   world_.after (world_.worker_step, [self] { self->tick (); });
 }
 
-// Without an answer for a lease it ends its tasks and begins a new incarnation.
+// Ends all tasks and begins a new incarnation if the lease has expired, that is, if no heartbeat sent
+// within the lease time was answered.
 void
 Worker::check_lease ()
 {
@@ -149,7 +151,7 @@
   Heartbeat message = heartbeat ();
   if (world_.faults.replay_heartbeats)
     world_.keep_heartbeat (message);
-  // The first of answer and timeout counts.
+  // Only the first of answer and timeout counts.
   auto done = std::make_shared<bool> (false);
   auto self = world_.machines[name];
   auto finish = [self, done, sent = world_.now, message] (const HeartbeatAnswer &answer) {
@@ -168,7 +170,7 @@
   world_.after (kAnswerTimeout, [finish] { finish ({}); });
 }
 
-// To its controller over the network, and the answer back.
+// Sends a heartbeat to the controller that the worker reports to, and passes the answer to `finish`.
 void
 Worker::deliver_heartbeat (const Heartbeat &message, std::function<void (const HeartbeatAnswer &)> finish)
 {
@@ -188,8 +190,8 @@
   });
 }
 
-// A copy reaches some controller from seconds to well over a lease late; nobody
-// waits for its answer.
+// Delivers a copy of the heartbeat to a random controller, 1 s to 2.5 lease times late. The answer
+// is dropped.
 void
 Worker::duplicate_heartbeat (const Heartbeat &message)
 {
@@ -267,7 +269,7 @@
   return used;
 }
 
-// A repeated start of the same attempt changes nothing.
+// Starts a task. A repeated command for the same attempt has no effect.
 void
 Worker::start (const FtCommand &command)
 {
@@ -311,14 +313,14 @@
   }
 }
 
-// It has its image. A task whose result the worker keeps completes at once.
+// Begins to run a task whose image is fetched. A task whose result is kept completes at once.
 void
 Worker::begin_task (WorkerTask &task)
 {
   bool has_result = world_.results.count (task.name ()) > 0;
   Time lease = (Time) (world_.settings.lease_s * kSecond);
   task.phase = FT_TASK_PHASE_RUNNING;
-  // Three leases: one until the machine is given up, and a takeover.
+  // Three lease times cover a takeover and the time until the leader declares the machine lost.
   world_.counters.starts_while_not_reporting
       += world_.now < not_reporting_until_ && world_.now > not_reporting_since_ + 3 * lease;
   world_.checker->task_started (world_.now, task.job, task.index, { name, zone, spot });
