--- a/tests/job_specs.hpp
+++ b/tests/job_specs.hpp
@@ -1,4 +1,4 @@
-// Specs of jobs for tests of the core.
+// Job specifications for tests of the core.
 #pragma once
 #include <vector>
 
@@ -7,9 +7,10 @@
 #include "core/types.h"
 }
 
+// One second in the core's unit of time, microseconds.
 constexpr gint64 kS = FT_SECOND;
 
-// A job of tasks of 4 CPUs each. Its dispatch watermark covers all of them.
+// A job whose tasks have 4 CPUs each and are all below its dispatch watermark. The caller owns the result.
 inline FtJobSpec *
 new_job_spec (const char *ref, guint tasks)
 {
@@ -26,7 +27,7 @@
   return spec;
 }
 
-// A job that was never started, with DAG dependencies.
+// A job with dependencies, of which no task was ever sent to a machine. The caller owns the result.
 inline FtJobSpec *
 new_dependent_spec (const char *ref, std::vector<const char *> dependencies, guint tasks = 1)
 {
--- a/tests/json_text.hpp
+++ b/tests/json_text.hpp
@@ -1,7 +1,8 @@
-// JSON values written as text in tests.
+// Parsing of JSON that tests write as text.
 #pragma once
 #include <jansson.h>
 
+// Parses a JSON value of any type; the caller owns it. NULL if the text is not valid.
 inline json_t *
 parse_json (const char *text)
 {
--- a/tests/loopback.hpp
+++ b/tests/loopback.hpp
@@ -1,5 +1,5 @@
-// Loopback stand-ins for tests of the real program: key-value store and cloud over
-// HTTP, workers, and controllers as processes. Each server takes a port of its own.
+// The parts of tests of the real program over loopback: stand-ins for the key-value store, the cloud and
+// the workers, and controllers as processes. Each server listens on a port of its own.
 #pragma once
 #include "loopback/controllers.hpp"
 #include "loopback/http.hpp"
--- a/tests/loopback/jobs.hpp
+++ b/tests/loopback/jobs.hpp
@@ -1,4 +1,4 @@
-// Jobs as users submit them, and what controllers say of them.
+// Bodies of job submissions, and waiting for a job's state.
 #pragma once
 #include <vector>
 
@@ -6,13 +6,15 @@
 
 namespace loopback {
 
-// Waits until the controller at that address shows the job in that state.
+// Waits until the controller at that address answers that the job is in that state; false if that takes too
+// long.
 inline bool
 reaches_state (const std::string &addr, const char *ref, const char *standing)
 {
   return wait_for ([&] { return call ("GET", addr, std::string ("/work/") + ref)->text ("standing") == standing; });
 }
 
+// The body of a job's submission; the caller owns it.
 inline json_t *
 job (const char *ref, int tasks, const char *team = "red", double cpus = 4)
 {
@@ -22,7 +24,7 @@
                     "apart", 0, "loaners", 1, "guess_s", 1.0, "bookmark_s", 0.0, "shelve_s", 0.0, "due_s", 60.0);
 }
 
-// A job with DAG dependencies.
+// The body of a submission of a job with dependencies; the caller owns it.
 inline json_t *
 job_after (const char *ref, std::vector<std::string> dependencies, int tasks = 1)
 {
